--- /dev/null
+++ b/tests/golden/proxy_golden_test.cpp
@@ -0,0 +1,1 @@
+// SPDX-License-Identifier: MIT
