--- a/tests/golden/codec_golden_test.cpp
+++ b/tests/golden/codec_golden_test.cpp
@@ -1,1 +1,1603 @@
 // SPDX-License-Identifier: MIT
+/// @file
+/// Golden records of the codecs: the bytes that each writes and the values that it reads, from whole, split,
+/// cut short and damaged input. All labels are literals: a renaming in the code leaves the records as they
+/// are.
+#include <gtest/gtest.h>
+#include <rapidjson/document.h>
+#include <rapidjson/stringbuffer.h>
+#include <rapidjson/writer.h>
+
+#include <algorithm>
+#include <array>
+#include <cstdint>
+#include <filesystem>
+#include <fstream>
+#include <functional>
+#include <map>
+#include <optional>
+#include <set>
+#include <sstream>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <variant>
+#include <vector>
+
+#include "agreed.pb.h"
+#include "agreed/wire.h"
+#include "codec/bulletin.h"
+#include "codec/cache_lines.h"
+#include "codec/event_stream.h"
+#include "codec/http_call.h"
+#include "codec/thrift.h"
+#include "config/config.h"
+#include "golden/golden_record.h"
+#include "peers/wire.h"
+#include "settings_reader.h"
+#include "wire.h"
+
+namespace dahliahall::test {
+namespace {
+
+using golden::exact;
+using golden::GoldenRecord;
+using Lines = std::vector<std::string>;
+
+/// One line of text: a kind, then labelled values.
+class Line {
+ public:
+  explicit Line(std::string_view kind) : text_(kind) {}
+  Line& bytes(const char* label, std::string_view value) {
+    return put(label, "\"" + golden::quoted(value) + "\"");
+  }
+  Line& flag(const char* label, bool value) { return put(label, value ? "yes" : "no"); }
+  template <typename Number>
+  Line& whole(const char* label, Number value) {
+    return put(label, std::to_string(value));
+  }
+  Line& real(const char* label, double value) { return put(label, exact(value)); }
+  Line& time(const char* label, std::chrono::microseconds value) { return whole(label, value.count()); }
+  Line& word(const char* label, const char* value) { return put(label, value); }
+  [[nodiscard]] const std::string& text() const { return text_; }
+
+ private:
+  Line& put(const char* label, const std::string& value) {
+    text_.append(" ").append(label).append("=").append(value);
+    return *this;
+  }
+  std::string text_;
+};
+
+/// The same input whole, byte by byte, and in pieces of seven bytes.
+constexpr std::array<std::size_t, 3> kSteps{1U << 30U, 1, 7};
+
+template <typename Read>
+void record_splits(GoldenRecord& record, const std::string& name, std::string_view bytes, const Read& read) {
+  for (const std::size_t step : kSteps) {
+    Lines pieces;
+    for (std::string_view rest = bytes; !rest.empty(); rest.remove_prefix(std::min(step, rest.size())))
+      pieces.emplace_back(rest.substr(0, step));
+    record.add(name + (step == kSteps[0] ? " whole" : " in pieces of " + std::to_string(step)));
+    for (const std::string& line : read(pieces)) record.add("  " + line);
+  }
+}
+
+/// Every beginning of the bytes, and the bytes with each one changed in two ways.
+template <typename Read>
+void record_damage(GoldenRecord& record, const std::string& name, const std::string& bytes,
+                   const Read& read) {
+  for (std::size_t size = 0; size < bytes.size(); ++size)
+    record.add(name + " first " + std::to_string(size) + ": " + read(bytes.substr(0, size)));
+  for (std::size_t at = 0; at < bytes.size(); ++at) {
+    for (const unsigned mask : {0x01U, 0x80U}) {
+      std::string damaged = bytes;
+      damaged[at] = static_cast<char>(static_cast<unsigned char>(damaged[at]) ^ mask);
+      record.add(name + " byte " + std::to_string(at) + " xor " + std::to_string(mask) + ": " +
+                 read(damaged));
+    }
+  }
+}
+
+// ---- Thrift ----
+
+std::string big_endian(std::uint64_t value, int width) {
+  std::string bytes;
+  for (int at = width - 1; at >= 0; --at) bytes.push_back(static_cast<char>(value >> (8 * at)));
+  return bytes;
+}
+std::string thrift_text(std::string_view text) { return big_endian(text.size(), 4).append(text); }
+std::string thrift_field(int type, int id) {
+  return big_endian(static_cast<std::uint64_t>(type), 1) + big_endian(static_cast<std::uint64_t>(id), 2);
+}
+std::string thrift_call(int type, std::string_view method, std::uint32_t seqid,
+                        const std::string& arguments) {
+  return big_endian(0x80010000U | static_cast<unsigned>(type), 4) + thrift_text(method) +
+         big_endian(seqid, 4) + arguments;
+}
+std::string thrift_frame(const std::string& message) { return big_endian(message.size(), 4) + message; }
+
+std::string process_arguments() {
+  return thrift_field(13, 1) + "\x0b\x0b" + big_endian(2, 4) + thrift_text("id") + thrift_text("r-1") +
+         thrift_text("file") + thrift_text("00\xff") + thrift_field(11, 2) +
+         thrift_text(std::string("bo\0dy", 5)) + std::string(1, '\0');
+}
+
+const char* name_of_message_error(codec::MessageError error) {
+  switch (error) {
+    case codec::MessageError::not_strict:
+      return "not_strict";
+    case codec::MessageError::cut_short:
+      return "cut_short";
+    case codec::MessageError::bad_type:
+      return "bad_type";
+    case codec::MessageError::too_deep:
+      return "too_deep";
+  }
+  return "?";
+}
+
+const char* name_of_message_type(codec::MessageType type) {
+  switch (type) {
+    case codec::MessageType::call:
+      return "call";
+    case codec::MessageType::reply:
+      return "reply";
+    case codec::MessageType::exception:
+      return "exception";
+    case codec::MessageType::oneway:
+      return "oneway";
+  }
+  return "?";
+}
+
+std::string thrift_read(const std::string& frame) {
+  const auto read = codec::read_message(frame);
+  Line line("read");
+  line.whole("seqid_of_frame", codec::seqid_of(frame));
+  if (const auto* error = std::get_if<codec::MessageError>(&read))
+    return line.word("error", name_of_message_error(*error)).text();
+  const auto& message = std::get<codec::Message>(read);
+  line.word("type", name_of_message_type(message.type)).whole("seqid", message.seqid);
+  if (const auto* object = std::get_if<codec::ProcessCall>(&message.call)) {
+    line.word("method", "object_request").flag("readable", object->readable).bytes("body", object->body);
+    for (const auto& [key, value] : object->fields) line.bytes("key", key).bytes("value", value);
+  } else if (const auto* cancel = std::get_if<codec::GiveUpCall>(&message.call)) {
+    line.word("method", "cancel_request").whole("cancelled_seqid", cancel->given_up);
+  } else if (std::holds_alternative<codec::ProbeCall>(message.call)) {
+    line.word("method", "readiness_check");
+  } else {
+    line.word("method", "unknown").bytes("name", std::get<codec::UnknownCall>(message.call).method);
+  }
+  return line.text();
+}
+
+TEST(GoldenCodec, ThriftWrites) {
+  GoldenRecord record("codec_thrift_written");
+  const codec::StringMap fields{{"how", "cached"}, {"", ""}, {"x", std::string("\0\x01", 2)}};
+  for (const bool good : {true, false}) {
+    record.add(golden::quoted(codec::write_answer(7, "process", "body", fields, good)));
+    record.add(golden::quoted(codec::write_answer(-1, "probe", "", {}, good)));
+  }
+  record.add(golden::quoted(codec::write_declared_exception(8, 1, {{"not_before_ms", "250"}})));
+  record.add(golden::quoted(codec::write_declared_exception(9, 2, {})));
+  record.add(golden::quoted(codec::write_application_exception(
+      10, "dance", codec::ApplicationError::unknown_method, "unknown method")));
+  record.add(golden::quoted(codec::write_application_exception(
+      11, "process", codec::ApplicationError::protocol_error, "protocol error")));
+  record.check();
+}
+
+TEST(GoldenCodec, ThriftReads) {
+  GoldenRecord record("codec_thrift_read");
+  const std::string stop(1, '\0');
+  const std::string process = thrift_call(1, "process", 0x01020304, process_arguments());
+  const std::string cancel = thrift_call(4, "giveUp", 6, thrift_field(8, 1) + big_endian(77, 4) + stop);
+  const std::string nested = thrift_field(12, 3) + thrift_field(15, 1) + "\x08" + big_endian(1, 4) +
+                             big_endian(5, 4) + thrift_field(4, 2) + big_endian(1, 8) + stop + stop;
+  std::string deep = thrift_field(12, 3);
+  for (int level = 0; level < 20; ++level) deep += thrift_field(12, 1);
+  const Lines messages{
+      process,
+      cancel,
+      thrift_call(1, "probe", 5, stop),
+      thrift_call(1, "dance", 0xffffffffU, nested),
+      thrift_call(1, "process", 1, nested),
+      thrift_call(1, "process", 1, deep),
+      thrift_call(1, "process", 1, thrift_field(8, 1) + big_endian(1, 4) + stop),
+      thrift_call(
+          1, "process", 1,
+          thrift_field(13, 1) + "\x0b\x08" + big_endian(1, 4) + thrift_text("n") + big_endian(1, 4) + stop),
+      thrift_call(1, "process", 1, thrift_field(13, 1) + "\x0b\x0b" + big_endian(0xffffffffU, 4) + stop),
+      thrift_call(1, "giveUp", 1, thrift_field(11, 1) + thrift_text("x") + stop),
+      thrift_call(1, "giveUp", 1, thrift_field(1, 1) + stop),
+      thrift_call(2, "process", 1, stop),
+      thrift_call(3, "process", 1, stop),
+      thrift_call(1, "process", 1, stop) + "more"};
+  for (const std::string& message : messages)
+    record.add(golden::quoted(message) + " -> " + thrift_read(message));
+  record_damage(record, "process", process, thrift_read);
+  record_damage(record, "cancel", cancel, thrift_read);
+  record.check();
+}
+
+TEST(GoldenCodec, ThriftFrames) {
+  GoldenRecord record("codec_thrift_frames");
+  const auto read = [](const Lines& pieces) {
+    codec::FrameReader reader;
+    Lines lines;
+    for (const std::string& piece : pieces) {
+      reader.feed(piece);
+      while (const auto frame = reader.next()) lines.push_back(Line("frame").bytes("bytes", *frame).text());
+    }
+    const bool too_large = reader.error() == codec::FrameError::too_large;
+    lines.push_back(Line("end")
+                        .word("error", too_large ? "too_large" : "none")
+                        .flag("incomplete", reader.halfway())
+                        .bytes("rest", reader.rest())
+                        .text());
+    return lines;
+  };
+  const std::string good = thrift_frame("one") + thrift_frame("") + thrift_frame("three");
+  record_splits(record, "good", good, read);
+  record_splits(record, "cut short", good.substr(0, good.size() - 2), read);
+  record_splits(record, "half a length", good + std::string(2, '\0'), read);
+  record_splits(record, "too large", thrift_frame("a") + big_endian(codec::kMaxFrame + 1, 4) + "rest", read);
+  record_splits(record, "largest", big_endian(codec::kMaxFrame, 4) + "rest", read);
+  record.check();
+}
+
+// ---- Cache lines ----
+
+const char* name_of_cache_status(codec::AnswerWord word) {
+  switch (word) {
+    case codec::AnswerWord::hit:
+      return "hit";
+    case codec::AnswerWord::valid:
+      return "valid";
+    case codec::AnswerWord::none:
+      return "none";
+    case codec::AnswerWord::shed:
+      return "shed";
+    case codec::AnswerWord::fault:
+      return "fault";
+    case codec::AnswerWord::late:
+      return "late";
+    case codec::AnswerWord::pong:
+      return "pong";
+    case codec::AnswerWord::sick:
+      return "sick";
+  }
+  return "?";
+}
+
+const char* name_of_line_error(codec::LineError error) {
+  switch (error) {
+    case codec::LineError::none:
+      return "none";
+    case codec::LineError::line_too_long:
+      return "line_too_long";
+    case codec::LineError::not_an_answer:
+      return "not_an_answer";
+    case codec::LineError::unknown_word:
+      return "unknown_word";
+    case codec::LineError::body_too_long:
+      return "body_too_long";
+    case codec::LineError::body_not_ended:
+      return "body_not_ended";
+  }
+  return "?";
+}
+
+Lines cache_lines_read(const Lines& pieces) {
+  codec::AnswerReader reader;
+  Lines lines;
+  for (const std::string& piece : pieces) {
+    reader.feed(piece);
+    while (const auto answer = reader.next()) {
+      lines.push_back(Line("response")
+                          .bytes("id", answer->id)
+                          .word("status", name_of_cache_status(answer->word))
+                          .bytes("fields", answer->fields)
+                          .bytes("body", answer->body)
+                          .text());
+    }
+  }
+  lines.push_back(Line("end").word("error", name_of_line_error(reader.error())).text());
+  return lines;
+}
+
+TEST(GoldenCodec, CacheLines) {
+  GoldenRecord record("codec_cache_lines");
+  codec::FieldList fields;
+  record.add(golden::quoted(codec::write_serve("1", fields, "")));
+  fields.add("part", "0");
+  record.add(golden::quoted(codec::write_serve("2", fields, std::string("a\r\n\0b", 5))));
+  fields.add("empty", "");
+  record.add(golden::quoted(codec::write_serve("3", fields, std::string(300, 'x'))));
+  record.add(golden::quoted(codec::write_cancel("4")));
+  record.add(golden::quoted(codec::write_gauges("t5")));
+  for (const char* list : {"a=1,bb=2,b=3", "", "-", "a", "a=", "=1", "b=1,b=2", ",,b=9"}) {
+    for (const char* name : {"a", "b", "bb", ""}) {
+      const auto value = codec::field_in(list, name);
+      record.add(Line("field")
+                     .bytes("list", list)
+                     .bytes("name", name)
+                     .flag("found", value.has_value())
+                     .bytes("value", value.value_or(""))
+                     .text());
+    }
+  }
+  std::string all;
+  for (const char* word : {"HIT", "VALID", "NONE", "SHED", "FAULT", "LATE", "PONG", "SICK"})
+    all += std::string("id-") + word + " " + word + " how=x,age=3 4\r\nab\r\n\r\n";
+  record_splits(record, "every status", all, cache_lines_read);
+  const std::string good = "7 HIT - 0\r\n\r\n";
+  for (const std::string& bad :
+       {std::string("8 HIT - 3\r\nabcd\r\n"), std::string("8 DANCE - 0\r\n\r\n"),
+        std::string("8 HIT - x\r\n\r\n"), std::string("8 HIT -\r\n\r\n"),
+        std::string("8 HIT - 0 more\r\n\r\n"), std::string(" HIT - 0\r\n\r\n"),
+        std::string("8 HIT - -1\r\n\r\n"), std::string("8 HIT - 0\n\n"), std::string("8 hit - 0\r\n\r\n"),
+        "8 HIT - " + std::to_string(codec::kMaxBody + 1) + "\r\n", std::string(codec::kMaxLine + 10, 'a')})
+    record_splits(record, "bad " + golden::quoted(bad.substr(0, 40)), good + bad + good, cache_lines_read);
+  const auto joined = [](const std::string& bytes) {
+    std::string text;
+    for (const std::string& line : cache_lines_read({bytes})) text += line + "; ";
+    return text;
+  };
+  record_damage(record, "damaged", "9 VALID how=own 3\r\nabc\r\n", joined);
+  record.check();
+}
+
+// ---- Event stream ----
+
+const char* name_of_stream_error(codec::StreamError error) {
+  switch (error) {
+    case codec::StreamError::none:
+      return "none";
+    case codec::StreamError::head_too_long:
+      return "head_too_long";
+    case codec::StreamError::not_ok:
+      return "not_ok";
+    case codec::StreamError::bad_chunk:
+      return "bad_chunk";
+    case codec::StreamError::event_too_long:
+      return "event_too_long";
+  }
+  return "?";
+}
+
+Lines event_stream_read(const Lines& pieces) {
+  codec::EventStreamReader reader;
+  Lines lines;
+  for (const std::string& piece : pieces) {
+    reader.feed(piece);
+    while (const auto event = reader.next())
+      lines.push_back(Line("event").bytes("id", event->id).bytes("data", event->data).text());
+  }
+  lines.push_back(Line("end")
+                      .word("error", name_of_stream_error(reader.error()))
+                      .whole("lines_read", reader.lines())
+                      .text());
+  return lines;
+}
+
+TEST(GoldenCodec, EventStream) {
+  GoldenRecord record("codec_event_stream");
+  record.add(golden::quoted(codec::write_stream_request("10.2.0.1:9092", "/v1/stream", "41")));
+  record.add(golden::quoted(codec::write_stream_request("h:1", "/", "")));
+  const std::string head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n";
+  const std::string events =
+      ":hello\n\nid: 1\ndata: one\n\nid:2\r\ndata:two\r\ndata: and more\r\n\r\nevent: odd\nid: "
+      "3\n\ndata\n\nid\ndata: "
+      "\n\ndata: unfinished";
+  record_splits(record, "plain", head + "\r\n" + events, event_stream_read);
+  std::ostringstream chunks;
+  for (std::size_t at = 0; at < events.size(); at += 10) {
+    const std::string chunk = events.substr(at, 10);
+    chunks << std::hex << chunk.size() << (at % 20 == 0 ? ";x=y" : "") << "\r\n" << chunk << "\r\n";
+  }
+  const std::string chunked = head + "Transfer-Encoding: Chunked\r\n\r\n";
+  record_splits(record, "chunked", chunked + chunks.str(), event_stream_read);
+  record_splits(record, "last chunk", chunked + "5\r\n:a\n\n\n\r\n0\r\n\r\n", event_stream_read);
+  for (const char* bad : {"x\r\n", "3\r\nabcd\r\n", "100001\r\n", "3 \r\nabc\r\n", "\r\n"})
+    record_splits(record, std::string("bad chunk ") + golden::quoted(bad), chunked + bad, event_stream_read);
+  record_splits(record, "endless chunk size", chunked + std::string(1100, '1'), event_stream_read);
+  for (const char* bad : {"HTTP/1.1 404 Not Found\r\n\r\n", "HTTP/2 200\r\n\r\n",
+                          "HTTP/1.0 200 OK\r\n\r\ndata:a\n\n", "HTTP/1.1  200 OK\r\n\r\n", "\r\n\r\n"})
+    record_splits(record, std::string("head ") + golden::quoted(bad), bad, event_stream_read);
+  record_splits(record, "endless head", "HTTP/1.1 200 OK\r\nX: " + std::string(codec::kMaxHead, 'x'),
+                event_stream_read);
+  const std::string long_line = "data: " + std::string(codec::kMaxEvent + 1, 'x');
+  for (const std::string& line : event_stream_read({head + "\r\n" + long_line}))
+    record.add("endless line " + line);
+  record.check();
+}
+
+// ---- HTTP calls ----
+
+Lines http_call_read(const Lines& pieces) {
+  codec::HttpCallReader reader;
+  Lines lines;
+  for (const std::string& piece : pieces) {
+    reader.feed(piece);
+    while (const auto call = reader.next())
+      lines.push_back(Line("call")
+                          .bytes("method", call->method)
+                          .bytes("path", call->path)
+                          .bytes("body", call->body)
+                          .text());
+  }
+  lines.push_back(Line("end").flag("malformed", reader.broken()).text());
+  return lines;
+}
+
+TEST(GoldenCodec, HttpCalls) {
+  GoldenRecord record("codec_http_call");
+  for (const int status : {200, 202, 400, 404, 405, 409, 413, 422, 503, 500})
+    record.add(golden::quoted(codec::write_http_answer(status, status % 2 == 0 ? "body\n" : "")));
+  const std::string post =
+      "POST /v1/policy?x=%zz HTTP/1.1\r\nHost: a\r\ncontent-LENGTH:   5\r\n\r\nab\r\ncMORE";
+  record_splits(record, "post", post, http_call_read);
+  record_splits(record, "get", "GET /v1/a%2fb%20c HTTP/1.0\r\n\r\nGET / HTTP/1.1\r\n\r\n", http_call_read);
+  for (const char* bad :
+       {"GET / HTTP/2.0\r\n\r\n", "GET /\r\n\r\n", " / HTTP/1.1\r\n\r\n", "GET  HTTP/1.1\r\n\r\n",
+        "GET /%4 HTTP/1.1\r\n\r\n", "GET /%zz HTTP/1.1\r\n\r\n", "GET ?q HTTP/1.1\r\n\r\n", "\r\n\r\n",
+        "PUT / HTTP/1.1\r\nContent-Length: x\r\n\r\n", "PUT / HTTP/1.1\r\nContent-Length: 3x\r\n\r\nabc",
+        "PUT / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", "PUT / HTTP/1.1\r\nContent-Length: 73729\r\n\r\n",
+        "PUT / HTTP/1.1\r\nContent-Length: 4\r\n\r\nabc", "PUT / HTTP/1.1\r\nContent-Length:\r\n\r\n"})
+    record_splits(record, golden::quoted(bad), bad, http_call_read);
+  record_splits(record, "endless head", "GET / HTTP/1.1\r\nX: " + std::string(codec::kMaxCallHead, 'x'),
+                http_call_read);
+  record.check();
+}
+
+// ---- Discovery events ----
+
+const codec::Names& names() {
+  static const codec::Names value{{"north", "edge-1"}, {"small-box", "parent", "origin"}};
+  return value;
+}
+
+const char* name_of_endpoint_state(MemberState state) {
+  switch (state) {
+    case MemberState::running:
+      return "running";
+    case MemberState::draining:
+      return "draining";
+    case MemberState::gone:
+      return "gone";
+  }
+  return "?";
+}
+
+Lines discovery_event_lines(const codec::BulletinEvent& event) {
+  Lines lines{Line("event")
+                  .whole("number", event.number)
+                  .flag("endpoints", event.roster.has_value())
+                  .flag("invalidation", event.recall.has_value())
+                  .text()};
+  if (event.roster) {
+    lines.push_back(Line("endpoint_list").flag("complete", event.roster->complete).text());
+    for (const codec::ListedMember& listed : event.roster->members) {
+      const Member& m = listed.member;
+      lines.push_back(Line("endpoint")
+                          .bytes("id", m.id)
+                          .word("state", name_of_endpoint_state(m.state))
+                          .real("weight", m.weight)
+                          .whole("zone", m.zone)
+                          .whole("cell", m.cell)
+                          .whole("kind", m.kind)
+                          .time("started", m.started)
+                          .bytes("address", listed.address)
+                          .time("process_started", listed.process)
+                          .text());
+    }
+  }
+  if (event.recall) {
+    lines.push_back(Line("invalidation")
+                        .flag("of_object", event.recall->object.has_value())
+                        .whole("object", event.recall->object.value_or(0))
+                        .whole("group", event.recall->group)
+                        .time("issued", event.recall->issued)
+                        .text());
+  }
+  return lines;
+}
+
+Lines discovery_read(const std::string& json) {
+  try {
+    return discovery_event_lines(codec::parse_bulletin_event(json, names()));
+  } catch (const FieldError& error) {
+    return {Line("error").bytes("text", error.what()).text()};
+  }
+}
+
+std::string json_text(const rapidjson::Value& value) {
+  rapidjson::StringBuffer text;
+  rapidjson::Writer<rapidjson::StringBuffer> writer(text);
+  value.Accept(writer);
+  return text.GetString();
+}
+
+/// What each value is replaced with, one at a time. A value far beyond a small integer stands only in place
+/// of whole numbers that are not in a list: converting it there is not defined.
+constexpr std::array<const char*, 7> kScalarReplacements{"null", "\"x\"", "-1", "0", "2.5", "true", "\"\""};
+constexpr std::array<const char*, 5> kContainerReplacements{"null", "\"x\"", "0", "[]", "{}"};
+constexpr const char* kBeyondSmall = "5000000000";
+
+using UseChanged = std::function<void(const std::string& change, const std::string& json)>;
+
+void each_change(rapidjson::Document& root, rapidjson::Value& at, const std::string& path,
+                 const UseChanged& use) {
+  const auto replace = [&](rapidjson::Value& value, const std::string& name, bool in_list) {
+    const auto put = [&](const char* replacement) {
+      const rapidjson::Value saved(value, root.GetAllocator());
+      rapidjson::Document other(&root.GetAllocator());
+      other.Parse(replacement);
+      value.CopyFrom(other, root.GetAllocator());
+      use(name + " is " + replacement, json_text(root));
+      value.CopyFrom(saved, root.GetAllocator());
+    };
+    if (value.IsObject() || value.IsArray()) {
+      for (const char* replacement : kContainerReplacements) put(replacement);
+    } else {
+      for (const char* replacement : kScalarReplacements) put(replacement);
+      put("[]");
+    }
+    if (!in_list && value.IsInt64()) put(kBeyondSmall);
+    each_change(root, value, name, use);
+  };
+  if (at.IsObject()) {
+    for (auto& member : at.GetObject()) {
+      const std::string name = path + (path.empty() ? "" : ".") + member.name.GetString();
+      const rapidjson::Value saved(member.name, root.GetAllocator());
+      member.name.SetString("unheard_of");
+      use(name + " is missing", json_text(root));
+      member.name.CopyFrom(saved, root.GetAllocator());
+      replace(member.value, name, false);
+    }
+  } else if (at.IsArray()) {
+    for (rapidjson::SizeType i = 0; i < at.Size(); ++i)
+      replace(at[i], path + "[" + std::to_string(i) + "]", true);
+  }
+}
+
+void each_change(const std::string& json, const UseChanged& use) {
+  rapidjson::Document root;
+  root.Parse(json.c_str());
+  ASSERT_FALSE(root.HasParseError()) << json;
+  each_change(root, root, "", use);
+}
+
+constexpr const char* kDiscoveryEvent =
+    R"({"no":12,"roster":{"revision":3,"complete":true,"members":[{"id":"a","host_port":"10.0.0.1:80",)"
+    R"("phase":"active","size":2.5,"cell":4,"locality":"edge-1","flavor":"parent","up_since_ms":1700000000123},)"
+    R"({"id":"b","phase":"leaving","locality":"north","flavor":"origin"},{"id":"c","phase":"left",)"
+    R"("locality":"north","flavor":"small-box"}]},"recall":{"item":"00ff12ab","lot":9,"issued":1700000000456}})";
+
+TEST(GoldenCodec, DiscoveryEvents) {
+  GoldenRecord record("codec_discovery_events");
+  const auto add = [&record](const std::string& name, const std::string& json) {
+    record.add(name);
+    for (const std::string& line : discovery_read(json)) record.add("  " + line);
+  };
+  add("all", kDiscoveryEvent);
+  for (const char* json : {"", "{", "[]", "{} x", "{\"no\":1}", "{\"no\":9223372036854775807}",
+                           R"({"no":1,"recall":{"lot":3,"issued":0}})",
+                           R"({"no":1,"recall":{"item":"ffffffffffffffff","issued":1000000000000000}})",
+                           R"({"no":1,"recall":{"item":"10000000000000000","issued":1}})",
+                           R"({"no":1,"recall":{"issued":1000000000000001}})"})
+    add(golden::quoted(json), json);
+  each_change(kDiscoveryEvent, add);
+  record.check();
+}
+
+// ---- Settings and configuration ----
+
+const char* name_of_idempotency(Effect effect) {
+  switch (effect) {
+    case Effect::safe:
+      return "idempotent";
+    case Effect::keyed:
+      return "with_key";
+    case Effect::unsafe:
+      return "none";
+  }
+  return "?";
+}
+const char* name_of_deduplication_scope(DedupGroup scope) {
+  switch (scope) {
+    case DedupGroup::all:
+      return "all";
+    case DedupGroup::zone:
+      return "zone";
+    case DedupGroup::cell:
+      return "cell";
+  }
+  return "?";
+}
+const char* name_of_weights(Weights weights) {
+  switch (weights) {
+    case Weights::none:
+      return "none";
+    case Weights::nominal:
+      return "nominal";
+    case Weights::rough:
+      return "rough";
+    case Weights::live:
+      return "live";
+  }
+  return "?";
+}
+const char* name_of_report_channel(ReportVia via) {
+  switch (via) {
+    case ReportVia::none:
+      return "none";
+    case ReportVia::probes:
+      return "health_checks";
+    case ReportVia::answers:
+      return "responses";
+  }
+  return "?";
+}
+const char* name_of_sibling_fills(SiblingFills fills) {
+  switch (fills) {
+    case SiblingFills::none:
+      return "none";
+    case SiblingFills::location:
+      return "location";
+    case SiblingFills::any:
+      return "any";
+  }
+  return "?";
+}
+const char* name_of_cache_status_detail(Notes notes) {
+  switch (notes) {
+    case Notes::none:
+      return "none";
+    case Notes::hits:
+      return "hits";
+    case Notes::all:
+      return "all";
+  }
+  return "?";
+}
+
+template <typename Number>
+std::string list_of(const std::vector<Number>& values) {
+  std::string text;
+  for (const Number value : values) text += exact(static_cast<double>(value)) + " ";
+  return text;
+}
+
+Lines settings_lines(const Settings& s) {
+  Lines lines;
+  lines.push_back(Line("router")
+                      .whole("index", s.me)
+                      .whole("zone", s.zone)
+                      .whole("routers", s.routers)
+                      .bytes("routers_by_zone", list_of(s.routers_by_zone))
+                      .bytes("hub_by_zone", list_of(s.hub_by_zone))
+                      .bytes("link_in_kb_per_s", list_of(s.link_in_kb_per_s))
+                      .time("tick", s.tick)
+                      .text());
+  lines.push_back(Line("topology")
+                      .whole("parent_kind", s.parent_kind)
+                      .whole("origin_kind", s.origin_kind)
+                      .flag("direct_attempts", s.straight)
+                      .word("sibling_fills", name_of_sibling_fills(s.sibling_fills))
+                      .word("cache_status_detail", name_of_cache_status_detail(s.notes))
+                      .real("stream_kb_per_s", s.stream_kb_per_s)
+                      .text());
+  lines.push_back(Line("endpoints")
+                      .time("answer_slack", s.answer_slack)
+                      .time("drain_grace", s.drain_grace)
+                      .real("initial_capacity", s.cold_share)
+                      .time("warm_up_time", s.warm_after)
+                      .real("overload_factor", s.fall_multiple)
+                      .time("overload_window", s.fall_span)
+                      .text());
+  lines.push_back(Line("parents_and_origin")
+                      .real("parent_initial_capacity", s.parent_cold_share)
+                      .time("parent_warm_up_time", s.parent_warm_after)
+                      .real("parent_overload_factor", s.parent_fall_multiple)
+                      .real("origin_overload_factor", s.origin_fall_multiple)
+                      .time("origin_overload_window", s.origin_fall_span)
+                      .text());
+  lines.push_back(Line("allowed")
+                      .time("invalidation_slack", s.purge_slack)
+                      .time("invalidation_completed", s.purge_cleared)
+                      .whole("max_attempts", s.max_attempts)
+                      .flag("cancellation", s.cancelling)
+                      .flag("health_checks", s.probes)
+                      .flag("hedged_requests", s.second_copies)
+                      .flag("retry_after", s.retry_after)
+                      .time("max_retry_after", s.max_retry_after)
+                      .flag("must_subscribe", s.must_subscribe)
+                      .time("poll_within", s.must_ask_within)
+                      .flag("clients_mark_retries", s.marks_retry)
+                      .word("report_channel", name_of_report_channel(s.report_via))
+                      .word("weights", name_of_weights(s.weights))
+                      .text());
+  lines.push_back(Line("cost_weights")
+                      .real("cross_zone", s.fees.cross_zone)
+                      .real("waste", s.fees.waste)
+                      .real("origin", s.fees.origin)
+                      .real("health_check", s.fees.probe)
+                      .real("late_failure", s.fees.late_fail)
+                      .real("link_bytes", s.fees.link_bytes)
+                      .text());
+  for (const RequestClass& c : s.classes) {
+    lines.push_back(Line("request_class")
+                        .bytes("name", c.name)
+                        .time("latency_objective", c.aim)
+                        .real("latency_objective_per_transfer_time", c.aim_stretch)
+                        .time("deadline", c.deadline)
+                        .word("idempotency", name_of_idempotency(c.effect))
+                        .word("deduplication_scope", name_of_deduplication_scope(c.group))
+                        .time("deduplication_window", c.memory)
+                        .real("priority_weight", c.worth)
+                        .real("late_weight", c.late_worth)
+                        .flag("streamed", c.streamed)
+                        .time("max_age", c.max_age)
+                        .time("grace", c.grace)
+                        .real("stale_weight", c.stale_earns)
+                        .flag("segmented", c.segmented)
+                        .flag("uncacheable", c.never_kept)
+                        .text());
+  }
+  return lines;
+}
+
+Lines peers_lines(const config::Peers& p) {
+  const peers::Settings& s = p.settings;
+  Line addresses("membership_addresses");
+  addresses.bytes("listen", p.listen).bytes("advertised", s.address);
+  for (const std::string& seed : s.seeds) addresses.bytes("seed", seed);
+  for (const auto& [from, to] : s.book) addresses.bytes("override_of", from).bytes("override", to);
+  return {Line("membership")
+              .bytes("cluster", s.cluster)
+              .bytes("name", s.name)
+              .whole("zone", s.zone)
+              .bytes("folder", p.folder)
+              .whole("max_streams", p.streams)
+              .whole("max_datagrams_per_s", p.datagrams)
+              .whole("max_user_message_bytes", p.most_carried)
+              .whole("max_members", s.max_members)
+              .whole("max_datagram_bytes", s.datagram)
+              .whole("expected_members", s.expected)
+              .text(),
+          addresses.text(),
+          Line("failure_detector")
+              .time("ping_interval", s.probe_every)
+              .time("ping_timeout", s.probe_timeout)
+              .whole("indirect_pings", s.indirect)
+              .time("gossip_interval", s.gossip_every)
+              .whole("gossip_fanout", s.gossip_to)
+              .real("retransmit_factor", s.news_factor)
+              .time("min_suspicion", s.suspicion_least)
+              .real("suspicion_factor", s.suspicion_factor)
+              .real("max_suspicion_factor", s.suspicion_most)
+              .whole("confirmations", s.confirmations)
+              .whole("max_local_health", s.most_doubt)
+              .time("full_sync_interval", s.exchange_every)
+              .time("reconnect_interval", s.seek_every)
+              .time("quota_lease", s.share_lease)
+              .flag("lifeguard", s.lifeguard)
+              .text()};
+}
+
+std::string policy_line(const config::Policy& p) {
+  const agreed::Settings& s = p.settings;
+  Line line("policy");
+  line.bytes("name", s.name).bytes("folder", p.folder).flag("trace", p.trace);
+  for (const std::string& voter : s.voters) line.bytes("voter", voter);
+  return line.time("lease", s.lease)
+      .time("renewal", s.renew)
+      .time("eager_renewal", s.eager)
+      .real("clock_drift", s.drift)
+      .time("prepare_timeout", s.prepare_within)
+      .time("admin_timeout", s.answer_within)
+      .whole("max_policy_bytes", s.most_policy)
+      .flag("serve_without_lease", s.serve_cut_off)
+      .flag("has_check", static_cast<bool>(s.check))
+      .text();
+}
+
+Lines config_lines(const config::Config& c) {
+  Lines lines;
+  lines.push_back(Line("process")
+                      .bytes("name", c.name)
+                      .bytes("listen", c.listen)
+                      .bytes("discovery", c.bulletin)
+                      .bytes("admin", c.admin)
+                      .bytes("overrides_file", c.keep_in)
+                      .whole("seed", c.seed)
+                      .whole("max_sockets", c.max_sockets)
+                      .whole("memory_bytes", c.memory)
+                      .text());
+  lines.push_back(Line("connections")
+                      .time("idle_timeout", c.connection_idle)
+                      .time("connect_timeout", c.connect_timeout)
+                      .whole("requests_per_connection", c.requests_per_connection)
+                      .real("stream_bytes_per_s", c.flow_bytes_per_s)
+                      .real("link_bytes_per_s", c.link_bytes_per_s)
+                      .text());
+  Line lists("names");
+  for (const std::string& zone : c.names.zones) lists.bytes("zone", zone);
+  for (const std::string& kind : c.names.kinds) lists.bytes("kind", kind);
+  lines.push_back(lists.text());
+  for (std::string& line : settings_lines(c.settings)) lines.push_back(std::move(line));
+  lines.push_back(
+      Line("known_at_start").whole("number", c.known_number).whole("events", c.known.size()).text());
+  for (const codec::BulletinEvent& event : c.known)
+    for (std::string& line : discovery_event_lines(event)) lines.push_back(std::move(line));
+  lines.push_back(
+      Line("sections").flag("membership", c.peers.has_value()).flag("policy", c.policy.has_value()).text());
+  if (c.peers)
+    for (std::string& line : peers_lines(*c.peers)) lines.push_back(std::move(line));
+  if (c.policy) lines.push_back(policy_line(*c.policy));
+  lines.push_back(Line("settings_text").bytes("json", c.settings_text).text());
+  return lines;
+}
+
+std::string full_config() {
+  return std::string(
+             R"({"name":"n1","flow_bytes_per_s":100000,"link_bytes_per_s":200000.5,"admin_addr":"admin:1",)"
+             R"("listen":"10.0.0.4:9090","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":256,)"
+             R"("sockets":512},"bulletin":"10.2.0.1:9092","known":{"no":12,"items":[)") +
+         kDiscoveryEvent +
+         R"(]},"peers":{"cluster":"west","listen":"10.0.0.4:7000","address":"10.9.0.4:7001","folder":"/data",)"
+         R"("seeds":["10.0.0.5:7000","10.0.0.6:7000"],"routes":{"10.9.0.5:7001":"127.0.0.1:7005"},)"
+         R"("max_members":300,"datagram":1400,"probe_every":300000,"probe_timeout":90000,)"
+         R"("suspicion_least":900000,"exchange_every":31000000,"seek_every":1100000,"share_lease":61000000,)"
+         R"("expected":5,"streams":9,"datagrams_per_s":3000},"policy":{"voters":["n1","n2","n3"],)"
+         R"("folder":"/policy","lease":4000000,"cut_off":"serve","trace":true},)"
+         R"("settings":{"me":2,"az":1,"azs":["north","edge-1"],"kinds":["small-box","parent","origin"],)"
+         R"("bounds":{"attempts_cap":8,"cancelling":true,"conn_idle":31000000,"connect_timeout":410000,)"
+         R"("max_retry_after":500000,"multiplex":33,"probes":true,"retry_after":true,"second_copies":true},)"
+         R"("clients":{"marks_retry":true},"discovery":"on_request","fleet_size":4,)"
+         R"("fees":{"cross_zone":0.1,"waste":0.2,"origin":0.3,"probe":0.4,"late_fail":0.5},)"
+         R"("report":{"fields":["rif","x1","x0"],"via":"probe"},)"
+         R"("request_classes":[{"name":"video","aim":400000,"aim_stretch":2.0,"deadline":5000000,)"
+         R"("effect":"retryable","worth":2.0,"late_worth":0.25,"streamed":true},)"
+         R"({"name":"pages","aim":250000,"deadline":2500000,"effect":"fragile","group":"cell"},)"
+         R"({"name":"order","aim":600000,"deadline":3000000,"effect":"dedup",)"
+         R"("group":"zone","memory_span":2000000,"worth":3.0}],)"
+         R"("rules":{"answer_slack":8000,"cold_share":0.18,"drain_grace":1000000,"fall":2000000,)"
+         R"("fall_multiple":4.0,"warm_after":18000000,"must_ask_in":700000},)"
+         R"("specifics":{"cleared_within":6000000,"grace_for":[0,20000000,5],"hub_by_zone":[0,1],)"
+         R"("inlet_kb_per_s":[0,100000],"max_age":[1,8000000,2],"never_kept":[false,false,true],)"
+         R"("origin_kind":2,"origin_fall_multiple":3.5,"origin_fall":2100000,"parent_floor":0.07,)"
+         R"("parent_warms_in":22000000,"peers_fill":"location","purge_slack":300000,"says":"hit",)"
+         R"("seats_by_zone":[1,3],"segmented":[true,false,0],"stale_earns":[0.7,0.5,0.25],"straight":true,)"
+         R"("byte_fee":0.001,"stream_kb_per_s":9100.0,"upper_fall_multiple":2.0,"upper_kind":1},)"
+         R"("tick":2000,"weights":"live"}})";
+}
+
+using Environment = std::map<std::string, std::string>;
+
+/// What it reads as, and the keys that want a new start where that is compared with the whole configuration.
+/// Only lines that differ from those of the whole configuration are given.
+Lines config_differences(const std::string& json, const Environment& environment) {
+  static const config::Config full = config::parse(full_config(), {});
+  static const Lines full_lines = config_lines(full);
+  const std::set<std::string> known(full_lines.begin(), full_lines.end());
+  try {
+    const config::Config read = config::parse(json, environment);
+    Line keys("accepted");
+    for (const std::string& key : config::keys_for_a_start(full, read)) keys.bytes("restart_key", key);
+    Lines lines{keys.text()};
+    for (const std::string& line : config_lines(read))
+      if (known.count(line) == 0 && line.rfind("settings_text", 0) != 0) lines.push_back(line);
+    return lines;
+  } catch (const FieldError& error) {
+    return {Line("error").bytes("text", error.what()).text()};
+  }
+}
+
+TEST(GoldenCodec, ConfigurationInFull) {
+  GoldenRecord record("config_in_full");
+  for (const std::string& line : config_lines(config::parse(full_config(), {}))) record.add(line);
+  // As little as there may be: all else has its default.
+  record.add("least");
+  for (const std::string& line : config_lines(config::parse(
+           R"({"name":"n1","listen":"a:1","bulletin":"b:2","settings":{"az":0,"azs":["z"],"kinds":["k"],)"
+           R"("request_classes":[{"name":"c","aim":1,"deadline":2}]},"peers":{"cluster":"c",)"
+           R"("listen":"1.2.3.4:5","folder":"f"},"policy":{"voters":["a","b","c"],"folder":"p"}})",
+           {})))
+    record.add(line);
+  record.check();
+}
+
+TEST(GoldenCodec, ConfigurationWords) {
+  GoldenRecord record("config_words");
+  const auto put = [&record](const std::string& from, const std::string& to) {
+    std::string text = full_config();
+    const std::size_t at = text.find(from);
+    ASSERT_NE(at, std::string::npos) << from;
+    record.add(to);
+    for (const std::string& line : config_differences(text.replace(at, from.size(), to), {}))
+      record.add("  " + line);
+  };
+  for (const char* word : {"retryable", "dedup", "fragile"})
+    put(R"("effect":"retryable")", R"("effect":")" + std::string(word) + '"');
+  for (const char* word : {"all", "zone", "cell"})
+    put(R"("group":"cell")", R"("group":")" + std::string(word) + '"');
+  for (const char* word : {"none", "nominal", "rough", "live"})
+    put(R"("weights":"live")", R"("weights":")" + std::string(word) + '"');
+  for (const char* word : {"none", "probe", "answers"})
+    put(R"("via":"probe")", R"("via":")" + std::string(word) + '"');
+  for (const char* word : {"none", "location", "any"})
+    put(R"("peers_fill":"location")", R"("peers_fill":")" + std::string(word) + '"');
+  for (const char* word : {"none", "hit", "all"})
+    put(R"("says":"hit")", R"("says":")" + std::string(word) + '"');
+  for (const char* word : {"pushed", "on_request"})
+    put(R"("discovery":"on_request")", R"("discovery":")" + std::string(word) + '"');
+  for (const char* word : {"refuse", "serve"})
+    put(R"("cut_off":"serve")", R"("cut_off":")" + std::string(word) + '"');
+  record.check();
+}
+
+TEST(GoldenCodec, ConfigurationFaults) {
+  GoldenRecord record("config_faults");
+  const auto add = [&record](const std::string& name, const std::string& json,
+                             const Environment& environment) {
+    record.add(name);
+    for (const std::string& line : config_differences(json, environment)) record.add("  " + line);
+  };
+  const std::string full = full_config();
+  for (const char* json : {"", "{", "[]", "{\"name\":", "{\"name\":\"a\"} x", "{}"})
+    add(golden::quoted(json), json, {});
+  for (const Environment& environment :
+       {Environment{{"GW_NAME", "../n3"}, {"TMPDIR", "/t"}}, Environment{{"GW_LISTEN", "x:2"}},
+        Environment{{"GW_LISTEN", "x:0"}}, Environment{{"GW_LISTEN", ":1"}},
+        Environment{{"GW_LISTEN", "x:65536"}}, Environment{{"GW_ADMIN_ADDR", "here"}},
+        Environment{{"GW_ADMIN_ADDR", "h:9"}}, Environment{{"TMPDIR", "/t"}}}) {
+    std::string name = "environment";
+    for (const auto& [key, value] : environment) name += " " + key + "=" + value;
+    add(name, full, environment);
+  }
+  for (const auto& [from, to] : std::vector<std::pair<std::string, std::string>>{
+           {R"("name":"pages")", R"("name":"video")"},
+           {R"("upper_kind":1)", R"("upper_kind":2)"},
+           {R"("origin_kind":2)", R"("origin_kind":3)"},
+           {R"("az":1)", R"("az":2)"},
+           {R"("cold_share":0.18)", R"("cold_share":1.5)"},
+           {R"("parent_floor":0.07)", R"("parent_floor":1.01)"},
+           {R"("sockets":512)", R"("sockets":63)"},
+           {R"("sockets":512)", R"("sockets":64)"},
+           {R"("memory_mb":256)", R"("memory_mb":15)"},
+           {R"("probe_timeout":90000)", R"("probe_timeout":150001)"},
+           {R"("datagram":1400)", R"("datagram":511)"},
+           {R"("datagram":1400)", R"("datagram":8193)"},
+           {R"("max_members":300)", R"("max_members":4097)"},
+           {R"("share_lease":61000000)", R"("share_lease":1999999)"},
+           {R"("share_lease":61000000,)", ""},
+           {R"("expected":5)", R"("expected":301)"},
+           {R"("streams":9)", R"("streams":17)"},
+           {R"("datagrams_per_s":3000)", R"("datagrams_per_s":99)"},
+           {R"("lease":4000000)", R"("lease":999999)"},
+           {R"("lease":4000000)", R"("lease":300000001)"},
+           {R"(["n1","n2","n3"])", R"(["n1","n2"])"},
+           {R"(["n1","n2","n3"])", R"(["n1","n2","n2"])"},
+           {R"(["n1","n2","n3"])", R"(["n1","n2","n 3"])"},
+           {R"("cluster":"west")", R"("cluster":"we st")"},
+           {R"("name":"n1")", R"("name":"n 1")"},
+           {R"("seed":"8c1f30d27a5be964")", R"("seed":18446744073709551615)"}}) {
+    std::string text = full;
+    const std::size_t at = text.find(from);
+    ASSERT_NE(at, std::string::npos) << from;
+    add(from + " -> " + to, text.replace(at, from.size(), to), {});
+  }
+  // Each key in turn is missing or has another value. The discovery event in it has a record of its own.
+  std::string plain = full;
+  plain.replace(plain.find(kDiscoveryEvent), std::string_view(kDiscoveryEvent).size(), R"({"no":1})");
+  each_change(plain, [&add](const std::string& change, const std::string& json) { add(change, json, {}); });
+  record.check();
+}
+
+TEST(GoldenCodec, ConfigurationFiles) {
+  GoldenRecord record("config_files");
+  const auto load = [&record](const std::string& name, const Environment& environment) {
+    try {
+      record.add(name + ": " + config_lines(config::load(environment)).front());
+    } catch (const FieldError& error) {
+      record.add(name + ": " + error.what());
+    }
+  };
+  load("no file named", {});
+  load("no such file", {{"GW_CONFIG", "/nowhere/at/all.json"}});
+  const std::string path = testing::TempDir() + "/codec_golden_config.json";
+  std::ofstream(path) << full_config();
+  load("a file", {{"GW_CONFIG", path}, {"GW_NAME", "n7"}, {"TMPDIR", "/t"}});
+  std::filesystem::remove(path);
+  record.check();
+}
+
+// ---- Membership's messages ----
+
+const char* name_of_member_status(peers::Liveness state) {
+  switch (state) {
+    case peers::Liveness::alive:
+      return "alive";
+    case peers::Liveness::suspect:
+      return "suspect";
+    case peers::Liveness::dead:
+      return "dead";
+    case peers::Liveness::left:
+      return "left";
+    case peers::Liveness::forgotten:
+      return "forgotten";
+    case peers::Liveness::disputed:
+      return "disputed";
+  }
+  return "?";
+}
+const char* name_of_message_kind(peers::Kind kind) {
+  switch (kind) {
+    case peers::Kind::ping:
+      return "ping";
+    case peers::Kind::ack:
+      return "ack";
+    case peers::Kind::nack:
+      return "nack";
+    case peers::Kind::ask:
+      return "ping_req";
+    case peers::Kind::gossip:
+      return "gossip";
+    case peers::Kind::whole:
+      return "full_sync";
+    case peers::Kind::whole_answer:
+      return "full_sync_reply";
+    case peers::Kind::carry:
+      return "user_message";
+  }
+  return "?";
+}
+const char* name_of_decode_error(peers::Refusal reason) {
+  switch (reason) {
+    case peers::Refusal::malformed:
+      return "malformed";
+    case peers::Refusal::oversized:
+      return "oversized";
+    case peers::Refusal::corrupt:
+      return "corrupt";
+    case peers::Refusal::other_cluster:
+      return "other_cluster";
+    case peers::Refusal::other_version:
+      return "other_version";
+    case peers::Refusal::bad_field:
+      return "bad_field";
+  }
+  return "?";
+}
+
+void describe(Line& line, const peers::News& update) {
+  line.bytes("member", update.name)
+      .bytes("address", update.address)
+      .whole("disk", update.disk)
+      .whole("incarnation", update.incarnation)
+      .whole("zone", update.zone)
+      .word("status", name_of_member_status(update.state))
+      .bytes("reported_by", update.by);
+}
+
+peers::News member_update(const std::string& name, peers::Liveness state, std::uint64_t number) {
+  peers::News update;
+  update.name = name;
+  update.address = "10.0.0." + std::to_string(number % 250) + ":7000";
+  update.disk = 0x1122334455667788U + number;
+  update.incarnation = (number << peers::kLifeBits) + 3;
+  update.zone = static_cast<int>(number);
+  update.state = state;
+  update.by = state == peers::Liveness::suspect || state == peers::Liveness::dead ? "by-" + name : "";
+  return update;
+}
+
+peers::Message membership_message(peers::Kind kind) {
+  peers::Message message;
+  message.kind = kind;
+  message.number = 300 + static_cast<std::uint64_t>(kind);
+  message.to = "b";
+  message.from = member_update("a", peers::Liveness::alive, 1);
+  message.digest = 0xfedcba9876543210U;
+  if (kind == peers::Kind::ask || kind == peers::Kind::ack) message.target = "c";
+  if (kind == peers::Kind::ask) message.target_address = "10.0.0.3:7000";
+  for (std::uint64_t at = 0; at < peers::kLivenesses; ++at)
+    message.news.push_back(member_update("m" + std::to_string(at), static_cast<peers::Liveness>(at), at + 2));
+  message.counts = 0x0102030405060708U;
+  message.names = 0x1020304050607080U;
+  message.sure = true;
+  if (kind == peers::Kind::carry) message.payload = std::string("pay\0load", 8);
+  return message;
+}
+
+std::string membership_read(const std::string& bytes, const std::string& cluster, std::size_t most) {
+  const auto decoded = peers::decode(bytes, cluster, most);
+  if (const auto* error = std::get_if<peers::Refusal>(&decoded))
+    return Line("error")
+        .word("reason", name_of_decode_error(*error))
+        .bytes("told_as", peers::name_of(*error))
+        .text();
+  const auto& message = std::get<peers::Message>(decoded);
+  Line line("message");
+  line.word("kind", name_of_message_kind(message.kind))
+      .whole("number", message.number)
+      .bytes("to", message.to);
+  describe(line, message.from);
+  line.whole("digest", message.digest)
+      .bytes("target", message.target)
+      .bytes("target_address", message.target_address)
+      .whole("counted_disk", message.counts)
+      .whole("names_digest", message.names)
+      .flag("confirmed", message.sure)
+      .bytes("payload", message.payload)
+      .whole("updates", message.news.size());
+  for (const peers::News& update : message.news) describe(line, update);
+  return line.text();
+}
+
+TEST(GoldenCodec, MembershipMessages) {
+  GoldenRecord record("codec_membership_messages");
+  const auto add = [&record](const peers::Message& message, const std::string& cluster = "west") {
+    const std::string bytes = peers::encode(message, cluster);
+    record.add(golden::quoted(bytes));
+    record.add("  " + membership_read(bytes, "west", 4096));
+  };
+  for (std::size_t kind = 0; kind < peers::kKinds; ++kind)
+    add(membership_message(static_cast<peers::Kind>(kind)));
+  for (std::size_t state = 0; state < peers::kLivenesses; ++state)
+    record.add(std::string(name_of_member_status(static_cast<peers::Liveness>(state))) + " told as " +
+               std::string(peers::name_of(static_cast<peers::Liveness>(state))));
+  add({});
+  // What no reader takes.
+  const auto faulty = [&](const std::function<void(peers::Message&)>& change,
+                          peers::Kind kind = peers::Kind::ping) {
+    peers::Message message = membership_message(kind);
+    change(message);
+    add(message);
+  };
+  add(membership_message(peers::Kind::ping), "east");
+  faulty([](peers::Message& m) { m.kind = static_cast<peers::Kind>(8); });
+  faulty([](peers::Message& m) { m.to = "b b"; });
+  faulty([](peers::Message& m) { m.to = std::string(65, 'b'); });
+  faulty([](peers::Message& m) { m.from.name.clear(); });
+  faulty([](peers::Message& m) { m.from.address = "10.0.0.256:1"; });
+  faulty([](peers::Message& m) { m.from.address = "host:1"; });
+  faulty([](peers::Message& m) { m.from.zone = 4096; });
+  faulty([](peers::Message& m) { m.from.zone = 4095; });
+  faulty([](peers::Message& m) { m.from.state = static_cast<peers::Liveness>(6); });
+  faulty([](peers::Message& m) { m.from.by = "x/y"; });
+  faulty([](peers::Message& m) { m.target = "c c"; });
+  faulty([](peers::Message& m) { m.target_address = "c"; });
+  faulty([](peers::Message& m) { m.news[3].name.clear(); });
+  faulty([](peers::Message& m) { m.payload = "x"; });
+  faulty([](peers::Message& m) { m.payload.clear(); }, peers::Kind::carry);
+  faulty([](peers::Message& m) { m.target.clear(); }, peers::Kind::ask);
+  faulty([](peers::Message& m) { m.target_address.clear(); }, peers::Kind::ask);
+  peers::Message small = membership_message(peers::Kind::ask);
+  small.news.resize(1);
+  const std::string bytes = peers::encode(small, "west");
+  record.add(Line("sizes")
+                 .whole("update", peers::size_of(small.news[0]))
+                 .whole("head", peers::head_size(small, "west"))
+                 .whole("bytes", bytes.size())
+                 .text());
+  record.add("oversized: " + membership_read(bytes, "west", bytes.size() - 1));
+  record.add("just fits: " + membership_read(bytes, "west", bytes.size()));
+  for (const char* name : {"", "a", "a-b_c.D9", "a b", "a/b", "\xc3\xa4"})
+    record.add(Line("name").bytes("text", name).flag("valid", peers::good_name(name)).text());
+  for (const char* address :
+       {"", "1.2.3.4:5", "1.2.3.4:0", "1.2.3.4:65536", "1.2.3:4", "1.2.3.4", "01.2.3.4:5", "1.2.3.4:5 "})
+    record.add(Line("address").bytes("text", address).flag("valid", peers::good_address(address)).text());
+  record.check();
+}
+
+TEST(GoldenCodec, DamagedMembershipMessages) {
+  GoldenRecord record("codec_membership_damaged");
+  peers::Message message = membership_message(peers::Kind::ask);
+  message.news.resize(2);
+  record_damage(record, "ping_req", peers::encode(message, "west"),
+                [](const std::string& bytes) { return membership_read(bytes, "west", 4096); });
+  record.check();
+}
+
+// ---- Consensus' messages ----
+
+constexpr agreed::Time kLease{5'000'000};
+
+const char* name_of_step(agreed::Step step) {
+  switch (step) {
+    case agreed::Step::propose:
+      return "propose";
+    case agreed::Step::commit:
+      return "commit";
+    case agreed::Step::activate:
+      return "activate";
+    case agreed::Step::abort:
+      return "abort";
+  }
+  return "?";
+}
+const char* name_of_change_result(agreed::Fate fate) {
+  switch (fate) {
+    case agreed::Fate::active:
+      return "active";
+    case agreed::Fate::aborted:
+      return "aborted";
+    case agreed::Fate::refused:
+      return "rejected";
+  }
+  return "?";
+}
+
+void describe(Line& line, const agreed::Entry& entry) {
+  line.word("step", name_of_step(entry.step))
+      .whole("change", entry.change)
+      .bytes("key", entry.key)
+      .whole("base_epoch", entry.base)
+      .bytes("policy", entry.policy)
+      .bytes("reason", entry.reason);
+}
+
+struct DescribeMessage {
+  Line& line;
+  void operator()(const agreed::Ask& m) const {
+    line.word("kind", "lease_request").whole("number", m.number);
+  }
+  void operator()(const agreed::Grant& m) const {
+    line.word("kind", "lease_grant").whole("number", m.number).whole("epoch", m.epoch);
+    line.time("duration", m.span).whole("log_index", m.index);
+  }
+  void operator()(const agreed::Confirm& m) const {
+    line.word("kind", "leadership_check").whole("term", m.term).whole("round", m.round);
+  }
+  void operator()(const agreed::Confirmed& m) const {
+    line.word("kind", "leadership_confirmed").whole("term", m.term).whole("round", m.round);
+  }
+  void operator()(const agreed::Look& m) const {
+    line.word("kind", "log_position").whole("log_index", m.index).bytes("leader", m.leader);
+  }
+  void operator()(const agreed::Prepared& m) const {
+    line.word("kind", "prepared")
+        .whole("change", m.change)
+        .flag("accepted", m.good)
+        .bytes("reason", m.reason);
+  }
+  void operator()(const agreed::Yield& m) const {
+    line.word("kind", "lease_revocation").whole("term", m.term).whole("epoch", m.epoch);
+  }
+  void operator()(const agreed::Yielded& m) const {
+    line.word("kind", "lease_revocation_ack").whole("term", m.term).whole("epoch", m.epoch);
+  }
+  void operator()(const agreed::Propose& m) const {
+    line.word("kind", "propose").bytes("key", m.key).whole("base_epoch", m.base).bytes("policy", m.policy);
+  }
+  void operator()(const agreed::AbortWanted& m) const {
+    line.word("kind", "abort").whole("change", m.change);
+  }
+  void operator()(const agreed::Pull& m) const {
+    line.word("kind", "catch_up_request").whole("after_index", m.after);
+  }
+  void operator()(const agreed::Pulled& m) const {
+    line.word("kind", "catch_up_response").whole("after_index", m.after).whole("last_index", m.upto);
+    for (const auto& [index, entry] : m.entries) describe(line.whole("log_index", index), entry);
+  }
+  void operator()(const agreed::Whole& m) const {
+    line.word("kind", "snapshot").whole("log_index", m.index).whole("epoch", m.epoch);
+    line.bytes("key", m.key).bytes("policy", m.policy);
+    for (const agreed::Change& change : m.change) {
+      line.whole("change", change.id).whole("change_epoch", change.epoch).bytes("change_key", change.key);
+      line.bytes("change_policy", change.policy).flag("committed", change.committed);
+    }
+    for (const agreed::Outcome& outcome : m.outcomes) {
+      line.bytes("outcome_key", outcome.key).word("result", name_of_change_result(outcome.fate));
+      line.whole("outcome_epoch", outcome.epoch).bytes("reason", outcome.reason);
+    }
+  }
+};
+
+std::string consensus_read(const std::string& bytes) {
+  bool unlike = false;
+  const auto decoded = agreed::decode(bytes, kLease, &unlike);
+  if (!decoded) return Line("error").flag("other_lease", unlike).text();
+  Line line("message");
+  if (const auto* message = std::get_if<agreed::Message>(&*decoded)) {
+    std::visit(DescribeMessage{line}, *message);
+  } else if (const auto* log = std::get_if<agreed::ForLog>(&*decoded)) {
+    line.word("kind", "raft").bytes("bytes", log->bytes);
+  } else {
+    line.word("kind", "bootstrap").bytes("bytes", std::get<agreed::ForBirth>(*decoded).bytes);
+  }
+  return line.text();
+}
+
+std::vector<agreed::Message> consensus_messages() {
+  using agreed::Entry;
+  using agreed::Step;
+  agreed::Pulled pulled{5, 9, {}};
+  pulled.entries.emplace_back(6, Entry{Step::propose, 0, "k", 2, "policy text", ""});
+  pulled.entries.emplace_back(7, Entry{Step::commit, 6, "", 0, "", ""});
+  pulled.entries.emplace_back(8, Entry{Step::activate, 6, "", 0, "", ""});
+  pulled.entries.emplace_back(9, Entry{Step::abort, 6, "", 0, "", "n2: why"});
+  agreed::Whole snapshot{40, 3, "k3", "policy 3", {}, {}};
+  snapshot.change.push_back({39, 4, "k4", std::string("po\0licy", 7), true});
+  snapshot.outcomes.push_back({"k1", agreed::Fate::active, 1, ""});
+  snapshot.outcomes.push_back({"k2", agreed::Fate::aborted, 1, "reason"});
+  snapshot.outcomes.push_back({"k2b", agreed::Fate::refused, 2, "other"});
+  return {agreed::Ask{11},
+          agreed::Grant{11, 3, agreed::Time{4'000'000}, 40},
+          agreed::Confirm{2, 5},
+          agreed::Confirmed{2, 6},
+          agreed::Look{40, "n2"},
+          agreed::Prepared{39, true, ""},
+          agreed::Prepared{39, false, "n3: no"},
+          agreed::Yield{2, 3},
+          agreed::Yielded{2, 3},
+          agreed::Propose{"k5", 4, "policy 5"},
+          agreed::AbortWanted{39},
+          agreed::Pull{5},
+          pulled,
+          snapshot};
+}
+
+// A message of Protocol Buffers, written here by hand: the reference for the generated code.
+std::string varint(std::uint64_t value) {
+  std::string bytes;
+  for (; value >= 128; value >>= 7U) bytes.push_back(static_cast<char>(value | 128U));
+  bytes.push_back(static_cast<char>(value));
+  return bytes;
+}
+std::string number_field(unsigned field, std::uint64_t value) { return varint(field << 3U) + varint(value); }
+std::string bytes_field(unsigned field, std::string_view value) {
+  return (varint(field << 3U | 2U) + varint(value.size())).append(value);
+}
+std::string numbers(unsigned first, unsigned last) {
+  std::string bytes;
+  for (unsigned field = first; field <= last; ++field) bytes += number_field(field, 100 + field);
+  return bytes;
+}
+
+TEST(GoldenCodec, ConsensusMessages) {
+  GoldenRecord record("codec_consensus_messages");
+  const auto add = [&record](const std::string& bytes) {
+    record.add(golden::quoted(bytes));
+    record.add("  " + consensus_read(bytes));
+  };
+  for (const agreed::Message& message : consensus_messages()) add(agreed::encode(message, kLease));
+  add(agreed::encode(agreed::Message{agreed::Ask{1}}, agreed::Time{1}));
+  // What no reader takes.
+  const std::string long_text(128 * 1024 + 1, 'x');
+  for (const agreed::Message& message : std::vector<agreed::Message>{
+           agreed::Grant{1, 1, agreed::Time{0}, 1}, agreed::Pulled{5, 4, {}},
+           agreed::Pulled{5, 9, {{7, {}}, {7, {}}}}, agreed::Pulled{5, 9, {{5, {}}}},
+           agreed::Pulled{5, 9, {{10, {}}}},
+           agreed::Pulled{5, 9, {{6, {static_cast<agreed::Step>(4), 0, "", 0, "", ""}}}},
+           agreed::Whole{1, 1, "", "", {}, {{"", static_cast<agreed::Fate>(3), 0, ""}}},
+           agreed::Pulled{0, 99, std::vector<std::pair<agreed::Index, agreed::Entry>>(65)},
+           agreed::Whole{1, 1, "", "", {}, std::vector<agreed::Outcome>(257)}})
+    add(agreed::encode(message, kLease));
+  for (const agreed::Message& message : std::vector<agreed::Message>{
+           agreed::Propose{long_text, 1, ""}, agreed::Propose{"", 1, long_text}, agreed::Look{1, long_text},
+           agreed::Prepared{1, false, long_text}, agreed::Whole{1, 1, long_text, "", {}, {}}})
+    record.add("too long: " + consensus_read(agreed::encode(message, kLease)));
+  // The log's own, of every kind, and those before there is a log.
+  const std::string entry = number_field(1, 3) + number_field(2, 1) + bytes_field(3, "data");
+  const std::string server = number_field(1, 77) + bytes_field(2, "n1#77") + number_field(3, 1);
+  const std::array<std::string, 6> kinds{
+      numbers(1, 4) + number_field(5, 1) + number_field(6, 1),
+      number_field(1, 5) + number_field(2, 1) + number_field(3, 2),
+      numbers(1, 4) + bytes_field(5, entry) + bytes_field(5, entry),
+      numbers(1, 3),
+      numbers(1, 3) + bytes_field(4, server) + number_field(5, 9) + bytes_field(6, "snapshot"),
+      numbers(1, 3)};
+  for (unsigned kind = 0; kind < kinds.size(); ++kind) {
+    agreed::pb::LogMessage message;
+    ASSERT_TRUE(message.ParseFromString(number_field(1, 77) + number_field(2, 78) + bytes_field(3, "n1#77") +
+                                        bytes_field(kind + 4, kinds[kind])));
+    add(agreed::encode(message, kLease));
+  }
+  for (const std::string& bytes :
+       {number_field(1, 1) + number_field(3, 77),
+        number_field(2, 1) + number_field(3, 77) + bytes_field(4, server), std::string()}) {
+    agreed::pb::Born message;
+    ASSERT_TRUE(message.ParseFromString(bytes));
+    add(agreed::encode(message, kLease));
+  }
+  add("");
+  add(number_field(1, 5'000'000));
+  record.check();
+}
+
+TEST(GoldenCodec, ConsensusEntries) {
+  GoldenRecord record("codec_consensus_entries");
+  const auto read = [](const std::string& bytes) {
+    const auto entry = agreed::decode_entry(bytes);
+    if (!entry) return std::string("error");
+    Line line("entry");
+    describe(line, *entry);
+    return line.text();
+  };
+  for (const agreed::Entry& entry :
+       std::vector<agreed::Entry>{{agreed::Step::propose, 0, "key", 7, std::string("po\0licy", 7), ""},
+                                  {agreed::Step::commit, 300, "", 0, "", ""},
+                                  {agreed::Step::activate, 300, "", 0, "", ""},
+                                  {agreed::Step::abort, 300, "", 0, "", "why"},
+                                  {static_cast<agreed::Step>(4), 1, "", 0, "", ""}}) {
+    const std::string bytes = agreed::encode(entry);
+    record.add(golden::quoted(bytes) + " -> " + read(bytes));
+    record_damage(record, "entry", bytes, read);
+  }
+  record.check();
+}
+
+TEST(GoldenCodec, DamagedConsensusMessages) {
+  GoldenRecord record("codec_consensus_damaged");
+  std::size_t number = 0;
+  for (const agreed::Message& message : consensus_messages())
+    record_damage(record, "message " + std::to_string(number++), agreed::encode(message, kLease),
+                  consensus_read);
+  record.check();
+}
+
+// ---- The simulator's lines ----
+
+const std::string kEnlist =
+    R"({"what":"enlist","proxy_id":3,"rng_seed":18446744073709551615,"env":{"az":1,"azs":["hub","edge"],)"
+    R"("fleet_size":1,"request_classes":[{"aim":400000,"deadline":2500000,"effect":"retryable","name":"pages"},)"
+    R"({"aim":300000,"deadline":2000000,"effect":"fragile","name":"order"}],"specifics":{"origin_kind":2,)"
+    R"("upper_kind":1,"seats_by_zone":[0,1],"max_age":[12000000,0],"never_kept":[false,true],"says":"all",)"
+    R"("grace_for":[5000000,0],"stream_kb_per_s":1000},"discovery":"on_request","weights":"live",)"
+    R"("report":{"via":"probe"},"rules":{"must_ask_in":500000,"cold_share":0.2,"warm_after":5000000},)"
+    R"("bounds":{"attempts_cap":3,"cancelling":true,"second_copies":true,"probes":true,"retry_after":true,)"
+    R"("max_retry_after":400000},"tick":2000}})";
+const std::string kRegister =
+    R"({"what":"register","buffer":0,"nodes_list":[{"state":"Running","power_hint":1.5,"stripe":0,"locality":1,)"
+    R"("came_up":null,"store":"cache:1","generation_hw":0},{"state":"Running","power_hint":1,"stripe":0,)"
+    R"("locality":1,"came_up":900000,"store":"cache:2","generation_hw":0},{"state":"Stopping","power_hint":1,)"
+    R"("stripe":0,"locality":1,"came_up":null,"store":"cache:3","generation_hw":0},{"state":"Running",)"
+    R"("power_hint":1,"stripe":0,"locality":0,"came_up":null,"store":"parent:1","generation_hw":1},)"
+    R"({"state":"Running","power_hint":1,"stripe":0,"locality":0,"came_up":null,"store":"origin:1",)"
+    R"("generation_hw":2}]})";
+const std::string kRegistry = R"({"what":"registry","proxy_id":3,"buffer":0,"how":"full","index":1})";
+const std::string kRequest =
+    R"({"what":"request","proxy_id":3,"handle":"h0","user_group":0,"batch_id":11,"lane":0,"kbytes":64,)"
+    R"("expires":3000000,"chunk":3,"file":"91f03b7c55d20a64","update":false,"again_by_client":false})";
+const std::string kReportBack =
+    R"({"what":"report_back","proxy_id":3,"handle":"h0","n":0,"store":"cache:1","outcome":"shed","rtt":500,)"
+    R"("settled":false,"detail":5,"ttfb":400,"report":{"busy":0.5,"rif":2,"q":1.5,"x0":0.7,"x1":0.2}})";
+
+Lines simulator_reply(const Lines& input) {
+  std::stringstream in, out;
+  for (const std::string& line : input) in << line << '\n';
+  std::string error;
+  try {
+    wire::serve(in, out);
+  } catch (const wire::WireError& problem) {
+    error = Line("error").bytes("text", problem.what()).text();
+  }
+  Lines lines;
+  for (std::string line; std::getline(out, line);) lines.push_back(golden::quoted(line));
+  if (!error.empty()) lines.push_back(error);
+  return lines;
+}
+
+/// Every form of line that goes out. The writer also knows `probe`, `read_list` and `journal_line`; the
+/// router asks for none of them.
+constexpr const char* kFormsSeen = "answer_from bounce cancel done finish_error observe wake_at ";
+
+/// A session in which every form of event comes in, with each word that it may hold.
+Lines simulator_session() {
+  Lines input{R"({"what":"clock","at_time":1000000})", kEnlist, kRegister, kRegistry, R"({"what":"eob"})"};
+  const std::array<const char*, 9> outcomes{"delivered", "app_error", "shed",   "expired", "dial_failed",
+                                            "dropped",   "revoked",   "unused", "empty"};
+  const std::array<const char*, 5> stores{"cache:1", "cache:2", "parent:1", "origin:1", "unknown"};
+  std::int64_t now = 1'000'000;
+  for (int turn = 0; turn < 120; ++turn) {
+    now += 3000 + turn % 7 * 11'000;
+    const std::string handle = "\"h" + std::to_string(turn) + "\"", time = std::to_string(now);
+    input.push_back(R"({"what":"clock","at_time":)" + time + "}");
+    input.push_back(R"({"what":"request","proxy_id":3,"handle":)" + handle + R"(,"batch_id":)" +
+                    std::to_string(turn % 5) + R"(,"lane":)" + std::to_string(turn % 4 == 3 ? 1 : 0) +
+                    R"(,"kbytes":)" + std::to_string(turn % 3 * 40) + R"(,"expires":)" +
+                    std::to_string(now + 40'000 * (1 + turn % 30)) + R"(,"chunk":)" +
+                    std::to_string(turn % 2) + R"(,"file":")" + std::to_string(turn % 9) + R"(a","update":)" +
+                    (turn % 11 == 10 ? "true" : "false") + R"(,"again_by_client":)" +
+                    (turn % 6 == 5 ? "true" : "false") + "}");
+    const std::string earlier = "\"h" + std::to_string(turn > 2 ? turn - 2 : 0) + "\"";
+    input.push_back(R"({"what":"streaming","proxy_id":3,"handle":)" + earlier + R"(,"n":0})");
+    for (int n = 0; n < 2; ++n)
+      input.push_back(R"({"what":"report_back","proxy_id":3,"handle":)" + earlier + R"(,"n":)" +
+                      std::to_string(n) + R"(,"store":")" + stores[static_cast<std::size_t>(turn + n) % 5] +
+                      R"(","outcome":")" + outcomes[static_cast<std::size_t>(turn) % 9] + R"(","rtt":)" +
+                      std::to_string(1000 + turn * 37) + R"(,"settled":)" +
+                      (turn % 9 == 0 ? "true" : "false") + R"(,"detail":)" + std::to_string(turn % 13) +
+                      R"(,"ttfb":null,"report":{"busy":0.)" + std::to_string(turn % 10) + R"(,"rif":)" +
+                      std::to_string(turn % 8) + "}}");
+    for (int label = 0; label < 4; ++label)
+      input.push_back(R"({"what":"reminder","proxy_id":3,"label":)" + std::to_string(turn * 2 + label) + "}");
+    input.push_back(R"({"what":"sampled","proxy_id":3,"store":")" +
+                    std::string(stores[static_cast<std::size_t>(turn) % 5]) + R"(","outcome":")" +
+                    (turn % 4 == 0 ? "expired" : "delivered") +
+                    R"(","rtt":900,"report":{"x0":0.5,"x1":0.1,"q":1}})");
+    if (turn % 10 == 4)
+      input.push_back(R"({"what":"invalidated","proxy_id":3,"file":")" + std::to_string(turn % 9) +
+                      R"(a","how_old":85000,"bucket":1})");
+    if (turn % 10 == 6)
+      input.push_back(R"({"what":"invalidated","proxy_id":3,"file":null,"how_old":85000,"bucket":1})");
+    if (turn % 8 == 7) input.push_back(R"({"what":"withdrawn","proxy_id":3,"handle":)" + handle + "}");
+    if (turn % 20 == 9) input.push_back(R"({"what":"message","proxy_id":3,"author":1,"msg":"hi"})");
+    if (turn % 30 == 12) input.push_back(R"({"what":"registry","proxy_id":3,"how":"failed"})");
+    if (turn == 50) input.push_back(R"({"what":"registry","proxy_id":3,"buffer":0,"how":"delta","index":1})");
+    if (turn == 70)
+      input.push_back(R"({"what":"registry","proxy_id":3,"buffer":0,"how":"cached","index":1})");
+    input.push_back(R"({"what":"eob"})");
+  }
+  input.push_back(R"({"what":"destroy","proxy_id":3})");
+  input.push_back(kEnlist);
+  // It knows of nobody: what comes is rejected.
+  input.push_back(kRequest);
+  input.push_back(R"({"what":"eob"})");
+  return input;
+}
+
+TEST(GoldenCodec, SimulatorSession) {
+  GoldenRecord record("codec_simulator_session");
+  const Lines reply = simulator_reply(simulator_session());
+  std::set<std::string> forms;
+  for (const std::string& line : reply) {
+    record.add(line);
+    const std::size_t at = line.find("\"what\":\"");
+    ASSERT_EQ(at, 1U) << line;
+    forms.insert(line.substr(9, line.find('"', 9) - 9));
+  }
+  std::string seen;
+  for (const std::string& form : forms) seen += form + " ";
+  EXPECT_EQ(seen, kFormsSeen);
+  record.check();
+}
+
+TEST(GoldenCodec, SimulatorFaults) {
+  GoldenRecord record("codec_simulator_faults");
+  const Lines start{R"({"what":"clock","at_time":1000000})", kEnlist, kRegister, kRegistry};
+  const auto add = [&record](const std::string& name, const Lines& input) {
+    record.add(name);
+    for (const std::string& line : simulator_reply(input)) record.add("  " + line);
+  };
+  for (const char* line : {"", " \t\r", "{", "[]", "{} x", "{}", R"({"what":"party"})",
+                           R"({"what":"reminder","proxy_id":9,"label":1})",
+                           R"({"what":"registry","proxy_id":3,"buffer":9,"how":"full"})"})
+    add(golden::quoted(line), {start[0], line, R"({"what":"eob"})"});
+  const Lines events{
+      kRequest,
+      kReportBack,
+      kRegister,
+      kRegistry,
+      R"({"what":"clock","at_time":1000500})",
+      R"({"what":"reminder","proxy_id":3,"label":1})",
+      R"({"what":"sampled","proxy_id":3,"store":"cache:1","outcome":"delivered","rtt":10,"report":{"busy":1}})",
+      R"({"what":"invalidated","proxy_id":3,"file":"0a","how_old":85000,"bucket":11})",
+      R"({"what":"withdrawn","proxy_id":3,"handle":"h0"})",
+      R"({"what":"streaming","proxy_id":3,"handle":"h0","n":0})",
+      R"({"what":"destroy","proxy_id":3})"};
+  for (const std::string& event : events) {
+    each_change(event, [&](const std::string& change, const std::string& json) {
+      // A negative number of a part has no meaning as an unsigned one.
+      if (change == "chunk is -1" || change == "lane is -1" || change == "lane is 5000000000") return;
+      Lines input = start;
+      if (&event != &events[0]) input.push_back(kRequest);
+      input.push_back(json);
+      input.push_back(R"({"what":"eob"})");
+      add(change, input);
+    });
+  }
+  each_change(kEnlist, [&](const std::string& change, const std::string& json) {
+    add(change, {start[0], json, R"({"what":"eob"})"});
+  });
+  record.check();
+}
+
+}  // namespace
+}  // namespace dahliahall::test
