--- a/tests/agreed_world.h
+++ b/tests/agreed_world.h
@@ -46,9 +46,19 @@
     Time armed{-1};
   };
 
+  /// Sees what the parts of a node are given and what they give, before that is carried out.
+  struct Observer {
+    /// The reducer after an input at that time of the node's clock, and the effects.
+    std::function<void(std::size_t, Time, const agreed::Input&, const std::vector<agreed::Effect>&,
+                       const agreed::State&)>
+        input;
+    /// What came of a call of the log.
+    std::function<void(std::size_t, const agreed::RaftLog::Out&)> log;
+  };
+
   AgreedWorld(std::size_t count, std::size_t voters, std::uint64_t seed = 1,
-              std::function<void(agreed::Settings&)> edit = {})
-      : voters_(voters), edit_(std::move(edit)), random_(seed) {
+              std::function<void(agreed::Settings&)> edit = {}, Observer observer = {})
+      : voters_(voters), edit_(std::move(edit)), observer_(std::move(observer)), random_(seed) {
     nodes_.resize(count);
     for (std::size_t i = 0; i < count; ++i) {
       nodes_[i].folder = std::make_unique<FaultyFolder>(random_());
@@ -128,7 +138,9 @@
   void feed(std::size_t i, const agreed::Input& input) {
     Node& node = nodes_[i];
     if (!node.state) return;
-    for (agreed::Effect& effect : node.state->take(local(i), input)) carry_out(i, effect);
+    std::vector<agreed::Effect> effects = node.state->take(local(i), input);
+    if (observer_.input) observer_.input(i, local(i), input, effects, *node.state);
+    for (agreed::Effect& effect : effects) carry_out(i, effect);
     if (node.state) watch(i);
   }
 
@@ -213,6 +225,7 @@
   }
 
   void take_out(std::size_t i, agreed::RaftLog::Out& out) {
+    if (observer_.log) observer_.log(i, out);
     for (auto& [to, bytes] : out.send) transmit(i, to, std::move(bytes));
     for (std::string& line : out.log) note(i, line);
     for (const agreed::Input& input : out.inputs) feed(i, input);
@@ -298,6 +311,7 @@
   static constexpr Time kBegan{1h};
   std::size_t voters_;
   std::function<void(agreed::Settings&)> edit_;
+  Observer observer_;
   std::mt19937_64 random_;
   Time now_ = kBegan;
   std::vector<Node> nodes_;
--- a/tests/golden/consensus_golden_test.cpp
+++ b/tests/golden/consensus_golden_test.cpp
@@ -1,1 +1,432 @@
 // SPDX-License-Identifier: MIT
+// Golden records of consensus: drawn plays of reducers and of the replicated log in virtual time, and the
+// policy state machine, the leader's side and the member's lease by themselves.
+#include <gtest/gtest.h>
+
+#include <random>
+
+#include "agreed_world.h"
+#include "golden/consensus_trace.h"
+#include "golden/trace_line.h"
+
+namespace dahliahall::test {
+namespace {
+
+using agreed::Time;
+using golden::GoldenRecord;
+using golden::TraceLine;
+
+class ConsensusPlay {
+ public:
+  ConsensusPlay(const std::string& record_name, std::size_t count, std::size_t voters, std::uint64_t seed)
+      : record_(record_name), random_(seed), voters_(voters), serves_cut_off_(seed == 2) {
+    AgreedWorld::Observer observer;
+    observer.input = [this](std::size_t i, Time now, const agreed::Input& input,
+                            const std::vector<agreed::Effect>& effects, const agreed::State& state) {
+      golden::add_step(record_, AgreedWorld::name(i), now, input, effects, state);
+    };
+    observer.log = [this](std::size_t i, const agreed::RaftLog::Out& output) {
+      golden::add_log_output(record_, AgreedWorld::name(i), output);
+    };
+    const auto edit = [serves = serves_cut_off_](agreed::Settings& settings) {
+      settings.prepare_within = Time{4s};
+      settings.serve_cut_off = serves;
+    };
+    world_ = std::make_unique<AgreedWorld>(count, voters, seed, edit, observer);
+    world_->snapshot_every = 6;  // of processes that start from now on
+  }
+
+  void play(int turns) {
+    world_->run(4s);
+    world_->loss = 0.05 * static_cast<double>(random_() % 3);
+    for (int turn = 0; turn < turns; ++turn) {
+      take_turn();
+      world_->run(std::chrono::milliseconds(20 + random_() % 1200));
+      add_states();
+    }
+    recover();
+    record_.check();
+  }
+
+  /// A voter is added and another removed; a change is aborted at a follower; one that was down for long
+  /// takes a snapshot.
+  void play_voter_changes() {
+    world_->run(4s);
+    const std::size_t leader = world_->leader().value(), follower = leader == 0 ? 1 : 0;
+    const std::size_t new_voter = voters_, last = world_->size() - 1;
+    change_voters(new_voter);
+    world_->run(1200ms);
+    add_states();
+    change_voters(follower);
+    world_->run(1200ms);
+    add_states();
+    world_->stop(last);  // a change waits for its answer
+    propose_as(new_voter, "policy to abort");
+    world_->run(500ms);
+    world_->feed(new_voter, agreed::AbortCalled{++call_});
+    world_->run(500ms);
+    world_->kill(last);
+    restart_all_but(last);
+    for (int change = 0; change < 5; ++change) {
+      propose_as(new_voter, "unfit for n0");
+      propose_as(new_voter, "policy " + std::to_string(change));
+      world_->run(400ms);
+    }
+    // Those that start anew have what came before as a snapshot alone.
+    restart_all_but(last);
+    add_states();
+    recover();
+    record_.check();
+  }
+
+ private:
+  void take_turn() {
+    const std::size_t count = world_->size(), whom = random_() % count;
+    switch (random_() % 13) {
+      case 0:
+      case 1:
+      case 2:
+      case 3:
+        propose(whom);
+        break;
+      case 4: {
+        const std::size_t first = 1 + random_() % (count - 1);
+        world_->cut = [first](std::size_t a, std::size_t b) { return (a < first) != (b < first); };
+        break;
+      }
+      case 5:
+        world_->cut = nullptr;
+        break;
+      case 6:
+        if (world_->node(whom).state) world_->kill(whom, random_() % 2 == 0);
+        if (random_() % 3 == 0 && whom >= voters_) world_->empty_disk(whom);
+        break;
+      case 7:
+      case 8:
+        start_all();
+        break;
+      case 9:
+        if (world_->runs(whom)) world_->stop(whom);
+        break;
+      case 10:
+        if (world_->runs(whom)) world_->feed(whom, agreed::AbortCalled{++call_});
+        break;
+      case 11:
+        change_voters(whom);
+        break;
+      default:
+        resume_all();
+    }
+  }
+
+  void propose(std::size_t whom) {
+    if (!world_->runs(whom)) return;
+    ++call_;
+    const std::string key = random_() % 5 == 0 ? "again" : "key" + std::to_string(call_);
+    const std::string policy =
+        random_() % 6 == 0 ? "unfit for n1" : "policy " + std::to_string(call_) + std::string(call_ * 7, 'p');
+    const agreed::Epoch epoch = world_->node(whom).state->at().epoch();
+    world_->put(whom, call_, key, random_() % 6 == 0 ? epoch + 1 : epoch, policy);
+  }
+
+  void propose_as(std::size_t whom, const std::string& policy) {
+    ++call_;
+    world_->put(whom, call_, "key" + std::to_string(call_), world_->node(whom).state->at().epoch(), policy);
+  }
+
+  /// Messages that this gives at once go out with the next call of the leader's log.
+  void change_voters(std::size_t whom) {
+    const auto leader = world_->leader();
+    if (!leader || *leader == whom || !world_->runs(whom)) return;
+    agreed::RaftLog& log = *world_->node(*leader).log;
+    const std::string name = AgreedWorld::name(whom);
+    agreed::RaftLog::Out output;
+    const bool is_voter = log.voters().count(name) != 0;
+    const bool accepted = is_voter ? log.voters().size() > 3 && log.remove_voter(name, output)
+                                   : log.add_voter(name, world_->node(whom).log->id(), output);
+    record_.add(TraceLine(AgreedWorld::name(*leader))
+                    .verbatim(is_voter ? "remove_voter" : "add_voter", name)
+                    .field("accepted", accepted)
+                    .text());
+    golden::add_log_output(record_, AgreedWorld::name(*leader), output);
+  }
+
+  void start_all() {
+    for (std::size_t i = 0; i < world_->size(); ++i) {
+      if (!world_->node(i).state) world_->start(i);
+    }
+  }
+  void restart_all_but(std::size_t last) {
+    for (std::size_t i = 0; i < last; ++i) world_->kill(i);
+    for (std::size_t i = 0; i < last; ++i) world_->start(i);
+    world_->run(2s);
+  }
+  void resume_all() {
+    for (std::size_t i = 0; i < world_->size(); ++i) {
+      if (world_->node(i).state && world_->node(i).stopped) world_->resume(i);
+    }
+  }
+  void recover() {
+    world_->cut = nullptr;
+    world_->loss = 0;
+    start_all();
+    resume_all();
+    world_->run(4s);
+    add_states();
+    if (!serves_cut_off_) {
+      EXPECT_EQ(world_->violation, "");
+    }
+  }
+
+  void add_states() {
+    for (std::size_t i = 0; i < world_->size(); ++i) {
+      if (!world_->node(i).state) continue;
+      const agreed::State& state = *world_->node(i).state;
+      const agreed::RaftLog& log = *world_->node(i).log;
+      const auto epoch = state.decides(world_->local(i));
+      const agreed::Counts& counts = state.counts();
+      record_.add(TraceLine(AgreedWorld::name(i))
+                      .verbatim("state", golden::text_of(state.at().whole()))
+                      .verbatim("decides_under", epoch ? golden::text_of(*epoch) : "none")
+                      .field("lease_until", state.lease().until())
+                      .field("leader", state.leader())
+                      .field("lease_requests", counts.asks)
+                      .field("lease_grants", counts.grants)
+                      .field("lease_expirations", counts.lapses)
+                      .field("without_lease", counts.broken)
+                      .field("changes", counts.changes)
+                      .field("aborts", counts.aborts)
+                      .field("log_runs", log.runs())
+                      .field("log_leads", log.leads())
+                      .field("term", log.term())
+                      .field("id", log.id())
+                      .field("entries", log.entries())
+                      .verbatim("voters", golden::list_of(log.voters(),
+                                                          [](const auto& voter) {
+                                                            return voter.first + ":" +
+                                                                   std::to_string(voter.second);
+                                                          }))
+                      .text());
+    }
+  }
+
+  GoldenRecord record_;
+  std::mt19937_64 random_;
+  std::size_t voters_;
+  bool serves_cut_off_;  // decides without a lease too: then two epochs may hold at once
+  std::uint64_t call_ = 0;
+  std::unique_ptr<AgreedWorld> world_;
+};
+
+TEST(ConsensusGolden, DrawnPlaySeed1OfFourMembers) { ConsensusPlay("consensus_play_1", 4, 3, 1).play(16); }
+TEST(ConsensusGolden, DrawnPlaySeed2OfFiveMembers) { ConsensusPlay("consensus_play_2", 5, 3, 2).play(16); }
+TEST(ConsensusGolden, DrawnPlaySeed3OfSixMembers) { ConsensusPlay("consensus_play_3", 6, 3, 3).play(10); }
+TEST(ConsensusGolden, DrawnPlaySeed4OfFiveVoters) { ConsensusPlay("consensus_play_4", 6, 5, 4).play(10); }
+
+TEST(ConsensusGolden, VotersChangeAndOneFarBehindCatchesUp) {
+  ConsensusPlay("consensus_voter_changes", 5, 3, 5).play_voter_changes();
+}
+
+agreed::Entry drawn_entry(std::mt19937_64& random, const agreed::Register& at) {
+  const std::string number = std::to_string(random() % 400);
+  const agreed::Index change = at.change() && random() % 6 != 0 ? at.change()->id : random() % 50;
+  switch (random() % 6) {
+    case 0:
+    case 1:
+      return {agreed::Step::propose, 0, "key" + number, random() % 5 == 0 ? at.epoch() + 1 : at.epoch(),
+              "policy" + number,     {}};
+    case 2:
+    case 3:
+      return {agreed::Step::commit, change, {}, 0, {}, {}};
+    case 4:
+      return {agreed::Step::activate, change, {}, 0, {}, {}};
+    default:
+      return {agreed::Step::abort, change, {}, 0, {}, "reason" + number};
+  }
+}
+
+TEST(ConsensusGolden, PolicyStateMachineAppliesEntries) {
+  GoldenRecord record("consensus_policy_state_machine");
+  std::mt19937_64 random(5);
+  agreed::Register policy_state;
+  agreed::Index index = 0;
+  for (int step = 0; step < 500; ++step) {
+    index += random() % 3;  // an index that was applied already is passed over
+    const agreed::Entry entry = drawn_entry(random, policy_state);
+    if (random() % 20 == 0) {
+      policy_state.pass(index);
+      record.add(TraceLine("pass").field("log_index", index).text());
+    } else {
+      policy_state.apply(index, entry);
+      record.add(
+          TraceLine("apply").field("log_index", index).verbatim("entry", golden::text_of(entry)).text());
+    }
+    if (random() % 40 == 0) policy_state = agreed::Register(policy_state.whole());
+    const agreed::Outcome* outcome = policy_state.outcome(entry.key);
+    record.add(TraceLine("  state")
+                   .verbatim("state", golden::text_of(policy_state.whole()))
+                   .field("knows_key", policy_state.knows(entry.key))
+                   .verbatim("outcome", outcome == nullptr ? "none" : golden::text_of(outcome->reason))
+                   .text());
+  }
+  record.check();
+}
+
+/// The leader's lease manager by itself: what members say to it is drawn, what it appends is applied.
+class LeaderPlay {
+ public:
+  explicit LeaderPlay(std::uint64_t seed) : random_(seed), leader_(settings(), 7, {"n0", "n1", "n2"}, now_) {}
+
+  void play(GoldenRecord& record, int steps) {
+    for (int step = 0; step < steps; ++step) {
+      now_ += std::chrono::milliseconds(random_() % 250);
+      agreed::Wish actions;
+      const std::string input = take_input(actions);
+      leader_.run(policy_state_, members_, now_, actions);
+      record.add(TraceLine("input").field("at", now_).verbatim("what", input).text());
+      record.add("  " + golden::text_of(actions));
+      record.add(TraceLine("  leader")
+                     .field("next_timer", leader_.next_due(now_))
+                     .verbatim("waits_for", golden::list_of(leader_.waits(policy_state_, members_, now_)))
+                     .verbatim("prepared", golden::list_of(leader_.ready()))
+                     .field("term", leader_.term())
+                     .text());
+      for (const auto& [to, message] : actions.send) {
+        if (const auto* check = std::get_if<agreed::Confirm>(&message)) round_ = check->round;
+      }
+      for (agreed::Entry& entry : actions.append) appended_.push_back(std::move(entry));
+    }
+  }
+
+ private:
+  static agreed::Settings settings() {
+    agreed::Settings settings;
+    settings.name = "n0";
+    settings.prepare_within = Time{6s};
+    return settings;
+  }
+
+  std::string take_input(agreed::Wish& actions) {
+    const std::string by = "n" + std::to_string(random_() % 5);
+    const agreed::Index change = policy_state_.change() ? policy_state_.change()->id : random_() % 5;
+    switch (random_() % 16) {
+      case 0:
+      case 1:
+      case 2:
+      case 3:
+        leader_.asked(by, agreed::Ask{++number_ - random_() % 3}, now_);
+        return "lease_request by " + by + " up to " + std::to_string(number_);
+      case 4:
+      case 5:
+      case 6: {
+        const agreed::Confirmed reply{random_() % 8 == 0 ? 6U : 7U, round_};
+        leader_.confirmed(by, reply, policy_state_, now_, actions);
+        return "confirmed by " + by + " term " + std::to_string(reply.term);
+      }
+      case 7:
+      case 8:
+      case 9: {
+        const bool accepted = random_() % 24 != 0;
+        leader_.prepared(by, {change, accepted, accepted ? "" : "key 'x'"}, policy_state_, actions);
+        return "prepared by " + by + (accepted ? "" : " rejected");
+      }
+      case 10:
+      case 11: {
+        const agreed::Yielded ack{random_() % 8 == 0 ? 6U : 7U, policy_state_.epoch()};
+        leader_.yielded(by, ack, policy_state_);
+        return "revocation_ack by " + by + " term " + std::to_string(ack.term);
+      }
+      case 12: {
+        const std::string key = "key" + std::to_string(random_() % 60);
+        leader_.propose({key, policy_state_.epoch(), "policy " + key}, policy_state_, actions);
+        return "propose " + key;
+      }
+      case 13:
+        if (random_() % 10 == 0) {
+          leader_.abort(change, by, policy_state_, actions);
+          return "abort by " + by;
+        }
+        members_[by] = random_() % 4 != 0;
+        return "reached " + by + (members_[by] ? " yes" : " no");
+      case 14:
+        if (random_() % 4 == 0) {
+          const std::set<std::string> voters{"n0", "n1", by};
+          leader_.set_voters(voters);
+          return "voters " + golden::list_of(voters);
+        }
+        return "nothing";
+      default:
+        for (const agreed::Entry& entry : std::exchange(appended_, {})) policy_state_.apply(++index_, entry);
+        return "applied up to " + std::to_string(index_);
+    }
+  }
+
+  std::mt19937_64 random_;
+  Time now_{1h};
+  agreed::Steward leader_;
+  agreed::Register policy_state_;
+  std::map<std::string, bool> members_{{"n0", true}, {"n1", true}, {"n2", true}, {"n3", true}, {"n4", false}};
+  std::vector<agreed::Entry> appended_;
+  agreed::Index index_ = 0;
+  std::uint64_t number_ = 3, round_ = 0;
+};
+
+TEST(ConsensusGolden, LeaderGrantsLeasesAndLeadsChanges) {
+  GoldenRecord record("consensus_leader");
+  for (std::uint64_t seed = 1; seed <= 4; ++seed) {
+    record.add(TraceLine("play").field("seed", seed).text());
+    LeaderPlay(seed).play(record, 600);
+  }
+  record.check();
+}
+
+TEST(ConsensusGolden, MemberHoldsALease) {
+  GoldenRecord record("consensus_lease");
+  std::mt19937_64 random(8);
+  agreed::Lease lease(100);
+  Time now{1h};
+  agreed::Epoch active = 1;
+  for (int step = 0; step < 400; ++step) {
+    now += std::chrono::milliseconds(random() % 700);
+    TraceLine line("input");
+    switch (random() % 8) {
+      case 0:
+      case 1:
+      case 2:
+        line.field("request", lease.ask(now));
+        break;
+      case 3:
+        if (random() % 4 != 0) break;
+        lease.give_up();
+        line.field("gave_up", true);
+        break;
+      case 4:
+        active += random() % 8 == 0 ? 1 : 0;
+        break;
+      default: {
+        const agreed::Grant grant{lease.newest() - random() % 3, active - random() % 6 / 5,
+                                  std::chrono::milliseconds(500 + random() % 5000), 9};
+        line.field("granted_number", grant.number)
+            .field("granted_epoch", grant.epoch)
+            .field("duration", grant.span)
+            .field("changed", lease.granted(grant, active, now));
+      }
+    }
+    const auto held = lease.held(now);
+    std::vector<std::string> requests;
+    for (const auto& [number, at] : lease.asked())
+      requests.push_back(std::to_string(number) + "@" + golden::text_of(at));
+    record.add(line.field("at", now)
+                   .field("active_epoch", active)
+                   .verbatim("held", held ? golden::text_of(*held) : "none")
+                   .field("until", lease.until())
+                   .field("epoch", lease.epoch())
+                   .field("newest", lease.newest())
+                   .verbatim("requests", golden::list_of(requests))
+                   .text());
+  }
+  record.check();
+}
+
+}  // namespace
+}  // namespace dahliahall::test
--- /dev/null
+++ b/tests/golden/consensus_trace.cpp
@@ -0,0 +1,308 @@
+// SPDX-License-Identifier: MIT
+#include "golden/consensus_trace.h"
+
+#include <xxhash.h>
+
+#include <algorithm>
+#include <optional>
+#include <variant>
+
+#include "agreed.pb.h"
+#include "golden/trace_line.h"
+
+extern "C" {
+#include <raft.h>
+}
+
+namespace golden {
+namespace {
+
+using namespace dahliahall;
+
+std::string label_of(agreed::Step step) {
+  switch (step) {
+    case agreed::Step::propose:
+      return "propose";
+    case agreed::Step::commit:
+      return "commit";
+    case agreed::Step::activate:
+      return "activate";
+    case agreed::Step::abort:
+      return "abort";
+  }
+  return "?";
+}
+
+std::string label_of(agreed::Fate result) {
+  switch (result) {
+    case agreed::Fate::active:
+      return "active";
+    case agreed::Fate::aborted:
+      return "aborted";
+    case agreed::Fate::refused:
+      return "rejected";
+  }
+  return "?";
+}
+
+std::string describe(const agreed::Change& change) {
+  return TraceLine("{Change")
+             .field("id", change.id)
+             .field("epoch", change.epoch)
+             .field("key", change.key)
+             .field("policy", change.policy)
+             .field("committed", change.committed)
+             .text() +
+         "}";
+}
+
+std::string describe(const agreed::Outcome& outcome) {
+  return TraceLine("{Outcome")
+             .field("key", outcome.key)
+             .verbatim("result", label_of(outcome.fate))
+             .field("epoch", outcome.epoch)
+             .field("reason", outcome.reason)
+             .text() +
+         "}";
+}
+
+std::string describe_entries(const std::vector<std::pair<agreed::Index, agreed::Entry>>& entries) {
+  return list_of(entries, [](const auto& item) { return text_of(item.first) + ":" + text_of(item.second); });
+}
+
+/// Bytes of an encoded list of servers that mean something: a version, a count, and of each server its id,
+/// its address with a zero at the end and its role.
+std::size_t used_bytes_of_servers(const std::string& encoded) {
+  constexpr std::size_t kHead = 1 + sizeof(std::uint64_t);
+  if (encoded.size() < kHead) return encoded.size();
+  std::size_t used = kHead;
+  for (auto servers = static_cast<unsigned char>(encoded[1]); servers > 0; --servers) {
+    const std::size_t address_end = encoded.find('\0', used + sizeof(std::uint64_t));
+    if (address_end == std::string::npos) return encoded.size();
+    used = address_end + 2;
+  }
+  return std::min(used, encoded.size());
+}
+
+/// libraft leaves some bytes of its own entries as its allocator gave them: all eight of a barrier, and what
+/// pads a list of servers. They are zero in the record.
+std::string without_undefined_bytes(const std::string& bytes) {
+  agreed::pb::Carried carried;
+  if (!carried.ParseFromString(bytes) || !carried.log().has_append()) return bytes;
+  for (auto& entry : *carried.mutable_log()->mutable_append()->mutable_entries()) {
+    std::string data = entry.data();
+    const std::size_t size = data.size();
+    if (entry.type() == RAFT_BARRIER) data.clear();
+    if (entry.type() == RAFT_CHANGE) data.resize(used_bytes_of_servers(data));
+    data.resize(size, '\0');
+    entry.set_data(data);
+  }
+  return carried.SerializeAsString();
+}
+
+struct DescribeMessage {
+  std::string operator()(const agreed::Ask& m) const {
+    return TraceLine("LeaseRequest").field("number", m.number).text();
+  }
+  std::string operator()(const agreed::Grant& m) const {
+    return TraceLine("LeaseGrant")
+        .field("number", m.number)
+        .field("epoch", m.epoch)
+        .field("duration", m.span)
+        .field("log_index", m.index)
+        .text();
+  }
+  std::string operator()(const agreed::Confirm& m) const {
+    return TraceLine("LeadershipCheck").field("term", m.term).field("round", m.round).text();
+  }
+  std::string operator()(const agreed::Confirmed& m) const {
+    return TraceLine("LeadershipConfirmed").field("term", m.term).field("round", m.round).text();
+  }
+  std::string operator()(const agreed::Look& m) const {
+    return TraceLine("LogPosition").field("log_index", m.index).field("leader", m.leader).text();
+  }
+  std::string operator()(const agreed::Prepared& m) const {
+    return TraceLine("Prepared")
+        .field("change", m.change)
+        .field("accepted", m.good)
+        .field("reason", m.reason)
+        .text();
+  }
+  std::string operator()(const agreed::Yield& m) const {
+    return TraceLine("LeaseRevocation").field("term", m.term).field("epoch", m.epoch).text();
+  }
+  std::string operator()(const agreed::Yielded& m) const {
+    return TraceLine("LeaseRevocationAck").field("term", m.term).field("epoch", m.epoch).text();
+  }
+  std::string operator()(const agreed::Propose& m) const {
+    return TraceLine("Propose")
+        .field("key", m.key)
+        .field("base_epoch", m.base)
+        .field("policy", m.policy)
+        .text();
+  }
+  std::string operator()(const agreed::AbortWanted& m) const {
+    return TraceLine("AbortRequest").field("change", m.change).text();
+  }
+  std::string operator()(const agreed::Pull& m) const {
+    return TraceLine("CatchUpRequest").field("after", m.after).text();
+  }
+  std::string operator()(const agreed::Pulled& m) const {
+    return TraceLine("CatchUpResponse")
+        .field("after", m.after)
+        .field("up_to", m.upto)
+        .verbatim("entries", describe_entries(m.entries))
+        .text();
+  }
+  std::string operator()(const agreed::Whole& m) const { return text_of(m); }
+};
+
+struct DescribeInput {
+  std::string operator()(const agreed::Heard& input) const {
+    return TraceLine("MessageReceived")
+        .field("from", input.from)
+        .verbatim("message", text_of(input.message))
+        .text();
+  }
+  std::string operator()(const agreed::Due&) const { return "TimerExpired"; }
+  std::string operator()(const agreed::Applied& input) const {
+    return TraceLine("EntryApplied")
+        .field("log_index", input.index)
+        .verbatim("entry", input.entry ? text_of(*input.entry) : "none")
+        .text();
+  }
+  std::string operator()(const agreed::Restored& input) const {
+    return TraceLine("SnapshotRestored").verbatim("snapshot", text_of(input.whole)).text();
+  }
+  std::string operator()(const agreed::Led& input) const {
+    return TraceLine("BecameLeader")
+        .field("term", input.term)
+        .verbatim("voters", list_of(input.voters))
+        .text();
+  }
+  std::string operator()(const agreed::Followed& input) const {
+    return TraceLine("BecameFollower").field("leader", input.leader).field("voter", input.voter).text();
+  }
+  std::string operator()(const agreed::Voters& input) const {
+    return TraceLine("VotersChanged").verbatim("voters", list_of(input.names)).text();
+  }
+  std::string operator()(const agreed::Members& input) const {
+    return TraceLine("MembersChanged")
+        .verbatim("reached",
+                  list_of(input.reached,
+                          [](const auto& member) { return member.first + ":" + text_of(member.second); }))
+        .text();
+  }
+  std::string operator()(const agreed::Put& input) const {
+    return TraceLine("ProposeCall")
+        .field("call", input.call)
+        .field("key", input.key)
+        .field("base_epoch", input.base)
+        .field("policy", input.policy)
+        .text();
+  }
+  std::string operator()(const agreed::AbortCalled& input) const {
+    return TraceLine("AbortCall").field("call", input.call).text();
+  }
+};
+
+/// None for a log line.
+struct DescribeEffect {
+  std::optional<std::string> operator()(const agreed::Send& effect) const {
+    return TraceLine("Send").field("to", effect.to).verbatim("message", text_of(effect.message)).text();
+  }
+  std::optional<std::string> operator()(const agreed::Append& effect) const {
+    return TraceLine("AppendEntry").verbatim("entry", text_of(effect.entry)).text();
+  }
+  std::optional<std::string> operator()(const agreed::AskTerm& effect) const {
+    return TraceLine("CheckTerm")
+        .field("from", effect.from)
+        .field("term", effect.confirm.term)
+        .field("round", effect.confirm.round)
+        .text();
+  }
+  std::optional<std::string> operator()(const agreed::Learn& effect) const {
+    return TraceLine("StoreCatchUp").verbatim("content", std::visit(DescribeMessage{}, effect.what)).text();
+  }
+  std::optional<std::string> operator()(const agreed::Decide& effect) const {
+    return TraceLine("ActivatePolicy")
+        .verbatim("epoch", effect.epoch ? text_of(*effect.epoch) : "none")
+        .field("policy", effect.policy)
+        .text();
+  }
+  std::optional<std::string> operator()(const agreed::Answer& effect) const {
+    return TraceLine("Answer")
+        .field("call", effect.call)
+        .field("status", effect.status)
+        .field("body", effect.body)
+        .text();
+  }
+  std::optional<std::string> operator()(const agreed::Log&) const { return std::nullopt; }
+};
+
+}  // namespace
+
+std::string text_of(const agreed::Entry& entry) {
+  return TraceLine("{Entry")
+             .verbatim("step", label_of(entry.step))
+             .field("change", entry.change)
+             .field("key", entry.key)
+             .field("base_epoch", entry.base)
+             .field("policy", entry.policy)
+             .field("reason", entry.reason)
+             .text() +
+         "}";
+}
+
+std::string text_of(const agreed::Message& message) {
+  return "{" + std::visit(DescribeMessage{}, message) + "}";
+}
+
+std::string text_of(const agreed::Whole& snapshot) {
+  return TraceLine("Snapshot")
+      .field("log_index", snapshot.index)
+      .field("epoch", snapshot.epoch)
+      .field("key", snapshot.key)
+      .field("policy", snapshot.policy)
+      .verbatim("change", list_of(snapshot.change, [](const auto& change) { return describe(change); }))
+      .verbatim("outcomes", list_of(snapshot.outcomes, [](const auto& outcome) { return describe(outcome); }))
+      .text();
+}
+
+std::string text_of(const agreed::Input& input) { return std::visit(DescribeInput{}, input); }
+
+std::string text_of(const agreed::Wish& actions) {
+  return TraceLine("LeaderActions")
+      .verbatim("send", list_of(actions.send,
+                                [](const auto& item) { return item.first + ":" + text_of(item.second); }))
+      .verbatim("append", list_of(actions.append, [](const auto& entry) { return text_of(entry); }))
+      .text();
+}
+
+void add_step(GoldenRecord& record, const std::string& member, agreed::Time now, const agreed::Input& input,
+              const std::vector<agreed::Effect>& effects, const agreed::State& state) {
+  if (effects.empty() && std::holds_alternative<agreed::Due>(input)) return;
+  record.add(TraceLine(member)
+                 .field("at", now)
+                 .verbatim("input", text_of(input))
+                 .field("next_timer", state.next_due())
+                 .text());
+  for (const agreed::Effect& effect : effects) {
+    if (const auto text = std::visit(DescribeEffect{}, effect)) record.add("  " + *text);
+  }
+}
+
+void add_log_output(GoldenRecord& record, const std::string& member, const agreed::RaftLog::Out& output) {
+  for (const auto& [to, message] : output.send) {
+    const std::string bytes = without_undefined_bytes(message);
+    record.add(TraceLine(member)
+                   .verbatim("log_send", to)
+                   .field("size_bytes", bytes.size())
+                   .field("checksum", static_cast<std::uint64_t>(XXH3_64bits(bytes.data(), bytes.size())))
+                   .text());
+  }
+  for (const agreed::Input& input : output.inputs)
+    record.add(TraceLine(member).verbatim("log_gives", text_of(input)).text());
+}
+
+}  // namespace golden
--- a/tests/golden/membership_golden_test.cpp
+++ b/tests/golden/membership_golden_test.cpp
@@ -1,1 +1,304 @@
 // SPDX-License-Identifier: MIT
+// Golden records of membership and of quota leases: drawn plays in virtual time, and the parts by themselves.
+#include <gtest/gtest.h>
+
+#include <random>
+
+#include "golden/membership_trace.h"
+#include "golden/trace_line.h"
+#include "peers/news_queue.h"
+#include "peers/report.h"
+#include "peers_world.h"
+
+namespace dahliahall::test {
+namespace {
+
+using golden::GoldenRecord;
+using golden::TraceLine;
+using limits::Shares;
+using peers::Liveness;
+
+template <typename Value>
+Value drawn(std::mt19937_64& random, std::initializer_list<Value> values) {
+  return *(values.begin() + random() % values.size());
+}
+
+class MembershipPlay {
+ public:
+  MembershipPlay(const std::string& record_name, std::size_t count, std::uint64_t seed)
+      : record_(record_name), random_(seed) {
+    world_ = PeersWorld::settled(count, seed, [count](peers::Settings& settings) {
+      settings.share_lease = 6s;
+      settings.expected = count;
+      settings.max_members = 12;
+      settings.exchange_every = peers::Time{2s};
+      settings.zone = settings.name < "n3" ? 1 : 2;
+    });
+    world_->drift = 0.004;
+    world_->observer = [this](std::size_t i, peers::Time now, const peers::Input& input,
+                              const std::vector<peers::Effect>& effects) {
+      golden::add_step(record_, PeersWorld::name(i), now, input, effects, *world_->node(i).state);
+    };
+  }
+
+  void play(int turns) {
+    world_->loss = 0.05 * static_cast<double>(random_() % 3);
+    world_->run(2s);
+    for (int turn = 0; turn < turns; ++turn) {
+      take_turn();
+      for (int step = 0; step < 4; ++step) {
+        world_->run(std::chrono::milliseconds(100 + random_() % 400));
+        add_states();
+      }
+    }
+    record_.check();
+  }
+
+ private:
+  bool runs(std::size_t i) { return world_->node(i).state && !world_->node(i).stopped; }
+
+  void take_turn() {
+    const std::size_t count = world_->size();
+    const std::size_t whom = random_() % count, by = random_() % count;
+    switch (random_() % 12) {
+      case 0:
+      case 1: {
+        const std::size_t first = 1 + random_() % (count - 1);
+        const bool one_way = random_() % 3 == 0;
+        world_->cut = [first, one_way](std::size_t a, std::size_t b) {
+          return one_way ? a < first && b >= first : (a < first) != (b < first);
+        };
+        break;
+      }
+      case 2:
+        world_->cut = nullptr;
+        break;
+      case 3:
+      case 4:
+        if (world_->node(whom).state) world_->kill(whom);
+        break;
+      case 5:
+      case 6:
+        for (std::size_t i = 0; i < count; ++i) {
+          if (!world_->node(i).state) world_->start(i, random_() % 3 == 0);
+        }
+        break;
+      case 7:
+        if (!runs(whom)) break;
+        world_->feed(whom, peers::StopAsked{});
+        world_->run(50ms);
+        world_->kill(whom);
+        break;
+      case 8:
+        if (runs(by)) world_->feed(by, peers::Forget{PeersWorld::name(whom)});
+        break;
+      case 9:
+        if (runs(whom)) world_->stop(whom);
+        break;
+      case 10:
+        dispute_name(whom, by);
+        break;
+      default:
+        for (std::size_t i = 0; i < count; ++i) {
+          if (world_->node(i).state && world_->node(i).stopped) world_->resume(i);
+        }
+    }
+    if (runs(by)) {
+      world_->feed(by, peers::Carry{PeersWorld::name(whom), std::string(random_() % 1500, 'x')});
+      world_->feed(by,
+                   peers::Refused{static_cast<peers::Refusal>(random_() % peers::kRefusals), "10.9.9.9:1"});
+    }
+  }
+
+  /// That place runs a second process under the name of another one.
+  void dispute_name(std::size_t whose, std::size_t place) {
+    if (whose == place || !world_->node(whose).state) return;
+    peers::Settings settings = world_->node(whose).state->settings();
+    settings.address = PeersWorld::address(place);
+    world_->kill(place);
+    world_->node(place).stopped = false;
+    world_->node(place).state = std::make_unique<peers::State>(
+        settings, peers::Identity{99, std::uint64_t{1} << peers::kLifeBits, true, {}}, random_(),
+        world_->local(place));
+    world_->feed(place, peers::Due{});
+  }
+
+  void add_states() {
+    for (std::size_t i = 0; i < world_->size(); ++i) {
+      if (!world_->node(i).state) continue;
+      const peers::State& state = *world_->node(i).state;
+      const peers::Time now = world_->local(i);
+      record_.add(PeersWorld::name(i) + " " + golden::state_of(state.shares(), now));
+      record_.add("  report=" + golden::quoted(peers::report(state, now)));
+      TraceLine figures("  figures");
+      for (const peers::Figure& figure : peers::figures(state, now))
+        figures.verbatim(figure.name, std::to_string(figure.value) + (figure.count ? "+" : ""));
+      record_.add(figures.text());
+    }
+  }
+
+  GoldenRecord record_;
+  std::mt19937_64 random_;
+  std::unique_ptr<PeersWorld> world_;
+};
+
+TEST(MembershipGolden, DrawnPlaySeed1OfFiveMembers) { MembershipPlay("membership_play_1", 5, 1).play(18); }
+TEST(MembershipGolden, DrawnPlaySeed2OfFourMembers) { MembershipPlay("membership_play_2", 4, 2).play(20); }
+TEST(MembershipGolden, DrawnPlaySeed3OfEightMembers) { MembershipPlay("membership_play_3", 8, 3).play(7); }
+TEST(MembershipGolden, DrawnPlaySeed4OfSixMembers) { MembershipPlay("membership_play_4", 6, 4).play(12); }
+
+/// New members that know the seeds alone, all of them at first unknown to each other.
+TEST(MembershipGolden, NewMembersFindEachOther) {
+  GoldenRecord record("membership_join");
+  PeersWorld world(6, 5);
+  world.loss = 0.05;
+  world.observer = [&](std::size_t i, peers::Time now, const peers::Input& input,
+                       const std::vector<peers::Effect>& effects) {
+    golden::add_step(record, PeersWorld::name(i), now, input, effects, *world.node(i).state);
+  };
+  world.run(3s);
+  record.check();
+}
+
+/// Within the newest two lives, so that not all is old after a while.
+peers::News drawn_update(std::mt19937_64& random, std::uint64_t newest_life = 3) {
+  peers::News update;
+  update.name = PeersWorld::name(random() % 12);
+  update.address = PeersWorld::address(random() % 9);
+  update.disk = 1 + random() % 2;
+  update.incarnation = ((newest_life - random() % 2) << peers::kLifeBits) + random() % 3;
+  update.zone = static_cast<int>(random() % 2);
+  update.state = static_cast<Liveness>(random() % peers::kLivenesses);
+  if (update.state == Liveness::suspect || update.state == Liveness::dead)
+    update.by = PeersWorld::name(random() % 3);
+  return update;
+}
+
+TEST(MembershipGolden, ViewMergesUpdates) {
+  GoldenRecord record("membership_view");
+  std::mt19937_64 random(6);
+  peers::View view("n0", 5);
+  for (int step = 0; step < 1500; ++step) {
+    const peers::News update = drawn_update(random, 2 + static_cast<std::uint64_t>(step) / 80);
+    const bool full = view.full(update.name);
+    const peers::View::Taken taken = view.take(update, peers::Time{step * 1000});
+    record.add(TraceLine("merge")
+                   .verbatim("update", golden::text_of(update))
+                   .field("table_full", full)
+                   .verbatim("result", golden::label_of(taken.fate))
+                   .field("first", taken.first)
+                   .verbatim("replaced", taken.replaced ? golden::text_of(*taken.replaced) : "none")
+                   .verbatim("status_before", taken.before ? golden::label_of(*taken.before) : "none")
+                   .verbatim("address_before", taken.moved ? golden::text_of(*taken.moved) : "none")
+                   .field("registered", view.registered())
+                   .field("reached", view.reached())
+                   .verbatim("partition_status", golden::label_of(view.standing()))
+                   .field("digest", view.digest())
+                   .field("revision", view.revision())
+                   .text());
+    const peers::Member* member = view.find(update.name);
+    if (member == nullptr) continue;
+    record.add(TraceLine("  member")
+                   .verbatim("update", golden::text_of(member->news))
+                   .field("since", member->since)
+                   .verbatim("suspected_by", golden::list_of(member->by))
+                   .field("deadline", member->deadline)
+                   .field("suspected_since", member->suspected)
+                   .verbatim("reachability", golden::label_of(member->way))
+                   .field("heard", member->heard)
+                   .field("reachability_since", member->way_since)
+                   .text());
+  }
+  record.check();
+}
+
+TEST(MembershipGolden, BroadcastQueueGivesUpdates) {
+  GoldenRecord record("membership_broadcast_queue");
+  std::mt19937_64 random(7);
+  peers::NewsQueue queue;
+  for (int step = 0; step < 600; ++step) {
+    if (random() % 2 == 0) {
+      const peers::News update = drawn_update(random);
+      queue.add(update);
+      record.add("add " + golden::text_of(update));
+    } else {
+      const std::size_t room = random() % 300, most = 1 + random() % 4;
+      const auto given = queue.give(room, most, [](const peers::News& news) { return peers::size_of(news); });
+      record.add(TraceLine("take")
+                     .field("room_bytes", room)
+                     .field("transmissions", most)
+                     .verbatim("updates",
+                               golden::list_of(
+                                   given, [](const peers::News& update) { return golden::text_of(update); }))
+                     .text());
+    }
+    record.add(TraceLine("  queue").field("size", queue.size()).field("empty", queue.empty()).text());
+  }
+  record.check();
+}
+
+TEST(MembershipGolden, QuotaLeasesOfOneMember) {
+  GoldenRecord record("quota_leases");
+  for (std::uint64_t seed = 1; seed <= 4; ++seed) {
+    std::mt19937_64 random(seed);
+    const Shares::Ghost unfenced{"n9", {7, 1}, seed % 2 == 0};
+    Shares leases({"n0", 6s, 0.01, 0.1, 4, 16}, Shares::Time{5s}, {unfenced});
+    Shares::Roster roster{{"n0", {1, 0}}, {"n1", {1, 0}}, {"n2", {1, 1}}};
+    Shares::Time now{1s};
+    std::uint64_t announced_before = 0;
+    for (int step = 0; step < 400; ++step) {
+      now += std::chrono::milliseconds(random() % 300);
+      const std::string name = "n" + std::to_string(1 + random() % 5);
+      TraceLine input("input");
+      switch (random() % 24) {
+        case 0:
+        case 1: {
+          const Shares::Holder holder{1 + random() % 4 / 3, static_cast<int>(random() % 2)};
+          std::set<std::string> left;
+          if (roster.count(name) != 0 && random() % 2 == 0) {
+            roster.erase(name);
+            if (random() % 2 == 0) left.insert(name);
+          } else {
+            roster[name] = holder;
+          }
+          const bool takes_part = random() % 16 != 0;
+          leases.take(now, roster, left, takes_part);
+          input.verbatim("members", golden::list_of(roster, [](const auto& entry) {
+                           return entry.first + "/" + std::to_string(entry.second.disk) + "/" +
+                                  std::to_string(entry.second.zone);
+                         }));
+          input.verbatim("left", golden::list_of(left)).field("takes_part", takes_part);
+          break;
+        }
+        case 2:
+          if (random() % 8 != 0) break;
+          leases.forgotten();
+          input.verbatim("kind", "forgotten");
+          break;
+        default: {
+          const Shares::Acked acked{name,
+                                    now - std::chrono::milliseconds(random() % 100),
+                                    drawn(random, {leases.told(), leases.told(), announced_before}),
+                                    drawn<std::uint64_t>(random, {1, 1, 1, 1, 1, 1, 1, 0, 2}),
+                                    drawn(random, {leases.names(), leases.names(), leases.names(), 5UL}),
+                                    random() % 8 != 0};
+          leases.take(now, acked);
+          input.verbatim("kind", "acked")
+              .field("by", acked.by)
+              .field("sent", acked.sent)
+              .field("announced_version", acked.told)
+              .field("counted_disk", acked.counts)
+              .field("names_digest", acked.roster)
+              .field("confirmed", acked.sure);
+        }
+      }
+      announced_before = leases.told();
+      record.add(input.field("at", now).field("counts", leases.counts(name)).text());
+      record.add("  " + golden::state_of(leases, now));
+    }
+  }
+  record.check();
+}
+
+}  // namespace
+}  // namespace dahliahall::test
--- a/tests/peers_world.h
+++ b/tests/peers_world.h
@@ -123,7 +123,9 @@
 
   void feed(std::size_t i, const peers::Input& input) {
     Node& node = nodes_[i];
-    for (peers::Effect& effect : node.state->take(local(i), input)) {
+    std::vector<peers::Effect> effects = node.state->take(local(i), input);
+    if (observer) observer(i, local(i), input, effects);
+    for (peers::Effect& effect : effects) {
       if (auto* s = std::get_if<peers::Send>(&effect)) {
         transmit(i, s->address, std::move(s->message), false);
       } else if (auto* x = std::get_if<peers::Exchange>(&effect)) {
@@ -205,6 +207,8 @@
   std::function<Time(std::size_t, std::size_t)> more_delay;  ///< from, to
   /// From, to and what is said, which it may change; false: that message is lost.
   std::function<bool(std::size_t, std::size_t, peers::Message&)> passes;
+  /// Sees each input of a node, at that time of its clock, and the effects before they are carried out.
+  std::function<void(std::size_t, Time, const peers::Input&, const std::vector<peers::Effect>&)> observer;
 
  private:
   struct Event {
