--- /dev/null
+++ b/tools/check.sh
@@ -0,0 +1,8 @@
+#!/usr/bin/env bash
+# SPDX-License-Identifier: MIT
+# All that CI checks: the linters, then the tests. Usage: tools/check.sh [build folder of the tests]
+set -euo pipefail
+cd "$(dirname "$0")/.."
+
+bash tools/lint.sh
+bash tests/run.sh "$@"
