--- a/tools/tidy_database.sh
+++ b/tools/tidy_database.sh
@@ -6,8 +6,9 @@
 cd "$(dirname "$0")/.."
 build=${1:-build-lint}
 
-cmake -G Ninja -S . -B "$build" -DCMAKE_BUILD_TYPE=Debug -DCMAKE_EXPORT_COMPILE_COMMANDS=ON >"$build.log" 2>&1 ||
-  { cat "$build.log"; exit 1; }
+mkdir -p "$build"
+cmake -G Ninja -S . -B "$build" -DCMAKE_BUILD_TYPE=Debug -DCMAKE_EXPORT_COMPILE_COMMANDS=ON >"$build/configure.log" 2>&1 ||
+  { cat "$build/configure.log"; exit 1; }
 mapfile -t headers < <(ninja -C "$build" -t targets all | sed -n 's/: CUSTOM_COMMAND$//p' |
   grep '\.pb\.h$' | grep -v '^/')
 [ "${#headers[@]}" -gt 0 ] || { echo "no generated protobuf headers in $build"; exit 1; }
