--- a/tests/bench_free_world.h
+++ b/tests/bench_free_world.h
@@ -3,6 +3,7 @@
 /// A router with a few members, fed by hand.
 #pragma once
 
+#include <functional>
 #include <string>
 #include <vector>
 
@@ -12,6 +13,10 @@
 
 using namespace std::chrono_literals;
 
+/// Sees each event that a world hands to a router, with that router's number and the actions it gave.
+using RoutingObserver =
+    std::function<void(int router, Time now, const Event& event, const std::vector<Action>& actions)>;
+
 inline Settings settings() {
   Settings s;
   s.zone = 2;
--- a/tests/crowded_world.h
+++ b/tests/crowded_world.h
@@ -27,6 +27,7 @@
   bool all_void = false;   ///< no cache or parent holds anything from the fifth second on
   double heavy_kb = 3200;  ///< mean size in the class of large objects; pages have a sixth of it
   std::uint64_t seed = 1;
+  RoutingObserver observer{};
 };
 
 /// By class: the share of the requests that were answered, in time or late, and of the largest tenth.
@@ -158,7 +159,9 @@
   }
 
   void feed(int i, const Event& event) {
-    for (const Action& action : routers_[static_cast<std::size_t>(i)]->handle(now_, event)) {
+    const auto actions = routers_[static_cast<std::size_t>(i)]->handle(now_, event);
+    if (plan_.observer) plan_.observer(i, now_, event, actions);
+    for (const Action& action : actions) {
       if (const auto* a = std::get_if<Attempt>(&action)) send(*a);
       if (const auto* w = std::get_if<Wake>(&action))
         at(now_ + w->after, [this, i] { feed(i, TimerFired{1}); });
--- /dev/null
+++ b/tests/golden/proxy_trace.h
@@ -0,0 +1,23 @@
+// SPDX-License-Identifier: MIT
+/// @file
+/// Text of the proxy reducer's inputs and effects for golden records. The labels are literals of their own,
+/// so that a renamed type or member leaves the records as they are.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "edge/reducer.h"
+#include "golden/golden_record.h"
+
+namespace golden {
+
+[[nodiscard]] std::string text_of(const dahliahall::edge::Input& input);
+/// Empty for what is only a text for the log.
+[[nodiscard]] std::string text_of(const dahliahall::edge::Effect& effect);
+
+/// Records an input of the reducer, and the effects that came of it.
+void record_proxy_step(GoldenRecord& record, dahliahall::Time now, const dahliahall::edge::Input& input,
+                       const std::vector<dahliahall::edge::Effect>& effects);
+
+}  // namespace golden
--- /dev/null
+++ b/tests/golden/routing_trace.h
@@ -0,0 +1,62 @@
+// SPDX-License-Identifier: MIT
+/// @file
+/// Text of the routing module's values for golden records. The labels are literals of their own, so that a
+/// renamed type or member leaves the records as they are.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <type_traits>
+#include <vector>
+
+#include "dahliahall/choice.h"
+#include "golden/golden_record.h"
+
+namespace golden {
+
+/// One line of a record: a title and labelled values.
+class TraceLine {
+ public:
+  explicit TraceLine(std::string_view title) : text_(title) {}
+
+  TraceLine& add(std::string_view label, std::string_view value) { return put(label, golden::quoted(value)); }
+  TraceLine& add(std::string_view label, const std::string& value) {
+    return put(label, golden::quoted(value));
+  }
+  TraceLine& add(std::string_view label, const char* value) { return put(label, golden::quoted(value)); }
+  TraceLine& add(std::string_view label, bool value) { return put(label, value ? "yes" : "no"); }
+  TraceLine& add(std::string_view label, double value) { return put(label, exact(value)); }
+  TraceLine& add(std::string_view label, std::chrono::microseconds value) {
+    return put(label, std::to_string(value.count()));
+  }
+  template <typename Integer, typename = std::enable_if_t<std::is_integral_v<Integer>>>
+  TraceLine& add(std::string_view label, Integer value) {
+    return put(label, std::to_string(value));
+  }
+  /// The value's own line, in brackets.
+  TraceLine& add_inner(std::string_view label, const std::string& line) {
+    return put(label, "[" + line + "]");
+  }
+
+  [[nodiscard]] const std::string& text() const { return text_; }
+
+ private:
+  TraceLine& put(std::string_view label, const std::string& value) {
+    text_.append(" ").append(label).append("=").append(value);
+    return *this;
+  }
+
+  std::string text_;
+};
+
+[[nodiscard]] std::string text_of(const dahliahall::Settings& settings);
+[[nodiscard]] std::string text_of(const dahliahall::Event& event);
+/// Empty for what is only a text for the log.
+[[nodiscard]] std::string text_of(const dahliahall::Action& action);
+
+/// Records an event that a router was given, and the actions it gave.
+void record_routing_step(GoldenRecord& record, int router, dahliahall::Time now,
+                         const dahliahall::Event& event, const std::vector<dahliahall::Action>& actions);
+
+}  // namespace golden
--- a/tests/slow_start_world.h
+++ b/tests/slow_start_world.h
@@ -29,6 +29,7 @@
   double connects_in = 0;
   Weights weights = Weights::nominal;
   std::uint64_t seed = 1;
+  RoutingObserver observer{};
 };
 
 struct SlowStartResult {
@@ -241,7 +242,9 @@
 
   void feed(int i, const Event& event) {
     OneRouter& r = routers_[static_cast<std::size_t>(i)];
-    for (const Action& action : r.router->handle(now_, event)) {
+    const auto actions = r.router->handle(now_, event);
+    if (plan_.observer) plan_.observer(i, now_, event, actions);
+    for (const Action& action : actions) {
       if (const auto* a = std::get_if<Attempt>(&action)) {
         Asked& asked = r.tries[a->request];
         Time at = now_;
--- a/tests/virtual_stage.h
+++ b/tests/virtual_stage.h
@@ -4,6 +4,7 @@
 #pragma once
 
 #include <algorithm>
+#include <functional>
 #include <map>
 #include <set>
 #include <string>
@@ -16,9 +17,15 @@
 
 class VirtualStage : public Stage {
  public:
+  /// Sees each input that the reducer is given, with the effects that came of it.
+  using Observer =
+      std::function<void(Time now, const edge::Input& input, const std::vector<edge::Effect>& effects)>;
+
   explicit VirtualStage(const std::vector<std::string>& members = {"box-1", "up-1", "main"},
-                        int memory_mb = 192, std::string (*edit)(std::string) = nullptr)
-      : state_(config::parse(edit == nullptr ? config_text(members, {}, memory_mb)
+                        int memory_mb = 192, std::string (*edit)(std::string) = nullptr,
+                        Observer observer = {})
+      : observer_(std::move(observer)),
+        state_(config::parse(edit == nullptr ? config_text(members, {}, memory_mb)
                                              : edit(config_text(members, {}, memory_mb)),
                              {}),
                now_) {
@@ -118,6 +125,17 @@
   [[nodiscard]] std::size_t connections() const { return owner_.size(); }
   [[nodiscard]] std::size_t most_connections() const { return most_connections_; }
 
+  /// Hands the reducer an input, and does what comes of it.
+  void feed(const edge::Input& input) {
+    const std::vector<edge::Effect> effects = edge::reduce(state_, now_, input);
+    if (observer_) observer_(now_, input, effects);
+    std::vector<edge::Input> next;
+    for (const edge::Effect& effect : effects) {
+      std::visit([&](const auto& e) { perform(e, next); }, effect);
+    }
+    for (const edge::Input& more : next) feed(more);
+  }
+
  private:
   static bool is_operator(const std::string& peer) { return peer.rfind("ops", 0) == 0; }
   static bool is_listed(const std::string& peer) {
@@ -133,13 +151,6 @@
     if (owner_.erase(id) != 0) links_[peers_[id]].erase(id);
   }
 
-  void feed(const edge::Input& input) {
-    std::vector<edge::Input> next;
-    for (const edge::Effect& effect : edge::reduce(state_, now_, input)) {
-      std::visit([&](const auto& e) { perform(e, next); }, effect);
-    }
-    for (const edge::Input& more : next) feed(more);
-  }
   void perform(const edge::Write& e, std::vector<edge::Input>& next) {
     const std::string& peer = peers_[e.connection];
     last_used_[peer] = e.connection;
@@ -189,6 +200,7 @@
   void perform(const edge::PolicyEffect&, std::vector<edge::Input>&) {}
   void perform(const edge::Log& e, std::vector<edge::Input>&) { log_ += e.line + "\n"; }
 
+  Observer observer_;
   Time now_{std::chrono::hours(500000)};
   edge::State state_;
   Time due_{0};
