--- a/tests/golden/golden_record.cpp
+++ b/tests/golden/golden_record.cpp
@@ -86,7 +86,8 @@
       continue;
     }
     std::array<char, 8> escaped{};
-    std::snprintf(escaped.data(), escaped.size(), "\\x%02x", static_cast<unsigned>(static_cast<unsigned char>(c)));
+    std::snprintf(escaped.data(), escaped.size(), "\\x%02x",
+                  static_cast<unsigned>(static_cast<unsigned char>(c)));
     text += escaped.data();
   }
   return text;
--- a/tests/golden/golden_record.h
+++ b/tests/golden/golden_record.h
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Golden records: what a reducer, a codec or a stored file gave at the time of recording, held against what it
-/// gives now. They show that a refactoring changed no behaviour.
+/// Golden records: what a reducer, a codec or a stored file gave at the time of recording, held against what
+/// it gives now. They show that a refactoring changed no behaviour.
 ///
-/// A record is a list of text lines. Short records are stored whole; of longer ones a checksum of each block of
-/// lines is stored. Two environment variables help to work with them:
+/// A record is a list of text lines. Short records are stored whole; of longer ones a checksum of each block
+/// of lines is stored. Two environment variables help to work with them:
 ///   GOLDEN_UPDATE=1   stores what is given now instead of comparing; for a wanted change of behaviour only.
-///   GOLDEN_DUMP=DIR   also writes each whole record to DIR/NAME.txt, so that two builds can be compared by diff.
+///   GOLDEN_DUMP=DIR   also writes each whole record to DIR/NAME.txt, so that two builds can be compared by
+///   diff.
 #pragma once
 
 #include <cstddef>
--- a/tests/integration_test.cpp
+++ b/tests/integration_test.cpp
@@ -191,8 +191,8 @@
                       number + " ver=a b\n" + client + " expect served " + number + "\nwait 50\n");
     ASSERT_FALSE(HasFailure()) << program.old_log() << "-- the new one:\n" << program.log();
   }
-  play(program,
-       "ops-4 send GET /v1/metrics\nops-4 expect 200 svc.calls.pages.success:" + std::to_string(asked) + "|c");
+  play(program, "ops-4 send GET /v1/metrics\nops-4 expect 200 svc.calls.pages.success:" +
+                    std::to_string(asked) + "|c");
   play(program, "box-1 send HIT 1 ver=a b\nanna expect served 1\nanna expect closed");
   const auto until = std::chrono::steady_clock::now() + program.patience();
   while (!program.old_stopped() && std::chrono::steady_clock::now() < until)
