--- a/include/dahliahall/choice.h
+++ b/include/dahliahall/choice.h
@@ -27,88 +27,89 @@
 using Time = std::chrono::microseconds;
 
 /// What a repeated request may do.
-enum class Effect { safe, keyed, unsafe };
+enum class Idempotency { idempotent, with_key, none };
 /// Which members discard a keyed request's duplicates.
-enum class DedupGroup { all, zone, cell };
+enum class DeduplicationScope { all, zone, cell };
 enum class Weights { none, nominal, rough, live };
 enum class ReportVia { none, probes, answers };
 enum class SiblingFills { none, location, any };
 /// How much an outcome tells of how a request was served.
-enum class Notes { none, hits, all };
+enum class CacheStatusDetail { none, hits, all };
 
 struct RequestClass {
   std::string name;
-  Time aim{0};             ///< an answer within this time earns the full worth
-  double aim_stretch = 0;  ///< the aim grows by this multiple of the request's own sending time
+  Time latency_objective{0};  ///< an answer within this time earns the full worth
+  double latency_objective_per_transfer_time =
+      0;  ///< the aim grows by this multiple of the request's own sending time
   Time deadline{0};
-  Effect effect = Effect::safe;
-  DedupGroup group = DedupGroup::all;
-  Time memory{0};  ///< keyed: how long duplicates are discarded, from the first attempt's send
-  double worth = 1;
-  double late_worth = 0;
+  Idempotency idempotency = Idempotency::idempotent;
+  DeduplicationScope deduplication_scope = DeduplicationScope::all;
+  Time deduplication_window{0};  ///< keyed: how long duplicates are discarded, from the first attempt's send
+  double priority_weight = 1;
+  double late_weight = 0;
   bool streamed = false;
   Time max_age{0};  ///< fresh time of a copy; 0: no limit
   Time grace{0};    ///< how much older than fresh a copy may be when asked for
-  double stale_earns = 1;
+  double stale_weight = 1;
   bool segmented = false;
-  bool never_kept = false;  ///< runs at the origin, leaves no copy
+  bool uncacheable = false;  ///< runs at the origin, leaves no copy
 };
 
 /// Points taken off the result for each unit.
-struct Fees {
-  double cross_zone = 0, waste = 0, origin = 0, probe = 0, late_fail = 0, link_bytes = 0;
+struct CostWeights {
+  double cross_zone = 0, waste = 0, origin = 0, health_check = 0, late_failure = 0, link_bytes = 0;
 };
 
 struct Settings {
-  int me = 0;       ///< this router's number
-  int zone = 0;     ///< its location
-  int routers = 1;  ///< routers in all
+  int router_number = 0;  ///< this router's number
+  int zone = 0;           ///< its location
+  int router_count = 1;   ///< routers in all
   std::vector<int> routers_by_zone;
   std::vector<int> hub_by_zone;
   std::vector<double> link_in_kb_per_s;  ///< by location; 0: not told
   std::vector<RequestClass> classes;
   int parent_kind = -1;  ///< -1: the site has no parents
   int origin_kind = -1;
-  bool straight = false;  ///< parents and the origin take attempts too
+  bool direct_to_sources = false;  ///< parents and the origin take attempts too
   SiblingFills sibling_fills = SiblingFills::none;
-  Notes notes = Notes::none;
-  double stream_kb_per_s = 0;  ///< top pace of one answer
-  Time tick{0};                ///< the shortest time between two deliveries of events
+  CacheStatusDetail cache_status_detail = CacheStatusDetail::none;
+  double transfer_kb_per_s = 0;  ///< top pace of one answer
+  Time tick{0};                  ///< the shortest time between two deliveries of events
   // The rules.
   Time answer_slack{0};
   Time drain_grace{0};
-  double cold_share = 1;  ///< a cache starts with this part of its capacity at least
-  Time warm_after{0};
-  double fall_multiple = 0;
-  Time fall_span{0};
-  double parent_cold_share = 1;
-  Time parent_warm_after{0};
-  double parent_fall_multiple = 0;
-  double origin_fall_multiple = 0;  ///< 0: the origin bears any overload
-  Time origin_fall_span{0};
-  Time purge_slack{0};
-  Time purge_cleared{0};  ///< after this no older copy is left anywhere
+  double initial_capacity = 1;  ///< a cache starts with this part of its capacity at least
+  Time warm_up_time{0};
+  double overload_factor = 0;
+  Time overload_window{0};
+  double parent_initial_capacity = 1;
+  Time parent_warm_up_time{0};
+  double parent_overload_factor = 0;
+  double origin_overload_factor = 0;  ///< 0: the origin bears any overload
+  Time origin_overload_window{0};
+  Time invalidation_slack{0};
+  Time invalidation_settled_after{0};  ///< after this no older copy is left anywhere
   // What is allowed.
   int max_attempts = 1;
-  bool cancelling = false;
-  bool probes = false;
-  bool second_copies = false;
+  bool cancellation = false;
+  bool health_checks = false;
+  bool hedging = false;
   bool retry_after = false;
   Time max_retry_after{0};
-  bool must_subscribe = false;  ///< changes of the list come only after SubscribeList or FetchList
-  Time must_ask_within{0};
-  bool marks_retry = false;
+  bool subscription_required = false;  ///< changes of the list come only after SubscribeList or FetchList
+  Time poll_within{0};
+  bool marks_client_retries = false;
   ReportVia report_via = ReportVia::none;
   Weights weights = Weights::none;
-  Fees fees;
+  CostWeights cost_weights;
 };
 
-enum class MemberState { running, draining, gone };
+enum class EndpointState { running, draining, removed };
 
 /// A cache, a parent or the origin, by its kind.
-struct Member {
+struct Endpoint {
   std::string id;
-  MemberState state = MemberState::running;
+  EndpointState state = EndpointState::running;
   double weight = 1;
   int zone = 0;
   int cell = 0;
@@ -118,15 +119,15 @@
 
 /// A load report: what a member says of itself, late and inexact.
 struct LoadReport {
-  std::optional<double> busy, in_flight, queued, hit_share, link_fill;
+  std::optional<double> busy, in_flight, queued, hit_ratio, link_utilization;
 };
 
 // ---- Events ----
 
-enum class ListKind { changes, whole, remembered, failed };
-struct MemberList {
-  ListKind kind = ListKind::whole;
-  std::vector<Member> members;
+enum class ListKind { changes, complete, from_configuration, failed };
+struct EndpointList {
+  ListKind kind = ListKind::complete;
+  std::vector<Endpoint> endpoints;
 };
 struct Request {
   std::string id;
@@ -134,29 +135,30 @@
   std::uint64_t object = 0;
   std::uint64_t part = 0;
   std::int64_t group = 0;
-  double kb = 0;  ///< 0: not told
+  double size_kb = 0;  ///< 0: not told
   Time expires{0};
   bool write = false;
   bool client_retry = false;
-  std::optional<Time> own_copy;  ///< the router holds a good copy itself; how long that waits for its link
+  std::optional<Time>
+      local_copy_wait;  ///< the router holds a good copy itself; how long that waits for its link
 };
 struct TimerFired {
   std::int64_t token = 0;
 };
-enum class Ending {
-  served,       ///< the answer has reached the client
-  error,        ///< the member failed; it may have run
-  shed,         ///< not taken; it never ran
-  timed_out,    ///< it may have run, or may still
-  unreachable,  ///< no connection; it never ran
-  broken,       ///< the connection broke; it may have run
-  cancelled,    ///< it may have run
-  unsent,       ///< never sent
-  missing,      ///< no copy that will do and none filled; it never ran
-  spoilt        ///< an answer on its connection could not be read; it may have run
+enum class AttemptResult {
+  served,             ///< the answer has reached the client
+  error,              ///< the member failed; it may have run
+  shed,               ///< not taken; it never ran
+  timed_out,          ///< it may have run, or may still
+  unreachable,        ///< no connection; it never ran
+  connection_lost,    ///< the connection broke; it may have run
+  cancelled,          ///< it may have run
+  not_sent,           ///< never sent
+  cache_miss,         ///< no copy that will do and none filled; it never ran
+  malformed_response  ///< an answer on its connection could not be read; it may have run
 };
 /// Why, or how, an attempt was served; `unknown` where nothing is told.
-enum class Note {
+enum class CacheStatus {
   unknown,
   hit,
   filled,
@@ -164,75 +166,75 @@
   joined,
   stale,
   source_shed,
-  source_unreached,
-  source_lacks,
-  no_fill_place,
+  source_unreachable,
+  source_miss,
+  no_fill_capacity,
   origin_failed
 };
 struct Outcome {
   std::string request;
   int attempt = 0;
-  std::string member;
-  Ending ending = Ending::served;
-  Time took{0};
-  bool settled = false;  ///< the request is over
-  Note note = Note::unknown;
+  std::string endpoint;
+  AttemptResult result = AttemptResult::served;
+  Time duration{0};
+  bool request_finished = false;  ///< the request is over
+  CacheStatus cache_status = CacheStatus::unknown;
   std::optional<Time> first_byte;
   std::optional<LoadReport> report;
 };
-struct Probed {
-  std::string member;
+struct HealthChecked {
+  std::string endpoint;
   bool answered = false;
-  Time took{0};
+  Time duration{0};
   std::optional<LoadReport> report;
 };
-struct Purge {
+struct Invalidation {
   std::optional<std::uint64_t> object;  ///< none: the whole group
   std::int64_t group = 0;
-  Time ago{0};
+  Time age{0};
 };
-struct Withdrawn {
+struct RequestCancelled {
   std::string request;
 };
 /// Which part of its even share of a cold member's budget this router may use; more than 1 where others have
 /// stopped.
-struct Portion {
-  double of_parents = 1, of_caches = 1;
+struct QuotaChanged {
+  double parent_share = 1, cache_share = 1;
 };
 struct StreamStarted {
   std::string request;
   int attempt = 0;
 };
 /// Other settings from now on, between two requests: the same classes in the same order, the same fleet.
-struct Resettle {
+struct SettingsChanged {
   Settings settings;
 };
-using Event = std::variant<MemberList, Request, TimerFired, Outcome, Probed, Purge, Withdrawn, StreamStarted,
-                           Portion, Resettle>;
+using Event = std::variant<EndpointList, Request, TimerFired, Outcome, HealthChecked, Invalidation,
+                           RequestCancelled, StreamStarted, QuotaChanged, SettingsChanged>;
 
 // ---- Actions ----
 
-enum class Rank { unkept, low, middle, high };
+enum class Rank { uncached, low, middle, high };
 /// One attempt at a member. Attempts of a request are numbered from 0 in the order given.
 struct Attempt {
   std::string request;
-  std::string member;
+  std::string endpoint;
   std::string source;  ///< where a miss is filled from; the member itself: no fill
-  Rank rank = Rank::unkept;
-  Time oldest{0};          ///< oldest copy that will do; 0: the class's fresh time
-  Time timeout{0};         ///< 0: until the client gives up
-  Time send_within{0};     ///< it may not be sent later than this; 0: at any time before it times out
-  bool join = false;       ///< waits for a fill of the same part that is under way, where there is one
-  bool held_only = false;  ///< the source gives only what it holds
-  bool parent_keeps_none = false;
-  bool renew = false;  ///< an ageing copy is served and fetched anew behind
+  Rank rank = Rank::uncached;
+  Time max_copy_age{0};      ///< oldest copy that will do; 0: the class's fresh time
+  Time timeout{0};           ///< 0: until the client gives up
+  Time send_within{0};       ///< it may not be sent later than this; 0: at any time before it times out
+  bool join_fill = false;    ///< waits for a fill of the same part that is under way, where there is one
+  bool cached_only = false;  ///< the source gives only what it holds
+  bool parent_uncached = false;
+  bool stale_while_revalidate = false;  ///< an ageing copy is served and fetched anew behind
 };
 struct Cancel {
   std::string request;
   int attempt = 0;
 };
 /// A final answer: no, and a new try does no harm.
-struct Refuse {
+struct Reject {
   std::string request;
   Time retry_after{0};
 };
@@ -241,23 +243,23 @@
   std::string request;
 };
 /// Serve the router's own copy; the request is over.
-struct ServeOwn {
+struct ServeFromLocalCache {
   std::string request;
 };
-struct Wake {
+struct SetTimer {
   Time after{0};
   std::int64_t token = 0;
 };
-struct ProbeMember {
-  std::string member;
+struct CheckHealth {
+  std::string endpoint;
 };
-struct FetchList {};
-struct SubscribeList {};
-struct Remark {
+struct FetchEndpointList {};
+struct SubscribeEndpointList {};
+struct LogMessage {
   std::string text;
 };
-using Action = std::variant<Attempt, Cancel, Refuse, Fail, Wake, ProbeMember, FetchList, SubscribeList,
-                            Remark, ServeOwn>;
+using Action = std::variant<Attempt, Cancel, Reject, Fail, SetTimer, CheckHealth, FetchEndpointList,
+                            SubscribeEndpointList, LogMessage, ServeFromLocalCache>;
 
 /// The decisions of one router.
 class Router {
@@ -271,13 +273,13 @@
   std::vector<Action> handle(Time now, const Event& event);
 
   /// What it believes, to be held against what really passes, and what it keeps in all.
-  struct Beliefs {
-    std::size_t out = 0;   ///< attempts without an Outcome
-    std::size_t shut = 0;  ///< running members that are left out for now
-    std::size_t members = 0;
-    std::size_t kept = 0;  ///< entries of all tables that are not bounded by themselves
+  struct Stats {
+    std::size_t in_flight = 0;  ///< attempts without an Outcome
+    std::size_t ejected = 0;    ///< running members that are left out for now
+    std::size_t endpoints = 0;
+    std::size_t table_entries = 0;  ///< entries of all tables that are not bounded by themselves
   };
-  [[nodiscard]] Beliefs beliefs() const;
+  [[nodiscard]] Stats stats() const;
 
  private:
   class Impl;
--- a/src/choice.cpp
+++ b/src/choice.cpp
@@ -91,7 +91,7 @@
 
 /// What this router knows of one member.
 struct Peer {
-  Member member;
+  Endpoint member;
   std::uint64_t hash = 0;
   Role role = Role::elsewhere;
   int named = 0;      // tries of requests not over yet that name it
@@ -160,15 +160,15 @@
     return std::move(actions_);
   }
 
-  Router::Beliefs beliefs() const {
-    Router::Beliefs b;
+  Router::Stats beliefs() const {
+    Router::Stats b;
     for (const auto& [id, h] : held_)
-      b.out += static_cast<std::size_t>(
+      b.in_flight += static_cast<std::size_t>(
           std::count_if(h.tries.begin(), h.tries.end(), [](const Try& t) { return t.open; }));
-    for (const Peer& p : peers_) b.shut += running(p) && now_ < p.shut_until ? 1 : 0;
-    b.members = by_id_.size();
-    b.kept = peers_.size() + held_.size() + ran_.size() + object_purges_.size() + group_purges_.size() +
-             timers_.size();
+    for (const Peer& p : peers_) b.ejected += running(p) && now_ < p.shut_until ? 1 : 0;
+    b.endpoints = by_id_.size();
+    b.table_entries = peers_.size() + held_.size() + ran_.size() + object_purges_.size() +
+                      group_purges_.size() + timers_.size();
     return b;
   }
 
@@ -177,14 +177,14 @@
 
   int routers_here() const {
     const auto zone = static_cast<std::size_t>(s_.zone);
-    return zone < s_.routers_by_zone.size() ? s_.routers_by_zone[zone] : s_.routers;
+    return zone < s_.routers_by_zone.size() ? s_.routers_by_zone[zone] : s_.router_count;
   }
 
   void begin() {
     begun_ = true;
     started_ = now_;
     timers_.add(now_ + kRecompute, {Due::recompute, {}});
-    if (s_.must_subscribe) actions_.push_back(SubscribeList{});
+    if (s_.subscription_required) actions_.push_back(SubscribeEndpointList{});
   }
 
   void run_timers() {
@@ -203,7 +203,7 @@
           recompute();
           break;
         case Due::ask_list:
-          actions_.push_back(SubscribeList{});
+          actions_.push_back(SubscribeEndpointList{});
           break;
       }
     }
@@ -213,11 +213,11 @@
     const auto due = timers_.next_due();
     if (!due || (wake_at_ > now_ && wake_at_ <= *due)) return;
     wake_at_ = *due;
-    actions_.push_back(Wake{*due - now_, kTimerToken});
+    actions_.push_back(SetTimer{*due - now_, kTimerToken});
   }
 
   void on(const TimerFired&) {}
-  void on(const Probed&) {}
+  void on(const HealthChecked&) {}
 
   // ---- Ranks: the router's own windowed counts ----
 
@@ -245,21 +245,21 @@
     if (!r.client_retry) counts_.add(now_, key);
     if (gold_.count(key) != 0) return Rank::middle;
     const bool window_full = now_ - started_ >= kWindowPerRouter * std::max(1, routers_here());
-    return window_full && counts_.count(key) <= kBronzeCount ? Rank::unkept : Rank::low;
+    return window_full && counts_.count(key) <= kBronzeCount ? Rank::uncached : Rank::low;
   }
 
   // ---- The member list ----
 
-  void on(const MemberList& list) {
+  void on(const EndpointList& list) {
     if (list.kind == ListKind::failed) {
-      if (s_.must_subscribe) timers_.add(now_ + kAskAgain, {Due::ask_list, {}});
+      if (s_.subscription_required) timers_.add(now_ + kAskAgain, {Due::ask_list, {}});
       return;
     }
     if (list.kind != ListKind::changes) {  // a member that a whole list lacks is gone
-      for (Peer& peer : peers_) peer.member.state = MemberState::gone;
+      for (Peer& peer : peers_) peer.member.state = EndpointState::removed;
     }
-    for (const Member& m : list.members) {
-      if (m.state == MemberState::gone && by_id_.count(m.id) == 0) continue;
+    for (const Endpoint& m : list.endpoints) {
+      if (m.state == EndpointState::removed && by_id_.count(m.id) == 0) continue;
       const auto [found, fresh] = by_id_.emplace(m.id, free_.empty() ? peers_.size() : free_.back());
       if (fresh) {
         if (free_.empty()) {
@@ -290,11 +290,11 @@
   /// gone is dropped with the last request that names it, and its place goes to another.
   void forget_if_gone(std::size_t at) {
     const Peer& p = peers_[at];
-    if (p.member.state != MemberState::gone || p.named > 0 || by_id_.erase(p.member.id) == 0) return;
+    if (p.member.state != EndpointState::removed || p.named > 0 || by_id_.erase(p.member.id) == 0) return;
     free_.push_back(at);
   }
 
-  static bool running(const Peer& p) { return p.member.state == MemberState::running; }
+  static bool running(const Peer& p) { return p.member.state == EndpointState::running; }
 
   std::vector<std::size_t> members(Role role) const {
     std::vector<std::size_t> found;
@@ -361,7 +361,7 @@
   // ---- Cold members ----
 
   bool cold(const Peer& p) const {
-    const Time warm = p.role == Role::parent ? s_.parent_warm_after : s_.warm_after;
+    const Time warm = p.role == Role::parent ? s_.parent_warm_up_time : s_.warm_up_time;
     return p.member.started.count() != 0 && now_ - p.member.started < warm;
   }
 
@@ -374,25 +374,25 @@
   bool cold_room(Peer& p, double work) {
     if (!cold(p)) return true;
     const bool parent = p.role == Role::parent;
-    const double floor = parent ? s_.parent_cold_share : s_.cold_share;
-    const double multiple = parent ? s_.parent_fall_multiple : s_.fall_multiple;
-    const Time warm = parent ? s_.parent_warm_after : s_.warm_after;
+    const double floor = parent ? s_.parent_initial_capacity : s_.initial_capacity;
+    const double multiple = parent ? s_.parent_overload_factor : s_.overload_factor;
+    const Time warm = parent ? s_.parent_warm_up_time : s_.warm_up_time;
     const double age = std::max(0.0, seconds(now_ - p.member.started) / seconds(warm));
     const auto group = members(p.role);
     double weights = 0;
     for (const std::size_t i : group) weights += weight(peers_[i]);
     double load = (parent ? usual_fills_ : usual_load_) * weight(p) / std::max(weights, 1e-3);
     if (s_.weights == Weights::nominal || s_.weights == Weights::rough) {
-      load = weight(p) / std::max(1, parent ? s_.routers : routers_here());
+      load = weight(p) / std::max(1, parent ? s_.router_count : routers_here());
     }
-    load *= parent ? portion_.of_parents : portion_.of_caches;
+    load *= parent ? portion_.parent_share : portion_.cache_share;
     const double use = now_ - started_ < kReplacing ? kColdUseBeside : kColdUse;
-    const double budget = use * multiple * (floor + (1 - floor) * age) * load * seconds(s_.fall_span);
-    if (budget >= work) return p.sent.sum(now_, s_.fall_span) + work <= budget;
+    const double budget = use * multiple * (floor + (1 - floor) * age) * load * seconds(s_.overload_window);
+    if (budget >= work) return p.sent.sum(now_, s_.overload_window) + work <= budget;
     if (budget <= 0) return false;
     // Less than one request in the rule's span is one in a longer one, from a moment of this router's own on:
     // else hundreds of routers would send nothing until the member counts as warm, then all at once.
-    const Time stretched = from_seconds(std::min(seconds(s_.fall_span) * work / budget, seconds(warm)));
+    const Time stretched = from_seconds(std::min(seconds(s_.overload_window) * work / budget, seconds(warm)));
     const double phase = static_cast<double>(mix(p.hash ^ seed_) >> 11U) / 9007199254740992.0;
     return now_ - std::max(p.sent_at, p.member.started) >=
            (p.sent_at < p.member.started ? from_seconds(phase * seconds(stretched)) : stretched);
@@ -455,20 +455,22 @@
     held.arrived = now_;
     const auto c = static_cast<std::size_t>(r.request_class);
     if (c >= s_.classes.size()) {
-      actions_.push_back(Refuse{r.id, stay_away()});
+      actions_.push_back(Reject{r.id, stay_away()});
       return;
     }
-    const bool told = r.kb > 0 && s_.stream_kb_per_s > 0;
-    held.work = told ? r.kb / s_.stream_kb_per_s : mean_work_[c];
+    const bool told = r.size_kb > 0 && s_.transfer_kb_per_s > 0;
+    held.work = told ? r.size_kb / s_.transfer_kb_per_s : mean_work_[c];
     if (told) weigh(c, held.work);
     held.sized = told;
-    held.aim = std::min(s_.classes[c].aim + from_seconds(s_.classes[c].aim_stretch * held.work),
+    held.aim = std::min(s_.classes[c].latency_objective +
+                            from_seconds(s_.classes[c].latency_objective_per_transfer_time * held.work),
                         s_.classes[c].deadline);
     // A copy of its own spares a fill that would be late or dear. Its link is narrow: what is asked for
     // often, which the caches hold, goes out there only while it is free.
-    if (r.own_copy && *r.own_copy + from_seconds(held.work) <= from_seconds(kOwnWithin * seconds(held.aim)) &&
-        (r.own_copy->count() == 0 || counts_.count(held.key) <= kOwnRare)) {
-      actions_.push_back(ServeOwn{r.id});
+    if (r.local_copy_wait &&
+        *r.local_copy_wait + from_seconds(held.work) <= from_seconds(kOwnWithin * seconds(held.aim)) &&
+        (r.local_copy_wait->count() == 0 || counts_.count(held.key) <= kOwnRare)) {
+      actions_.push_back(ServeFromLocalCache{r.id});
       return;
     }
     usual_work_ += kMeanMemory * (held.work - usual_work_);
@@ -490,7 +492,7 @@
   /// time.
   double mean_work(const Held& h) const {
     const double mean = mean_work_[static_cast<std::size_t>(h.request.request_class)];
-    return mean > 0 ? mean : seconds(class_of(h).aim);
+    return mean > 0 ? mean : seconds(class_of(h).latency_objective);
   }
 
   void weigh(std::size_t c, double work) {
@@ -500,7 +502,7 @@
 
   /// What a fill is expected to earn: a slow source leaves classes with little time no chance.
   double expected_worth(const Held& h) const {
-    return class_of(h).worth * fills_in_time_[static_cast<std::size_t>(h.request.request_class)];
+    return class_of(h).priority_weight * fills_in_time_[static_cast<std::size_t>(h.request.request_class)];
   }
 
   void fill_ended(const Held& h, bool in_time, Time delay) {
@@ -528,7 +530,7 @@
     return {};
   }
 
-  bool writes(const Held& h) const { return h.request.write || class_of(h).never_kept; }
+  bool writes(const Held& h) const { return h.request.write || class_of(h).uncacheable; }
 
   /// Sends the next attempt of a request; false where there is none to send.
   bool attempt(Held& h) {
@@ -555,7 +557,7 @@
     bool held_only = false;
     if (writes(h)) {
       source = home;
-      at = s_.straight ? home : pick(Role::cache, h.key, charge, tried, 1);
+      at = s_.direct_to_sources ? home : pick(Role::cache, h.key, charge, tried, 1);
     } else {
       source = pick(Role::parent, mix(h.request.object), charge, tried_sources, room);
       if (source && !fill_allowed(fills_, h)) {
@@ -567,7 +569,7 @@
       }
       at = pick(Role::cache, h.key, charge, tried, 1);
       if (at && !source) source = at;  // the sources are full: what is kept is served, no fill is added
-      if (!at && source && s_.straight) at = source;
+      if (!at && source && s_.direct_to_sources) at = source;
     }
     if (!at || (writes(h) && !source) || !may_send(h, *at)) return false;
     send(h, *at, source ? *source : *at, charge, held_only);
@@ -578,22 +580,23 @@
     Peer& p = peers_[at];
     Attempt a;
     a.request = h.request.id;
-    a.member = p.member.id;
+    a.endpoint = p.member.id;
     a.source = peers_[source].member.id;
-    a.rank = p.role == Role::cache ? h.rank : Rank::unkept;
-    a.oldest = oldest_allowed(h, source == at || held_only);
-    a.parent_keeps_none = h.rank == Rank::unkept && peers_[source].role == Role::parent;
-    a.renew = p.role == Role::cache && h.rank != Rank::unkept && class_of(h).max_age.count() > 0;
-    a.join = p.role == Role::cache && !writes(h);
-    a.held_only = held_only && peers_[source].role == Role::parent;
+    a.rank = p.role == Role::cache ? h.rank : Rank::uncached;
+    a.max_copy_age = oldest_allowed(h, source == at || held_only);
+    a.parent_uncached = h.rank == Rank::uncached && peers_[source].role == Role::parent;
+    a.stale_while_revalidate =
+        p.role == Role::cache && h.rank != Rank::uncached && class_of(h).max_age.count() > 0;
+    a.join_fill = p.role == Role::cache && !writes(h);
+    a.cached_only = held_only && peers_[source].role == Role::parent;
     a.send_within = repeat_within(h);
     // Asked straight, a parent gives only what it holds unless the origin is named as its source.
     const auto home = origin();
-    if (at == source && p.role == Role::parent && !a.held_only && home) a.source = peers_[*home].member.id;
+    if (at == source && p.role == Role::parent && !a.cached_only && home) a.source = peers_[*home].member.id;
     h.tries.push_back({at, source, now_});
     ++peers_[at].named;
     ++peers_[source].named;
-    h.tries.back().held_only = a.held_only;
+    h.tries.back().held_only = a.cached_only;
     charge_member(p, charge);
     if (source != at) charge_member(peers_[source], charge);
 
@@ -611,8 +614,9 @@
 
   // ---- Rule: no effect twice ----
 
-  static bool may_have_run(Ending e) {
-    return e != Ending::shed && e != Ending::unreachable && e != Ending::unsent && e != Ending::missing;
+  static bool may_have_run(AttemptResult e) {
+    return e != AttemptResult::shed && e != AttemptResult::unreachable && e != AttemptResult::not_sent &&
+           e != AttemptResult::cache_miss;
   }
 
   /// Whether a further attempt is allowed by the class: safe always; unsafe only while nothing may have
@@ -620,17 +624,17 @@
   bool may_send(const Held& h, std::size_t at) const {
     const RequestClass& c = class_of(h);
     const bool open = std::any_of(h.tries.begin(), h.tries.end(), [](const Try& t) { return t.open; });
-    if (open && !s_.second_copies) return false;
-    if (c.effect == Effect::safe) return true;
+    if (open && !s_.hedging) return false;
+    if (c.idempotency == Idempotency::idempotent) return true;
     const auto ran = ran_.find(h.request.id);
     const bool maybe = open || ran != ran_.end();
     if (!maybe) return true;
-    if (c.effect == Effect::unsafe) return false;
+    if (c.idempotency == Idempotency::none) return false;
     for (const Try& t : h.tries) {
-      const Member &one = peers_[t.at].member, &other = peers_[at].member;
-      if (now_ - t.sent >= c.memory) return false;
-      if (c.group == DedupGroup::zone && one.zone != other.zone) return false;
-      if (c.group == DedupGroup::cell && one.cell != other.cell) return false;
+      const Endpoint &one = peers_[t.at].member, &other = peers_[at].member;
+      if (now_ - t.sent >= c.deduplication_window) return false;
+      if (c.deduplication_scope == DeduplicationScope::zone && one.zone != other.zone) return false;
+      if (c.deduplication_scope == DeduplicationScope::cell && one.cell != other.cell) return false;
     }
     return true;
   }
@@ -638,13 +642,15 @@
   /// How soon a repeat of a keyed request has to be sent. Guards the memory of its key against a repeat that
   /// is decided within it and waits for a connection until after it.
   Time repeat_within(const Held& h) const {
-    if (class_of(h).effect != Effect::keyed || h.tries.empty()) return Time{0};
-    return class_of(h).memory - (now_ - h.tries.front().sent);
+    if (class_of(h).idempotency != Idempotency::with_key || h.tries.empty()) return Time{0};
+    return class_of(h).deduplication_window - (now_ - h.tries.front().sent);
   }
 
   bool may_refuse(const Held& h) const {
     const RequestClass& c = class_of(h);
-    if (c.effect == Effect::safe || (c.effect == Effect::keyed && c.group == DedupGroup::all)) return true;
+    if (c.idempotency == Idempotency::idempotent ||
+        (c.idempotency == Idempotency::with_key && c.deduplication_scope == DeduplicationScope::all))
+      return true;
     const bool open = std::any_of(h.tries.begin(), h.tries.end(), [](const Try& t) { return t.open; });
     return !open && ran_.find(h.request.id) == ran_.end();
   }
@@ -661,7 +667,7 @@
     if (h.over) return;
     h.over = true;
     if (may_refuse(h)) {
-      actions_.push_back(Refuse{h.request.id, stay_away()});
+      actions_.push_back(Reject{h.request.id, stay_away()});
     } else {
       actions_.push_back(Fail{h.request.id});
     }
@@ -669,7 +675,7 @@
   }
 
   void call_off(const Held& h) {
-    if (!s_.cancelling || h.streaming) return;
+    if (!s_.cancellation || h.streaming) return;
     for (std::size_t n = 0; n < h.tries.size(); ++n) {
       if (h.tries[n].open) actions_.push_back(Cancel{h.request.id, static_cast<int>(n)});
     }
@@ -765,30 +771,31 @@
     for (FillGate* gate : {&fills_, &origin_fills_, &held_fills_}) gate->fade(now_);
     for (FillGate* gate : beside(t)) gate->held();
     if (t.source != t.at) gate_of(t).asked();
-    if (p.role == Role::cache && o.report && o.report->link_fill)
-      link_fill_ += kLinkMemory * (*o.report->link_fill - link_fill_);
-    t.spoilt = o.ending == Ending::spoilt;
-    p.faults += kFaultGain * ((o.ending == Ending::error ? 1 : 0) - p.faults);
+    if (p.role == Role::cache && o.report && o.report->link_utilization)
+      link_fill_ += kLinkMemory * (*o.report->link_utilization - link_fill_);
+    t.spoilt = o.result == AttemptResult::malformed_response;
+    p.faults += kFaultGain * ((o.result == AttemptResult::error ? 1 : 0) - p.faults);
     judge(h, t, o);
-    if (may_have_run(o.ending)) ran_.insert(o.request);
-    if (o.settled && !h.over) {
+    if (may_have_run(o.result)) ran_.insert(o.request);
+    if (o.request_finished && !h.over) {
       h.over = true;
       call_off(h);
     }
-    if (!h.over && o.ending != Ending::served) retry(h, o.ending);
+    if (!h.over && o.result != AttemptResult::served) retry(h, o.result);
     drop_if_done(o.request);
   }
 
   void judge(const Held& h, const Try& t, const Outcome& o) {
     Peer& p = peers_[t.at];
     Peer& source = peers_[t.source];
-    const bool by_source =
-        o.note == Note::source_shed || o.note == Note::source_unreached || o.note == Note::origin_failed;
-    switch (o.ending) {
-      case Ending::served: {
-        if (!h.sized) weigh(static_cast<std::size_t>(h.request.request_class), seconds(o.took));
-        const double pace = seconds(o.took) / std::max(seconds(h.aim), 1e-3);
-        const bool hit = o.note == Note::hit || o.note == Note::stale;
+    const bool by_source = o.cache_status == CacheStatus::source_shed ||
+                           o.cache_status == CacheStatus::source_unreachable ||
+                           o.cache_status == CacheStatus::origin_failed;
+    switch (o.result) {
+      case AttemptResult::served: {
+        if (!h.sized) weigh(static_cast<std::size_t>(h.request.request_class), seconds(o.duration));
+        const double pace = seconds(o.duration) / std::max(seconds(h.aim), 1e-3);
+        const bool hit = o.cache_status == CacheStatus::hit || o.cache_status == CacheStatus::stale;
         good(p);
         if (!t.judged) sample(p, pace);
         if (hit && pace > 1) {
@@ -802,19 +809,19 @@
           gate_of(t).was_hit();
         } else if (t.source != t.at) {
           if (source.role == Role::parent) fills_second_ += h.work;
-          if (o.note != Note::unknown) good(source);
+          if (o.cache_status != CacheStatus::unknown) good(source);
           if (!t.judged) sample(source, pace);
           if (pace <= 1) in_time(source);
           if (pace <= 1) gate_of(t).in_time();
           // Late though no origin was asked: the link or the parent is full, and asking less would not help.
-          if (!t.held_only && o.note != Note::filled_by_origin)
+          if (!t.held_only && o.cache_status != CacheStatus::filled_by_origin)
             pace <= 1 ? held_fills_.in_time() : held_fills_.refused();
-          const Time over_sending = std::max(0us, o.took - from_seconds(h.work));
+          const Time over_sending = std::max(0us, o.duration - from_seconds(h.work));
           if (!t.late) fill_ended(h, pace <= 1, o.first_byte.value_or(over_sending));
         }
         break;
       }
-      case Ending::missing:
+      case AttemptResult::cache_miss:
         if (t.source == t.at) held_fills_.denied();  // no fill was asked for
         if (t.source == t.at || t.held_only) {
           fills_.denied();
@@ -822,9 +829,9 @@
           break;
         }
         [[fallthrough]];
-      case Ending::shed:
-      case Ending::error:
-        if (o.note == Note::unknown && o.ending == Ending::error && own_faults(p)) {
+      case AttemptResult::shed:
+      case AttemptResult::error:
+        if (o.cache_status == CacheStatus::unknown && o.result == AttemptResult::error && own_faults(p)) {
           too_late(p);
           sample(p, kWorstPace);
           break;
@@ -833,7 +840,7 @@
         if (by_source && t.source != t.at) {
           too_late(source);
           strike(source);
-        } else if (o.note == Note::unknown && t.source != t.at) {
+        } else if (o.cache_status == CacheStatus::unknown && t.source != t.at) {
           too_late(source);  // not told which of the two refused: the source more often, the cache by half
           sample(source, kWorstPace);
           too_late(p, 0.5);
@@ -842,16 +849,17 @@
           sample(p, kWorstPace);
         }
         break;
-      case Ending::unreachable:
-      case Ending::broken:
+      case AttemptResult::unreachable:
+      case AttemptResult::connection_lost:
         strike(p);
         break;
-      case Ending::timed_out:
+      case AttemptResult::timed_out:
         if (!t.judged) sample(p, kWorstPace);
         break;
-      case Ending::cancelled:
-      case Ending::unsent:
-      case Ending::spoilt:  // the way spoils answers from any member alike: no evidence against this one
+      case AttemptResult::cancelled:
+      case AttemptResult::not_sent:
+      case AttemptResult::malformed_response:  // the way spoils answers from any member alike: no evidence
+                                               // against this one
         break;
     }
   }
@@ -864,10 +872,12 @@
     return p.faults > least + kOwnFaults;
   }
 
-  void retry(Held& h, Ending ending) {
+  void retry(Held& h, AttemptResult ending) {
     const Try& last = h.tries.back();
     // What was lost on the way is no sign of overload: asking again takes nothing from the budget.
-    if ((ending == Ending::spoilt || ending == Ending::broken) && attempt(h)) return;
+    if ((ending == AttemptResult::malformed_response || ending == AttemptResult::connection_lost) &&
+        attempt(h))
+      return;
     const bool filled = !last.held_only && (last.source != last.at || peers_[last.at].role != Role::cache);
     if (filled && retry_budget_ >= 1 && attempt(h)) {
       retry_budget_ -= 1;
@@ -876,7 +886,7 @@
     if (std::none_of(h.tries.begin(), h.tries.end(), [](const Try& t) { return t.open; })) conclude(h);
   }
 
-  void on(const Withdrawn& w) {
+  void on(const RequestCancelled& w) {
     const auto found = held_.find(w.request);
     if (found == held_.end()) return;
     if (!found->second.over) {
@@ -886,8 +896,8 @@
     drop_if_done(w.request);
   }
 
-  void on(const Portion& p) { portion_ = p; }
-  void on(const Resettle& r) { s_ = r.settings; }
+  void on(const QuotaChanged& p) { portion_ = p; }
+  void on(const SettingsChanged& r) { s_ = r.settings; }
 
   void on(const StreamStarted& s) {
     const auto found = held_.find(s.request);
@@ -896,8 +906,8 @@
 
   // ---- Rule: purges kept ----
 
-  void on(const Purge& purge) {
-    const Time at = now_ - purge.ago;
+  void on(const Invalidation& purge) {
+    const Time at = now_ - purge.age;
     Time& known = purge.object ? object_purges_[*purge.object] : group_purges_[purge.group];
     known = std::max(known, at);
     std::erase_if(object_purges_, [this](const auto& e) { return !purge_binds(e.second); });
@@ -905,7 +915,7 @@
   }
 
   /// Twice the time in which older copies go, so that none under way at the purge slips through.
-  bool purge_binds(Time at) const { return now_ - at < 2 * s_.purge_cleared; }
+  bool purge_binds(Time at) const { return now_ - at < 2 * s_.invalidation_settled_after; }
 
   /// The oldest copy that will do: fresh, and given out after the newest purge of the object or its group.
   /// Where no fill is let through, one in its grace time will do: it earns less, a refusal nothing.
@@ -922,7 +932,7 @@
   }
 
   Settings s_;
-  Portion portion_;  // of its even share of what cold members bear
+  QuotaChanged portion_;  // of its even share of what cold members bear
   std::uint64_t seed_;
   Time now_{0};
   Time started_{0};
@@ -960,6 +970,6 @@
 Router& Router::operator=(Router&&) noexcept = default;
 
 std::vector<Action> Router::handle(Time now, const Event& event) { return impl_->handle(now, event); }
-Router::Beliefs Router::beliefs() const { return impl_->beliefs(); }
+Router::Stats Router::stats() const { return impl_->beliefs(); }
 
 }  // namespace dahliahall
--- a/src/codec/bulletin.cpp
+++ b/src/codec/bulletin.cpp
@@ -27,10 +27,10 @@
 
 ListedMember read_member(const Fields& fields, const Names& names) {
   ListedMember listed;
-  Member& m = listed.member;
+  Endpoint& m = listed.member;
   m.id = fields.text("id");
   listed.address = fields.text("host_port", "");
-  m.state = static_cast<MemberState>(fields.word("phase", kPhases));
+  m.state = static_cast<EndpointState>(fields.word("phase", kPhases));
   m.weight = fields.number("size", 1);
   m.cell = fields.small("cell", 0);
   m.zone = place(fields, "locality", names.zones);
--- a/src/codec/bulletin.h
+++ b/src/codec/bulletin.h
@@ -14,7 +14,7 @@
 
 /// A member as the bulletin names it, with where it listens. Zone and kind are places in the settings' lists.
 struct ListedMember {
-  Member member;
+  Endpoint member;
   std::string address;
   Time process{0};  ///< when its process started, as the bulletin tells; `member.started` may be put later
 };
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -117,7 +117,7 @@
   read_own_settings(config, root.object("settings"));
   if (root.find("peers") != nullptr)
     config.peers = read_peers(root.object("peers"), config.name, config.settings.zone,
-                              config.settings.routers, config.max_sockets);
+                              config.settings.router_count, config.max_sockets);
   if (root.find("policy") != nullptr) {
     if (!config.peers) root.fail("policy", "needs the section peers");
     config.policy = read_policy(root.object("policy"), config.name);
--- a/src/config/settings_check.cpp
+++ b/src/config/settings_check.cpp
@@ -38,7 +38,7 @@
   const auto classes = fields.objects("request_classes");
   for (std::size_t i = 0; i < classes.size(); ++i) check_class(classes[i], settings.classes[i], names);
   place(fields, "az", "azs");
-  if (settings.routers < 1) fields.fail("fleet_size", "should be 1 or more");
+  if (settings.router_count < 1) fields.fail("fleet_size", "should be 1 or more");
   not_negative(fields, {"tick"});
   const Fields rules = fields.object_or_empty("rules");
   not_negative(rules, {"answer_slack", "drain_grace", "warm_after", "fall", "fall_multiple", "must_ask_in"});
--- a/src/edge/bulletin_link.cpp
+++ b/src/edge/bulletin_link.cpp
@@ -31,8 +31,9 @@
       names_(config.names),
       last_(config.known_number),
       wait_(kFirstWait),
-      first_patience_(std::clamp(std::min(config.settings.purge_slack, config.settings.drain_grace) / 2,
-                                 kLeastPatience, kMostPatience)),
+      first_patience_(
+          std::clamp(std::min(config.settings.invalidation_slack, config.settings.drain_grace) / 2,
+                     kLeastPatience, kMostPatience)),
       patience_(first_patience_),
       draws_(config.seed) {}
 
--- a/src/edge/copies.cpp
+++ b/src/edge/copies.cpp
@@ -22,7 +22,7 @@
       lanes_(flow_ > 0 ? static_cast<std::size_t>(std::clamp(config.link_bytes_per_s / flow_, 0.0, 64.0))
                        : 0),
       room_(config.memory / kCopiesPart),
-      purges_kept_(2 * config.settings.purge_cleared) {}
+      purges_kept_(2 * config.settings.invalidation_settled_after) {}
 
 void Copies::resize(std::size_t memory) {
   room_ = memory / kCopiesPart;
--- a/src/edge/load_log.cpp
+++ b/src/edge/load_log.cpp
@@ -10,7 +10,7 @@
 namespace dahliahall::edge {
 namespace {
 
-std::string_view name_of(Ending ending) {
+std::string_view name_of(AttemptResult ending) {
   static constexpr std::array<std::string_view, 10> names{"served",      "error",  "shed",      "timed_out",
                                                           "unreachable", "broken", "cancelled", "unsent",
                                                           "missing",     "spoilt"};
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-void LoadLog::ended(Context& context, const Ended& ended, Ending ending) {
+void LoadLog::ended(Context& context, const Ended& ended, AttemptResult ending) {
   ++endings_[ended.member][ending];
-  if (ending == Ending::served || ++wrong_told_ > kWrongTold) return;
+  if (ending == AttemptResult::served || ++wrong_told_ > kWrongTold) return;
   context.log("wrong request=" + ended.request + " attempt=" + std::to_string(ended.number) + " member=" +
               ended.member + " source=" + ended.source + " ending=" + std::string(name_of(ending)) +
               " took_ms=" + std::to_string(ended.took.count() / 1000));
@@ -29,15 +29,15 @@
 
 void LoadLog::tell(Context& context, const Now& now) {
   if (seen != Seen{}) {
-    const Router::Beliefs& believed = now.believed;
-    context.log(
-        "load taken=" + std::to_string(seen.taken) + " attempts=" + std::to_string(seen.attempts) +
-        " served=" + std::to_string(seen.served) + " own=" + std::to_string(seen.own) +
-        " refused=" + std::to_string(seen.refused) + " turned_away=" + std::to_string(seen.turned_away) +
-        " failed=" + std::to_string(seen.failed) + " open=" + std::to_string(now.open) +
-        " out=" + std::to_string(now.out) + " believed_out=" + std::to_string(believed.out) +
-        " shut=" + std::to_string(believed.shut) + " members=" + std::to_string(now.members) +
-        " kept=" + std::to_string(believed.kept + now.kept) + " sockets=" + std::to_string(now.sockets));
+    const Router::Stats& believed = now.believed;
+    context.log("load taken=" + std::to_string(seen.taken) + " attempts=" + std::to_string(seen.attempts) +
+                " served=" + std::to_string(seen.served) + " own=" + std::to_string(seen.own) + " refused=" +
+                std::to_string(seen.refused) + " turned_away=" + std::to_string(seen.turned_away) +
+                " failed=" + std::to_string(seen.failed) + " open=" + std::to_string(now.open) +
+                " out=" + std::to_string(now.out) + " believed_out=" + std::to_string(believed.in_flight) +
+                " shut=" + std::to_string(believed.ejected) + " members=" + std::to_string(now.members) +
+                " kept=" + std::to_string(believed.table_entries + now.kept) +
+                " sockets=" + std::to_string(now.sockets));
   }
   seen = {};
   wrong_told_ = 0;
@@ -45,7 +45,7 @@
     std::string line = "endings member=" + member;
     for (const auto& [ending, count] : endings)
       line.append(" ").append(name_of(ending)).append("=").append(std::to_string(count));
-    if (endings.size() > 1 || endings.begin()->first != Ending::served) context.log(std::move(line));
+    if (endings.size() > 1 || endings.begin()->first != AttemptResult::served) context.log(std::move(line));
   }
 }
 
--- a/src/edge/load_log.h
+++ b/src/edge/load_log.h
@@ -23,7 +23,7 @@
   /// What is so now.
   struct Now {
     std::size_t open = 0, out = 0;
-    Router::Beliefs believed;
+    Router::Stats believed;
     std::size_t members = 0, kept = 0;  ///< kept: beside what the module keeps
     int sockets = 0;
   };
@@ -33,12 +33,12 @@
   /// An attempt is over. One line where it ended wrong, so that its request can be followed by its id through
   /// all proxies. Guards the log against a trouble that ends hundreds of them a second: the sums are told all
   /// the same.
-  void ended(Context& context, const Ended& ended, Ending ending);
+  void ended(Context& context, const Ended& ended, AttemptResult ending);
   /// The lines of the second that is over.
   void tell(Context& context, const Now& now);
 
  private:
-  std::map<std::string, std::map<Ending, int>> endings_;  // by member
+  std::map<std::string, std::map<AttemptResult, int>> endings_;  // by member
   int wrong_told_ = 0;
 };
 
--- a/src/edge/membership.cpp
+++ b/src/edge/membership.cpp
@@ -15,7 +15,7 @@
   if (found == by_hand_.end() && !agreed_out) return listed;
   codec::ListedMember told = listed;
   if (agreed_out || found->second.out) {
-    if (told.member.state == MemberState::running) told.member.state = MemberState::draining;
+    if (told.member.state == EndpointState::running) told.member.state = EndpointState::draining;
   } else {
     // Guards against pushing over a member that was restarted while it was out, of which the bulletin may not
     // have told yet: it counts as cold from the moment it was put back. Harm: one that was not restarted is
@@ -38,7 +38,7 @@
     codec::ListedMember listed = news;
     const auto before = listed_.find(news.member.id);
     if (listed.address.empty() && before != listed_.end()) listed.address = before->second.address;
-    if (news.member.state != MemberState::gone) {
+    if (news.member.state != EndpointState::removed) {
       listed_[news.member.id] = listed;
     } else if (before != listed_.end()) {
       listed_.erase(before);
--- a/src/edge/operators.cpp
+++ b/src/edge/operators.cpp
@@ -87,7 +87,7 @@
   tell_of("backend_calls", written, "|c");
   tell_of("inflight", parts_.requests.open(), "|g");
   tell_of("hosts_listed", parts_.pool.members(), "|g");
-  tell_of("hosts_down", parts_.pool.not_running() + parts_.router.beliefs().shut, "|g");
+  tell_of("hosts_down", parts_.pool.not_running() + parts_.router.stats().ejected, "|g");
   return text + parts_.peering.figures() + parts_.agreeing.figures();
 }
 
--- a/src/edge/peering.cpp
+++ b/src/edge/peering.cpp
@@ -52,7 +52,7 @@
   return state_->next_due();
 }
 
-std::optional<Portion> Peering::changed_portion(int fleet, int here) {
+std::optional<QuotaChanged> Peering::changed_portion(int fleet, int here) {
   if (!settings_ || (!asked_anew_ && context_.now < part_.until)) return std::nullopt;
   asked_anew_ = false;
   const limits::Shares::Part before = part_;
@@ -62,7 +62,7 @@
   if (state_)
     context_.log("peers share held=" + std::string(part_.held ? "1" : "0") +
                  " of_all=" + std::to_string(part_.of_all) + " of_zone=" + std::to_string(part_.of_zone));
-  return Portion{part_.of_all * std::max(1, fleet), part_.of_zone * std::max(1, here)};
+  return QuotaChanged{part_.of_all * std::max(1, fleet), part_.of_zone * std::max(1, here)};
 }
 
 void Peering::stop() {
--- a/src/edge/peering.h
+++ b/src/edge/peering.h
@@ -25,7 +25,7 @@
   /// The part of its even share that this proxy may use from now on, where that has changed: to be asked for
   /// before anything is decided, since a lease may have run out meanwhile. `here`: proxies of this location,
   /// by the settings.
-  std::optional<Portion> changed_portion(int fleet, int here);
+  std::optional<QuotaChanged> changed_portion(int fleet, int here);
   void stop();
   /// Bytes of another part, for that member.
   void carry(const std::string& to, std::string bytes) { take(peers::Carry{to, std::move(bytes)}); }
--- a/src/edge/policy_text.cpp
+++ b/src/edge/policy_text.cpp
@@ -23,12 +23,12 @@
 void read_class(const Json& said, const Fields& fields, std::size_t at, PolicyTerms& terms) {
   check_keys(said, fields, {"aim", "worth", "late_worth", "refused"});
   RequestClass& c = terms.settings.classes[at];
-  c.aim = fields.time("aim", c.aim);
-  if (c.aim <= Time{0} || c.aim > c.deadline)
+  c.latency_objective = fields.time("aim", c.latency_objective);
+  if (c.latency_objective <= Time{0} || c.latency_objective > c.deadline)
     fields.fail("aim", "should be more than 0, and the deadline at most");
-  c.worth = fields.number("worth", c.worth);
-  c.late_worth = fields.number("late_worth", c.late_worth);
-  if (c.worth < 0 || c.late_worth < 0) fields.fail("worth", "should be 0 or more");
+  c.priority_weight = fields.number("worth", c.priority_weight);
+  c.late_weight = fields.number("late_worth", c.late_weight);
+  if (c.priority_weight < 0 || c.late_weight < 0) fields.fail("worth", "should be 0 or more");
   if (fields.boolean("refused", false)) terms.refused_classes.insert(at);
 }
 
@@ -47,7 +47,7 @@
   Settings& s = terms.settings;
   s.max_attempts = root.small("attempts_cap", s.max_attempts);
   if (s.max_attempts < 1 || s.max_attempts > kMostAttempts) root.fail("attempts_cap", "should be 1 to 64");
-  s.second_copies = root.boolean("second_copies", s.second_copies);
+  s.hedging = root.boolean("second_copies", s.hedging);
   s.max_retry_after = root.time("max_retry_after", s.max_retry_after);
   if (s.max_retry_after < Time{0}) root.fail("max_retry_after", "should be 0 or more");
   const Fields classes = root.object_or_empty("classes");
--- a/src/edge/pool.cpp
+++ b/src/edge/pool.cpp
@@ -34,8 +34,8 @@
     if (name == "inflight") report.in_flight = value;
     if (name == "queue") report.queued = value;
     if (name == "util") report.busy = value;
-    if (name == "x0") report.hit_share = value;
-    if (name == "x1") report.link_fill = value;
+    if (name == "x0") report.hit_ratio = value;
+    if (name == "x1") report.link_utilization = value;
   }
   return report;
 }
@@ -52,7 +52,7 @@
       idle_(std::max(config.connection_idle - kBeforePeer, config.connection_idle / 2)),
       per_link_(static_cast<std::size_t>(config.requests_per_connection)),
       report_via_(config.settings.report_via),
-      cancelling_(config.settings.cancelling),
+      cancelling_(config.settings.cancellation),
       owed_(std::move(owed)),
       written_(config.settings.classes.size()) {}
 
@@ -60,14 +60,14 @@
 
 void Pool::apply(const codec::Roster& roster) {
   if (roster.complete) {  // who is not in it is gone
-    for (auto& [id, entry] : members_) entry.member.state = MemberState::gone;
+    for (auto& [id, entry] : members_) entry.member.state = EndpointState::removed;
   }
   for (const codec::ListedMember& listed : roster.members) {
     MemberEntry& entry = members_[listed.member.id];
     // Guards against an id whose process or address is another one now: the old connections, which may be
     // silent for ever, are not its own.
     const bool moved = !listed.address.empty() && entry.address != listed.address;
-    if (listed.member.state != MemberState::gone && (entry.process != listed.process || moved)) {
+    if (listed.member.state != EndpointState::removed && (entry.process != listed.process || moved)) {
       retire(entry, CloseReason::member_replaced);
     }
     entry.member = listed.member;
@@ -75,7 +75,7 @@
     if (!listed.address.empty()) entry.address = listed.address;
   }
   for (auto& [id, entry] : members_) {
-    if (entry.member.state != MemberState::gone) continue;
+    if (entry.member.state != EndpointState::removed) continue;
     retire(entry, CloseReason::member_left);
   }
   for (auto& [id, link] : links_) drop_queued(id);
@@ -83,7 +83,7 @@
     end_if_in_write(id, [this](const Order& o) { return !may_go(o); });
   // Guards the memory through days on which members are replaced for ever: their links have ended, or will
   // within a moment, and with them all attempts on them.
-  std::erase_if(members_, [](const auto& m) { return m.second.member.state == MemberState::gone; });
+  std::erase_if(members_, [](const auto& m) { return m.second.member.state == EndpointState::removed; });
 }
 
 /// The member's process has gone, or is another one now. Guards answers that it gave before against being
@@ -97,20 +97,20 @@
     }
     entry.links.erase(id);
     link.retired = reason;
-    for (const Key& key : std::deque(link.waiting)) finish(key, Ending::unsent);
+    for (const Key& key : std::deque(link.waiting)) finish(key, AttemptResult::not_sent);
     context_.close_when_read(id);
   }
 }
 
 std::size_t Pool::not_running() const {
   return static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(), [](const auto& m) {
-    return m.second.member.state != MemberState::running;
+    return m.second.member.state != EndpointState::running;
   }));
 }
 
 bool Pool::takes_new(const std::string& member) const {
   const auto found = members_.find(member);
-  return found != members_.end() && found->second.member.state == MemberState::running;
+  return found != members_.end() && found->second.member.state == EndpointState::running;
 }
 
 bool Pool::may_go(const Order& order) const { return takes_new(order.member) && takes_new(order.source); }
@@ -126,7 +126,7 @@
         order.until <= context_.now || (order.send_by > Time{0} && order.send_by <= context_.now);
     if (too_late || !owed_(order.request) || !may_go(order)) gone.push_back(key);
   }
-  for (const Key& key : gone) finish(key, Ending::unsent);
+  for (const Key& key : gone) finish(key, AttemptResult::not_sent);
 }
 
 /// What is being written on a connection that takes no more bytes may begin much later. Where the attempt in
@@ -239,7 +239,9 @@
   const Time until = order.until;
   attempts_[key] = {std::move(order), id, false};
   if (id == 0) {
-    finish(key, Ending::unsent);  // also for want of a descriptor, which is no evidence against the member
+    finish(
+        key,
+        AttemptResult::not_sent);  // also for want of a descriptor, which is no evidence against the member
     return;
   }
   context_.timers.add(until, {Due::attempt_timeout, key.first, key.second, 0});
@@ -284,7 +286,7 @@
   context_.write(id, std::move(out));
 }
 
-void Pool::finish(const Key& key, Ending ending, codec::CacheAnswer answer) {
+void Pool::finish(const Key& key, AttemptResult ending, codec::CacheAnswer answer) {
   const auto found = attempts_.find(key);
   if (found == attempts_.end()) return;
   Outstanding& attempt = found->second;
@@ -302,7 +304,7 @@
 }
 
 /// The ending of an attempt that this side broke off.
-void Pool::finish_later(const Key& key, Ending ending) {
+void Pool::finish_later(const Key& key, AttemptResult ending) {
   finish(key, ending);
   held_back_.push_back(std::move(ended_.back()));
   ended_.pop_back();
@@ -315,18 +317,18 @@
   held_back_.pop_front();
 }
 
-void Pool::abandon(const Key& key, Ending ending) {
+void Pool::abandon(const Key& key, AttemptResult ending) {
   const auto found = attempts_.find(key);
   if (found == attempts_.end()) return;
   if (!found->second.written) {
-    finish(key, Ending::unsent);
+    finish(key, AttemptResult::not_sent);
     return;
   }
   const ConnectionId id = found->second.link;
   Link& link = links_.at(id);
   ++link.unanswered;
   if (cancelling_) link.commands += codec::write_cancel(key.first);
-  if (ending == Ending::cancelled) {
+  if (ending == AttemptResult::cancelled) {
     finish(key, ending);
   } else {
     finish_later(key, ending);
@@ -334,9 +336,11 @@
   flush(id);
 }
 
-void Pool::cancel(const std::string& request, int number) { abandon({request, number}, Ending::cancelled); }
+void Pool::cancel(const std::string& request, int number) {
+  abandon({request, number}, AttemptResult::cancelled);
+}
 void Pool::timed_out(const std::string& request, int number) {
-  abandon({request, number}, Ending::timed_out);
+  abandon({request, number}, AttemptResult::timed_out);
 }
 
 void Pool::probe(const std::string& member) {
@@ -360,7 +364,7 @@
   return true;
 }
 
-bool Pool::take_probed(Probed& probed) {
+bool Pool::take_probed(HealthChecked& probed) {
   if (probed_.empty()) return false;
   probed = std::move(probed_.front());
   probed_.pop_front();
@@ -408,19 +412,19 @@
   switch (answer.word) {
     case AnswerWord::hit:
     case AnswerWord::valid:
-      finish(key, Ending::served, std::move(answer));
+      finish(key, AttemptResult::served, std::move(answer));
       break;
     case AnswerWord::none:
-      finish(key, Ending::missing);
+      finish(key, AttemptResult::cache_miss);
       break;
     case AnswerWord::shed:
-      finish(key, Ending::shed);
+      finish(key, AttemptResult::shed);
       break;
     case AnswerWord::late:
-      finish(key, Ending::unsent);
+      finish(key, AttemptResult::not_sent);
       break;
     default:
-      finish(key, Ending::error);
+      finish(key, AttemptResult::error);
   }
 }
 
@@ -460,14 +464,15 @@
     member->second.links.erase(id);
   context_.ended({"member", id, link.opened, link.requests, link.member}, link.retired.value_or(reason),
                  close_it);
-  for (const Key& key : link.waiting) finish(key, link.up ? Ending::unsent : Ending::unreachable);
+  for (const Key& key : link.waiting)
+    finish(key, link.up ? AttemptResult::not_sent : AttemptResult::unreachable);
   for (const auto& [request, number] : link.open) {
     if (reason == CloseReason::bad_answer) {
-      finish_later({request, number}, Ending::spoilt);
+      finish_later({request, number}, AttemptResult::malformed_response);
     } else if (close_it || link.retired) {
-      finish_later({request, number}, Ending::broken);
+      finish_later({request, number}, AttemptResult::connection_lost);
     } else {
-      finish({request, number}, Ending::broken);
+      finish({request, number}, AttemptResult::connection_lost);
     }
   }
   for (const auto& [tag, at] : link.probes)
--- a/src/edge/pool.h
+++ b/src/edge/pool.h
@@ -36,7 +36,7 @@
   std::string request;
   int number = 0;
   std::string member, source;
-  Ending ending = Ending::unsent;
+  AttemptResult ending = AttemptResult::not_sent;
   Time took{0};
   codec::CacheAnswer answer;  ///< of a served one
 };
@@ -57,7 +57,7 @@
   void probe(const std::string& member);
   /// The next ending, oldest first; the caller tells the module of it.
   bool take_ended(Ended& ended);
-  bool take_probed(Probed& probed);
+  bool take_probed(HealthChecked& probed);
   /// Endings that were held back until now.
   void late_endings();
 
@@ -84,7 +84,7 @@
  private:
   using Key = std::pair<std::string, int>;
   struct MemberEntry {
-    Member member;
+    Endpoint member;
     std::string address;
     Time process{0};
     std::set<ConnectionId> links;
@@ -122,13 +122,13 @@
   void end_if_in_write(ConnectionId id, const std::function<bool(const Order&)>& stale);
   void flush(ConnectionId id);
   std::string render(const Order& order) const;
-  void finish(const Key& key, Ending ending, codec::CacheAnswer answer = {});
-  void finish_later(const Key& key, Ending ending);
+  void finish(const Key& key, AttemptResult ending, codec::CacheAnswer answer = {});
+  void finish_later(const Key& key, AttemptResult ending);
   void drop_queued(ConnectionId id);
   void retire(MemberEntry& entry, CloseReason reason);
   void end(ConnectionId id, CloseReason reason, bool close_it);
   void on_answer(ConnectionId id, codec::CacheAnswer answer);
-  void abandon(const Key& key, Ending ending);
+  void abandon(const Key& key, AttemptResult ending);
 
   Context& context_;
   Time connect_timeout_, idle_;
@@ -141,7 +141,7 @@
   std::map<Key, Outstanding> attempts_;
   std::deque<Ended> ended_;
   std::deque<Ended> held_back_;
-  std::deque<Probed> probed_;
+  std::deque<HealthChecked> probed_;
   std::uint64_t last_probe_ = 0;
   std::vector<std::uint64_t> written_;
 };
--- a/src/edge/reducer.cpp
+++ b/src/edge/reducer.cpp
@@ -220,7 +220,7 @@
     const auto here = static_cast<std::size_t>(settings_.zone);
     const auto& by_zone = settings_.routers_by_zone;
     if (const auto portion = peering_.changed_portion(
-            settings_.routers, here < by_zone.size() ? by_zone[here] : settings_.routers))
+            settings_.router_count, here < by_zone.size() ? by_zone[here] : settings_.router_count))
       tell(*portion);
   }
 
@@ -242,7 +242,7 @@
     if (!terms) return;
     running_.settings = std::move(terms->settings);
     refused_classes_ = std::move(terms->refused_classes);
-    tell(Resettle{settings_});
+    tell(SettingsChanged{settings_});
     const codec::Roster changed = membership_.set_agreed(std::move(terms->out), context_.now);
     if (!changed.members.empty()) spread(changed, ListKind::changes);
     settle();
@@ -317,7 +317,7 @@
   }
 
   void tell_load() {
-    load_.tell(context_, {requests_.open(), pool_.out(), router_.beliefs(), pool_.members(),
+    load_.tell(context_, {requests_.open(), pool_.out(), router_.stats(), pool_.members(),
                           context_.timers.size() + copies_.held(), context_.sockets});
     if (!stopped_) context_.timers.add(context_.now + kTellEvery, {Due::tell_load, {}, 0, 0});
   }
@@ -391,7 +391,7 @@
     // Guards the rule on purges: without its news a copy may be older than one that counts as told.
     if (!request.write && taken->key.empty() && taken->body.empty() && bulletin_.heard() &&
         copies_.find(key_of(request), context_.now, max_age_of(request)) != nullptr)
-      request.own_copy = copies_.wait(context_.now);
+      request.local_copy_wait = copies_.wait(context_.now);
     requests_.take(std::move(*taken));
     context_.timers.add(request.expires, {Due::request_expired, request.id, 0, 0});
     tell(request);
@@ -436,7 +436,7 @@
   /// The client waits no longer: no answer is owed.
   void withdraw(const std::string& request) {
     if (!requests_.forget(request)) return;
-    tell(Withdrawn{request});
+    tell(RequestCancelled{request});
     settle();
   }
 
@@ -447,7 +447,7 @@
     const int attempts = taken->attempts;
     for (int n = 0; n < attempts; ++n) pool_.timed_out(request, n);
     requests_.failed(request);
-    tell(Withdrawn{request});
+    tell(RequestCancelled{request});
   }
 
   // ---- The bulletin ----
@@ -465,14 +465,14 @@
                    " complete=" + (event.roster->complete ? "1" : "0") +
                    " members=" + std::to_string(event.roster->members.size()));
       spread(membership_.take(*event.roster, context_.now), !event.roster->complete ? ListKind::changes
-                                                            : remembered            ? ListKind::remembered
-                                                                                    : ListKind::whole);
+                                                            : remembered ? ListKind::from_configuration
+                                                                         : ListKind::complete);
     }
     if (event.recall) {
       pool_.purged(*event.recall);
       copies_.purged(*event.recall, context_.now);
-      tell(Purge{event.recall->object, event.recall->group,
-                 std::max(Time{0}, context_.now - event.recall->issued)});
+      tell(Invalidation{event.recall->object, event.recall->group,
+                        std::max(Time{0}, context_.now - event.recall->issued)});
     }
     settle();
   }
@@ -480,8 +480,8 @@
   /// Tells the pool and the module of members as they are to be treated from now on.
   void spread(const codec::Roster& roster, ListKind kind) {
     pool_.apply(roster);
-    MemberList list{kind, {}};
-    for (const codec::ListedMember& m : roster.members) list.members.push_back(m.member);
+    EndpointList list{kind, {}};
+    for (const codec::ListedMember& m : roster.members) list.endpoints.push_back(m.member);
     tell(list);
   }
 
@@ -496,7 +496,7 @@
   /// Tells the module of what has ended meanwhile, until nothing is left to tell.
   void settle() {
     Ended ended;
-    Probed probed;
+    HealthChecked probed;
     while (true) {
       if (pool_.take_ended(ended)) {
         report(ended);
@@ -512,18 +512,18 @@
     Outcome outcome;
     outcome.request = ended.request;
     outcome.attempt = ended.number;
-    outcome.member = ended.member;
-    outcome.ending = ended.ending;
+    outcome.endpoint = ended.member;
+    outcome.result = ended.ending;
     // Guards clients against being told that the copy they hold is the one, where they hold none, or against
     // bytes that such an answer can't bring.
-    if (ended.ending == Ending::served && ended.answer.word == codec::AnswerWord::valid) {
+    if (ended.ending == AttemptResult::served && ended.answer.word == codec::AnswerWord::valid) {
       const Taken* taken = requests_.find(ended.request);
       if (taken != nullptr && (taken->held_tag.empty() || !ended.answer.body.empty()))
-        outcome.ending = Ending::spoilt;
+        outcome.result = AttemptResult::malformed_response;
     }
-    outcome.took = ended.took;
-    load_.ended(context_, ended, outcome.ending);
-    if (outcome.ending == Ending::served) {
+    outcome.duration = ended.took;
+    load_.ended(context_, ended, outcome.result);
+    if (outcome.result == AttemptResult::served) {
       if (const Taken* taken = requests_.find(ended.request)) {
         ++load_.seen.served;
         const Request& r = taken->request;
@@ -531,7 +531,7 @@
         requests_.served(ended.request, ended.answer);
       }
     }
-    outcome.settled = requests_.find(ended.request) == nullptr;
+    outcome.request_finished = requests_.find(ended.request) == nullptr;
     tell(outcome);
   }
 
@@ -539,11 +539,11 @@
     ++load_.seen.attempts;
     Order order;
     order.request = a.request;
-    order.member = a.member;
-    order.source = a.source.empty() ? a.member : a.source;
+    order.member = a.endpoint;
+    order.source = a.source.empty() ? a.endpoint : a.source;
     order.decided = context_.now;
     order.until = context_.now;  // unless somebody waits: then it is unsent
-    order.oldest = a.oldest;
+    order.oldest = a.max_copy_age;
     if (Taken* found = requests_.find(a.request)) {
       Taken& taken = *found;
       order.number = taken.attempts++;
@@ -569,19 +569,19 @@
     if (!taken.piece.empty()) fields.add("nth", taken.piece);
     if (!taken.key.empty()) fields.add("replay", taken.key);
     if (!taken.held_tag.empty()) fields.add("seen", taken.held_tag);
-    if (a.rank != Rank::unkept) fields.add("rank", std::to_string(static_cast<int>(a.rank)));
+    if (a.rank != Rank::uncached) fields.add("rank", std::to_string(static_cast<int>(a.rank)));
     std::string mode;
-    if (a.join) mode += "collapse+";
-    if (a.held_only) mode += "only-if-cached+";
-    if (a.parent_keeps_none) mode += "no-store-up+";
-    if (a.renew) mode += "refresh+";
+    if (a.join_fill) mode += "collapse+";
+    if (a.cached_only) mode += "only-if-cached+";
+    if (a.parent_uncached) mode += "no-store-up+";
+    if (a.stale_while_revalidate) mode += "refresh+";
     if (mode.empty()) return;
     mode.pop_back();
     fields.add("mode", mode);
   }
 
   void perform(const Cancel& c) { pool_.cancel(c.request, c.attempt); }
-  void perform(const Refuse& r) {
+  void perform(const Reject& r) {
     ++load_.seen.refused;
     requests_.refused(r.request, r.retry_after);
   }
@@ -589,7 +589,7 @@
     ++load_.seen.failed;
     requests_.failed(f.request);
   }
-  void perform(const ServeOwn& own) {
+  void perform(const ServeFromLocalCache& own) {
     const Taken* taken = requests_.find(own.request);
     if (taken == nullptr) return;
     const Copies::Copy* copy = copies_.find(key_of(taken->request), context_.now, max_age_of(taken->request));
@@ -600,13 +600,13 @@
     ++load_.seen.own;
     requests_.served(own.request, same ? std::string_view() : std::string_view(copy->body), copy->tag, same);
   }
-  void perform(const Wake& w) {
+  void perform(const SetTimer& w) {
     context_.timers.add(context_.now + w.after, {Due::module_wake, std::to_string(w.token), 0, 0});
   }
-  void perform(const ProbeMember& p) { pool_.probe(p.member); }
-  void perform(const FetchList&) {}      // the bulletin tells of every change by itself
-  void perform(const SubscribeList&) {}  // likewise
-  void perform(const Remark& r) { context_.log("remark " + r.text); }
+  void perform(const CheckHealth& p) { pool_.probe(p.endpoint); }
+  void perform(const FetchEndpointList&) {}      // the bulletin tells of every change by itself
+  void perform(const SubscribeEndpointList&) {}  // likewise
+  void perform(const LogMessage& r) { context_.log("remark " + r.text); }
 
   config::Config running_;  // as reloaded; its settings are those of the start
   const Settings& settings_;
--- a/src/edge/requests.cpp
+++ b/src/edge/requests.cpp
@@ -57,7 +57,7 @@
 /// Guards the module's means of work against sizes that no object has.
 double Requests::most_kb(const RequestClass& c) const {
   const double most = kMostDeadlines * std::chrono::duration<double>(c.deadline).count();
-  return settings_.stream_kb_per_s > 0 ? most * settings_.stream_kb_per_s : 1e9;
+  return settings_.transfer_kb_per_s > 0 ? most * settings_.transfer_kb_per_s : 1e9;
 }
 
 std::optional<Taken> Requests::read(ConnectionId front, Asked& call, std::optional<Time> answer_by) const {
@@ -77,12 +77,12 @@
   const auto piece = number_of<std::uint64_t>(taken.piece.empty() ? "0" : taken.piece);
   const auto lot = number_of<std::int64_t>(fields.text("lot").empty() ? "0" : fields.text("lot"));
   const auto kb = number_of<double>(fields.text("ram").empty() ? "0" : fields.text("ram"));
-  const bool good = call.readable && known != classes.end() && hex16(id) && hex16(taken.item) && limit &&
-                    *limit > 0 && std::chrono::milliseconds(*limit) <= kMostDeadlines * known->deadline &&
-                    piece && lot && *lot >= 0 && *lot <= 255 && kb && *kb >= 0 && *kb <= most_kb(*known) &&
-                    *piece <= kMaxPiece && call.body.size() <= kMaxSent &&
-                    (taken.held_tag.empty() || plain(taken.held_tag)) &&
-                    (taken.key.empty() ? known->effect != dahliahall::Effect::keyed : plain(taken.key));
+  const bool good =
+      call.readable && known != classes.end() && hex16(id) && hex16(taken.item) && limit && *limit > 0 &&
+      std::chrono::milliseconds(*limit) <= kMostDeadlines * known->deadline && piece && lot && *lot >= 0 &&
+      *lot <= 255 && kb && *kb >= 0 && *kb <= most_kb(*known) && *piece <= kMaxPiece &&
+      call.body.size() <= kMaxSent && (taken.held_tag.empty() || plain(taken.held_tag)) &&
+      (taken.key.empty() ? known->idempotency != dahliahall::Idempotency::with_key : plain(taken.key));
   if (!good) return std::nullopt;
   Request& r = taken.request;
   r.id = id;
@@ -90,11 +90,11 @@
   std::from_chars(taken.item.data(), taken.item.data() + taken.item.size(), r.object, 16);
   r.part = *piece;
   r.group = *lot;
-  r.kb = *kb;
+  r.size_kb = *kb;
   const Time patience = std::chrono::milliseconds(*limit);
   r.expires = context_.now + std::max(patience - kTravel, patience / 2);
   if (answer_by) r.expires = std::min(r.expires, *answer_by);
-  r.write = known->never_kept;
+  r.write = known->uncacheable;
   r.client_retry = fields.text("second") == "1";
   taken.body = std::move(call.body);
   return taken;
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -23,12 +23,12 @@
 constexpr std::array<std::string_view, 9> kEndings{
     "delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused", "empty"};
 
-std::vector<Member> read_members(const Fields& fields) {
-  std::vector<Member> members;
+std::vector<Endpoint> read_members(const Fields& fields) {
+  std::vector<Endpoint> members;
   for (const Fields& entry : fields.objects("nodes_list")) {
-    Member m;
+    Endpoint m;
     m.id = entry.text("store");
-    m.state = static_cast<MemberState>(entry.word("state", kStates));
+    m.state = static_cast<EndpointState>(entry.word("state", kStates));
     m.weight = entry.number("power_hint", 1);
     m.zone = entry.small("locality", 0);
     m.cell = entry.small("stripe", 0);
@@ -49,10 +49,10 @@
   return LoadReport{value("busy"), value("rif"), value("q"), value("x0"), value("x1")};
 }
 
-Note read_note(const Fields& fields) {
+CacheStatus read_note(const Fields& fields) {
   const std::int64_t detail = fields.integer("detail", 0);
-  const bool known = detail > 0 && detail <= static_cast<std::int64_t>(Note::origin_failed);
-  return known ? static_cast<Note>(detail) : Note::unknown;
+  const bool known = detail > 0 && detail <= static_cast<std::int64_t>(CacheStatus::origin_failed);
+  return known ? static_cast<CacheStatus>(detail) : CacheStatus::unknown;
 }
 
 Request read_request(const Fields& fields) {
@@ -62,7 +62,7 @@
   r.object = object_id(fields, "file");
   r.part = static_cast<std::uint64_t>(fields.number("chunk", 0));
   r.group = static_cast<std::int64_t>(fields.number("batch_id", 0));
-  r.kb = fields.number("kbytes", 0);
+  r.size_kb = fields.number("kbytes", 0);
   r.expires = fields.time("expires");
   r.write = fields.boolean("update", false);
   r.client_retry = fields.boolean("again_by_client", false);
@@ -73,11 +73,11 @@
   Outcome o;
   o.request = fields.text("handle");
   o.attempt = fields.small("n");
-  o.member = fields.text("store");
-  o.ending = static_cast<Ending>(fields.word("outcome", kEndings));
-  o.took = fields.time("rtt", Time{0});
-  o.settled = fields.boolean("settled", false);
-  o.note = read_note(fields);
+  o.endpoint = fields.text("store");
+  o.result = static_cast<AttemptResult>(fields.word("outcome", kEndings));
+  o.duration = fields.time("rtt", Time{0});
+  o.request_finished = fields.boolean("settled", false);
+  o.cache_status = read_note(fields);
   if (fields.find("ttfb") != nullptr) o.first_byte = fields.time("ttfb");
   o.report = read_report(fields);
   return o;
@@ -91,11 +91,11 @@
   void operator()(const Attempt& a) {
     begin("answer_from");
     text("handle", a.request);
-    text("store", a.member);
+    text("store", a.endpoint);
     text("from_where", a.source);
-    number("opts",
-           (a.join ? 1 : 0) + (a.held_only ? 2 : 0) + (a.parent_keeps_none ? 4 : 0) + (a.renew ? 8 : 0));
-    number("how_old", a.oldest.count());
+    number("opts", (a.join_fill ? 1 : 0) + (a.cached_only ? 2 : 0) + (a.parent_uncached ? 4 : 0) +
+                       (a.stale_while_revalidate ? 8 : 0));
+    number("how_old", a.max_copy_age.count());
     number("tier_rank", static_cast<int>(a.rank));
     number("try_for", a.timeout.count());
     end();
@@ -106,7 +106,7 @@
     number("n", c.attempt);
     end();
   }
-  void operator()(const Refuse& r) {
+  void operator()(const Reject& r) {
     begin("bounce");
     text("handle", r.request);
     if (r.retry_after.count() > 0) number("not_before_for", r.retry_after.count());
@@ -117,29 +117,29 @@
     text("handle", f.request);
     end();
   }
-  void operator()(const Wake& w) {
+  void operator()(const SetTimer& w) {
     begin("wake_at");
     number("sleep_for", w.after.count());
     number("label", w.token);
     end();
   }
-  void operator()(const ProbeMember& p) {
+  void operator()(const CheckHealth& p) {
     begin("probe");
-    text("store", p.member);
+    text("store", p.endpoint);
     end();
   }
-  void operator()(const ServeOwn&) {}  // the simulator's routers hold no copies
-  void operator()(const FetchList&) {
+  void operator()(const ServeFromLocalCache&) {}  // the simulator's routers hold no copies
+  void operator()(const FetchEndpointList&) {
     begin("read_list");
     end();
   }
-  void operator()(const SubscribeList&) {
+  void operator()(const SubscribeEndpointList&) {
     begin("observe");
     json_.Key("enable");
     json_.Bool(true);
     end();
   }
-  void operator()(const Remark& r) {
+  void operator()(const LogMessage& r) {
     begin("journal_line");
     text("reason_text", r.text);
     end();
@@ -201,14 +201,14 @@
     } else if (what == "report_back") {
       deliver(fields, read_outcome(fields));
     } else if (what == "sampled") {
-      deliver(fields, Probed{fields.text("store"), fields.word("outcome", kEndings) == 0,
-                             fields.time("rtt", Time{0}), read_report(fields)});
+      deliver(fields, HealthChecked{fields.text("store"), fields.word("outcome", kEndings) == 0,
+                                    fields.time("rtt", Time{0}), read_report(fields)});
     } else if (what == "invalidated") {
-      Purge purge{std::nullopt, fields.integer("bucket", 0), fields.time("how_old", Time{0})};
+      Invalidation purge{std::nullopt, fields.integer("bucket", 0), fields.time("how_old", Time{0})};
       if (fields.find("file") != nullptr) purge.object = object_id(fields, "file");
       deliver(fields, purge);
     } else if (what == "withdrawn") {
-      deliver(fields, Withdrawn{fields.text("handle")});
+      deliver(fields, RequestCancelled{fields.text("handle")});
     } else if (what == "streaming") {
       deliver(fields, StreamStarted{fields.text("handle"), fields.small("n")});
     } else if (what != "message") {  // routers tell each other nothing
@@ -217,14 +217,14 @@
   }
 
  private:
-  MemberList read_list(const Fields& fields) const {
-    static constexpr std::array<ListKind, 4> kinds{ListKind::changes, ListKind::whole, ListKind::remembered,
-                                                   ListKind::failed};
-    MemberList list{kinds[fields.word("how", kLists)], {}};
+  EndpointList read_list(const Fields& fields) const {
+    static constexpr std::array<ListKind, 4> kinds{ListKind::changes, ListKind::complete,
+                                                   ListKind::from_configuration, ListKind::failed};
+    EndpointList list{kinds[fields.word("how", kLists)], {}};
     if (list.kind != ListKind::failed) {
       const auto found = lists_.find(fields.integer("buffer"));
       if (found == lists_.end()) fields.fail("buffer", "names no list");
-      list.members = found->second;
+      list.endpoints = found->second;
     }
     return list;
   }
@@ -239,7 +239,7 @@
 
   std::ostream& out_;
   Time now_{0};
-  std::map<std::int64_t, std::vector<Member>> lists_;
+  std::map<std::int64_t, std::vector<Endpoint>> lists_;
   std::map<std::int64_t, Router> routers_;
 };
 
--- a/tests/bench_free_world.h
+++ b/tests/bench_free_world.h
@@ -20,44 +20,44 @@
 inline Settings settings() {
   Settings s;
   s.zone = 2;
-  s.routers = 1;
+  s.router_count = 1;
   s.routers_by_zone = {0, 0, 1};
   s.hub_by_zone = {0, 1, 0};
   RequestClass pages;
-  pages.aim = 400ms;
-  pages.aim_stretch = 2;
+  pages.latency_objective = 400ms;
+  pages.latency_objective_per_transfer_time = 2;
   pages.deadline = 2500ms;
   RequestClass forms;
-  forms.aim = 800ms;
+  forms.latency_objective = 800ms;
   forms.deadline = 3000ms;
-  forms.effect = Effect::keyed;
-  forms.memory = 1000ms;
-  forms.never_kept = true;
+  forms.idempotency = Idempotency::with_key;
+  forms.deduplication_window = 1000ms;
+  forms.uncacheable = true;
   RequestClass orders = forms;
-  orders.effect = Effect::unsafe;
+  orders.idempotency = Idempotency::none;
   s.classes = {pages, forms, orders};
   s.parent_kind = 1;
   s.origin_kind = 2;
-  s.straight = true;
-  s.notes = Notes::all;
-  s.stream_kb_per_s = 1000;
+  s.direct_to_sources = true;
+  s.cache_status_detail = CacheStatusDetail::all;
+  s.transfer_kb_per_s = 1000;
   s.tick = 2ms;
-  s.cold_share = 0.25;
-  s.warm_after = 16s;
-  s.fall_multiple = 2;
-  s.fall_span = 2s;
-  s.parent_cold_share = 0.1;
-  s.parent_warm_after = 20s;
-  s.parent_fall_multiple = 2;
-  s.purge_cleared = 6s;
+  s.initial_capacity = 0.25;
+  s.warm_up_time = 16s;
+  s.overload_factor = 2;
+  s.overload_window = 2s;
+  s.parent_initial_capacity = 0.1;
+  s.parent_warm_up_time = 20s;
+  s.parent_overload_factor = 2;
+  s.invalidation_settled_after = 6s;
   s.max_attempts = 8;
-  s.cancelling = true;
-  s.second_copies = true;
+  s.cancellation = true;
+  s.hedging = true;
   return s;
 }
 
-inline Member member(std::string id, int kind, int zone, Time started = Time{0}) {
-  Member m;
+inline Endpoint member(std::string id, int kind, int zone, Time started = Time{0}) {
+  Endpoint m;
   m.id = std::move(id);
   m.kind = kind;
   m.zone = zone;
@@ -65,16 +65,16 @@
   return m;
 }
 
-inline std::vector<Member> members() {
+inline std::vector<Endpoint> members() {
   return {member("cache-a", 0, 2),  member("cache-b", 0, 2),  member("cache-c", 0, 2),
           member("parent-a", 1, 0), member("parent-b", 1, 1), member("origin", 2, 0)};
 }
 
 class World {
  public:
-  explicit World(Settings s = settings(), std::vector<Member> list = members(), std::uint64_t seed = 1)
+  explicit World(Settings s = settings(), std::vector<Endpoint> list = members(), std::uint64_t seed = 1)
       : router_(std::move(s), seed) {
-    feed(MemberList{ListKind::remembered, std::move(list)});
+    feed(EndpointList{ListKind::from_configuration, std::move(list)});
   }
 
   std::vector<Action> feed(const Event& event) {
@@ -98,22 +98,22 @@
     Request r;
     r.id = "r" + std::to_string(++made_);
     r.object = object;
-    r.kb = 50;
+    r.size_kb = 50;
     r.request_class = request_class;
     r.expires = now + patience;
     return r;
   }
 
-  std::vector<Action> finish(const Attempt& a, Ending ending, int n = 0, Note note = Note::hit,
-                             Time took = 50ms) {
+  std::vector<Action> finish(const Attempt& a, AttemptResult ending, int n = 0,
+                             CacheStatus note = CacheStatus::hit, Time took = 50ms) {
     Outcome o;
     o.request = a.request;
-    o.member = a.member;
+    o.endpoint = a.endpoint;
     o.attempt = n;
-    o.ending = ending;
-    o.note = note;
-    o.took = took;
-    o.settled = ending == Ending::served;
+    o.result = ending;
+    o.cache_status = note;
+    o.duration = took;
+    o.request_finished = ending == AttemptResult::served;
     return feed(o);
   }
 
@@ -124,14 +124,14 @@
       if (cancel == nullptr) continue;
       Attempt given_up;
       given_up.request = cancel->request;
-      finish(given_up, Ending::cancelled, cancel->attempt, Note::unknown);
+      finish(given_up, AttemptResult::cancelled, cancel->attempt, CacheStatus::unknown);
     }
   }
 
   /// Asks for an object and has the first attempt served; returns that attempt.
-  Attempt serve(std::uint64_t object, Note note = Note::hit);
+  Attempt serve(std::uint64_t object, CacheStatus note = CacheStatus::hit);
 
-  [[nodiscard]] Router::Beliefs beliefs() const { return router_.beliefs(); }
+  [[nodiscard]] Router::Stats beliefs() const { return router_.stats(); }
 
   Time now{1000s};
   std::vector<Action> all;
@@ -151,10 +151,10 @@
   return found;
 }
 
-inline Attempt World::serve(std::uint64_t object, Note note) {
+inline Attempt World::serve(std::uint64_t object, CacheStatus note) {
   const auto sent = only<Attempt>(feed(request(object)));
   if (sent.empty()) return {};
-  finish(sent.front(), Ending::served, 0, note);
+  finish(sent.front(), AttemptResult::served, 0, note);
   return sent.front();
 }
 
--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 std::size_t final_answers(const std::vector<Action>& actions) {
-  return only<Refuse>(actions).size() + only<Fail>(actions).size();
+  return only<Reject>(actions).size() + only<Fail>(actions).size();
 }
 
 // ---- The ordinary path ----
@@ -34,8 +34,8 @@
   EXPECT_EQ(world.serve(1).rank, Rank::middle);
   EXPECT_EQ(world.serve(200).rank, Rank::low);
   const Attempt bronze = world.serve(300);
-  EXPECT_EQ(bronze.rank, Rank::unkept);
-  EXPECT_TRUE(bronze.parent_keeps_none);
+  EXPECT_EQ(bronze.rank, Rank::uncached);
+  EXPECT_TRUE(bronze.parent_uncached);
 }
 
 TEST(Ranks, AClientsRetryIsNotNewDemand) {
@@ -46,7 +46,7 @@
   again.client_retry = true;
   const auto sent = only<Attempt>(world.feed(again));
   ASSERT_EQ(sent.size(), 1U);
-  EXPECT_EQ(sent.front().rank, Rank::unkept);
+  EXPECT_EQ(sent.front().rank, Rank::uncached);
 }
 
 TEST(Fills, ThatAreHeldBackLeaveACopyInItsGraceTimeToServe) {
@@ -58,15 +58,15 @@
   World world(s, {member("cache-a", 0, 2)});  // nothing to fill from
   const auto held = only<Attempt>(world.feed(world.request(1)));
   ASSERT_EQ(held.size(), 1U);
-  EXPECT_EQ(held.front().oldest, 28s);
-  world.feed(Purge{2, 0, 1s});
+  EXPECT_EQ(held.front().max_copy_age, 28s);
+  world.feed(Invalidation{2, 0, 1s});
   const auto purged = only<Attempt>(world.feed(world.request(2)));
   ASSERT_EQ(purged.size(), 1U);
-  EXPECT_EQ(purged.front().oldest, 1s);
+  EXPECT_EQ(purged.front().max_copy_age, 1s);
   World filled(s);
   const auto fill = only<Attempt>(filled.feed(filled.request(1)));
   ASSERT_EQ(fill.size(), 1U);
-  EXPECT_EQ(fill.front().oldest, 8s);
+  EXPECT_EQ(fill.front().max_copy_age, 8s);
 }
 
 TEST(Fills, AreJoinedWhereOneIsUnderWayAndWritesJoinNone) {
@@ -76,16 +76,16 @@
   const auto read = only<Attempt>(world.feed(world.request(1)));
   const auto write = only<Attempt>(world.feed(world.request(2, 1)));
   ASSERT_EQ(read.size() + write.size(), 2U);
-  EXPECT_TRUE(read.front().join);
-  EXPECT_FALSE(write.front().join);
+  EXPECT_TRUE(read.front().join_fill);
+  EXPECT_FALSE(write.front().join_fill);
 }
 
 TEST(HashOrder, AllRoutersMeetAtOneParentWhateverTheirListOrder) {
   Settings other_place = settings();
   other_place.zone = 3;
   other_place.routers_by_zone = {0, 0, 1, 1};
-  std::vector<Member> list = {member("cache-z", 0, 3), member("origin", 2, 0), member("parent-b", 1, 1),
-                              member("parent-a", 1, 0)};
+  std::vector<Endpoint> list = {member("cache-z", 0, 3), member("origin", 2, 0), member("parent-b", 1, 1),
+                                member("parent-a", 1, 0)};
   World here, there(other_place, list);
   std::set<std::string> parents;
   for (std::uint64_t object = 0; object < 40; ++object) {
@@ -100,7 +100,7 @@
   auto list = members();
   list.push_back(member("cache-far", 0, 4));
   World world(settings(), list);
-  for (std::uint64_t object = 0; object < 60; ++object) EXPECT_NE(world.serve(object).member, "cache-far");
+  for (std::uint64_t object = 0; object < 60; ++object) EXPECT_NE(world.serve(object).endpoint, "cache-far");
 }
 
 TEST(HashOrder, WithoutParentsFillsComeFromTheOrigin) {
@@ -114,7 +114,7 @@
   World world;
   std::set<std::string> used;
   for (int i = 0; i < 30; ++i) {
-    for (const Attempt& a : only<Attempt>(world.feed(world.request(1)))) used.insert(a.member);
+    for (const Attempt& a : only<Attempt>(world.feed(world.request(1)))) used.insert(a.endpoint);
   }
   EXPECT_GE(used.size(), 2U);
 }
@@ -132,7 +132,7 @@
   World world;
   const auto sent = only<Attempt>(world.feed(world.request(1)));
   world.pass(2500ms);
-  const auto late = world.finish(sent.front(), Ending::error);
+  const auto late = world.finish(sent.front(), AttemptResult::error);
   EXPECT_TRUE(only<Attempt>(late).empty());
   EXPECT_EQ(final_answers(late), 0U);
 }
@@ -147,14 +147,14 @@
   Outcome unknown;
   unknown.request = "nobody";
   EXPECT_TRUE(only<Attempt>(world.feed(unknown)).empty());
-  world.feed(Withdrawn{"nobody"});
+  world.feed(RequestCancelled{"nobody"});
   world.feed(StreamStarted{"nobody", 3});
-  world.feed(MemberList{ListKind::failed, {}});
-  world.feed(Probed{"nobody", false, 0ms, {}});
+  world.feed(EndpointList{ListKind::failed, {}});
+  world.feed(HealthChecked{"nobody", false, 0ms, {}});
   const auto sent = only<Attempt>(world.feed(world.request(1)));
-  world.finish(sent.front(), Ending::served, 7);
-  world.finish(sent.front(), Ending::served);
-  EXPECT_EQ(final_answers(world.finish(sent.front(), Ending::served)), 0U);
+  world.finish(sent.front(), AttemptResult::served, 7);
+  world.finish(sent.front(), AttemptResult::served);
+  EXPECT_EQ(final_answers(world.finish(sent.front(), AttemptResult::served)), 0U);
 }
 
 TEST(FinalAnswer, ARefusalTellsTheClientWhenToComeBackWhereTheSiteHandsThatOn) {
@@ -163,7 +163,7 @@
     s.retry_after = handed_on;
     s.max_retry_after = 500ms;
     World world(s, {});
-    const auto refused = only<Refuse>(world.feed(world.request(1)));
+    const auto refused = only<Reject>(world.feed(world.request(1)));
     ASSERT_EQ(refused.size(), 1U);
     EXPECT_EQ(refused.front().retry_after, handed_on ? 250ms : 0ms);
   }
@@ -174,16 +174,17 @@
 TEST(Fills, GoToTheOriginWhereNoParentIsSound) {
   // Guards against refusing every miss while one parent fails and the other has only just started.
   World world;
-  Member other = member("parent-b", 1, 1);
-  other.state = MemberState::gone;
-  world.feed(MemberList{ListKind::changes, {other}});
+  Endpoint other = member("parent-b", 1, 1);
+  other.state = EndpointState::removed;
+  world.feed(EndpointList{ListKind::changes, {other}});
   for (std::uint64_t n = 0; n < 100; ++n) {
     for (const Attempt& a : only<Attempt>(world.feed(world.request(n))))
-      world.finish(a, a.source == "parent-a" ? Ending::error : Ending::served, 0, Note::unknown);
+      world.finish(a, a.source == "parent-a" ? AttemptResult::error : AttemptResult::served, 0,
+                   CacheStatus::unknown);
     world.pass(50ms);
   }
   world.pass(10s);
-  world.feed(MemberList{ListKind::changes, {member("parent-b", 1, 1, world.now)}});
+  world.feed(EndpointList{ListKind::changes, {member("parent-b", 1, 1, world.now)}});
   std::set<std::string> sources;
   for (std::uint64_t n = 1000; n < 1003; ++n) {
     for (const Attempt& a : only<Attempt>(world.feed(world.request(n)))) sources.insert(a.source);
@@ -203,9 +204,9 @@
         if (a.source != "origin") continue;  // the parents answer none
         at_origin += n >= 100 ? 1 : 0;
         if (in_time) {
-          world.finish(a, Ending::served, 0, Note::unknown);
+          world.finish(a, AttemptResult::served, 0, CacheStatus::unknown);
         } else {
-          world.finish(a, Ending::error, 0, Note::origin_failed);
+          world.finish(a, AttemptResult::error, 0, CacheStatus::origin_failed);
         }
       }
     }
@@ -218,17 +219,17 @@
   World world;
   const auto own = [&world](std::uint64_t object, Time wait) {
     Request r = world.request(object);
-    r.own_copy = wait;
+    r.local_copy_wait = wait;
     const auto actions = world.feed(r);
-    EXPECT_EQ(only<ServeOwn>(actions).size() + only<Attempt>(actions).size(), 1U);
-    return !only<ServeOwn>(actions).empty();
+    EXPECT_EQ(only<ServeFromLocalCache>(actions).size() + only<Attempt>(actions).size(), 1U);
+    return !only<ServeFromLocalCache>(actions).empty();
   };
   EXPECT_TRUE(own(1, 0ms));
   EXPECT_TRUE(own(1, 100ms));
   EXPECT_FALSE(own(1, 100ms));  // asked for the third time: the caches hold it
   EXPECT_TRUE(own(1, 0ms));
   EXPECT_FALSE(own(2, 400ms));  // too late: wanted within 0.5 s
-  EXPECT_EQ(world.beliefs().out, 2U);
+  EXPECT_EQ(world.beliefs().in_flight, 2U);
 }
 
 TEST(Health, ErrorsOfOneCacheAloneAreItsOwnAndCostItsSourcesNothing) {
@@ -238,13 +239,14 @@
   std::size_t at_bad = 0, refused = 0;
   for (std::uint64_t n = 0; n < 600; ++n) {
     const auto actions = world.feed(world.request(n));
-    refused += only<Refuse>(actions).size();
+    refused += only<Reject>(actions).size();
     for (const Attempt& a : only<Attempt>(actions)) {
-      at_bad += n >= 300 && a.member == "cache-a" ? 1 : 0;
-      const auto more =
-          world.finish(a, a.member == "cache-a" ? Ending::error : Ending::served, 0, Note::unknown);
-      for (const Attempt& again : only<Attempt>(more)) world.finish(again, Ending::served, 1, Note::unknown);
-      if (n >= 300) refused += only<Refuse>(more).size();
+      at_bad += n >= 300 && a.endpoint == "cache-a" ? 1 : 0;
+      const auto more = world.finish(
+          a, a.endpoint == "cache-a" ? AttemptResult::error : AttemptResult::served, 0, CacheStatus::unknown);
+      for (const Attempt& again : only<Attempt>(more))
+        world.finish(again, AttemptResult::served, 1, CacheStatus::unknown);
+      if (n >= 300) refused += only<Reject>(more).size();
     }
     world.pass(20ms);
   }
@@ -256,71 +258,71 @@
   World world;
   Attempt held;
   for (int n = 0; n < 500; ++n) {
-    Member next = member("next-" + std::to_string(n), 0, 2),
-           old = member("next-" + std::to_string(n - 1), 0, 2);
-    old.state = MemberState::gone;
-    world.feed(MemberList{ListKind::changes, {old, next}});
+    Endpoint next = member("next-" + std::to_string(n), 0, 2),
+             old = member("next-" + std::to_string(n - 1), 0, 2);
+    old.state = EndpointState::removed;
+    world.feed(EndpointList{ListKind::changes, {old, next}});
     const auto sent = only<Attempt>(world.feed(world.request(static_cast<std::uint64_t>(n))));
     ASSERT_EQ(sent.size(), 1U);
-    if (held.request.empty() && sent.front().member == next.id) {
+    if (held.request.empty() && sent.front().endpoint == next.id) {
       held = sent.front();  // stays out for long after its member has left
     } else {
-      world.finish(sent.front(), Ending::served);
+      world.finish(sent.front(), AttemptResult::served);
     }
     world.pass(10ms);
   }
   ASSERT_FALSE(held.request.empty());
   // Six of the start, the newest, and those that the one request and its second copy still name.
-  EXPECT_LE(world.beliefs().members, 9U);
-  EXPECT_GE(world.beliefs().members, 8U);
-  EXPECT_LE(world.beliefs().out, 2U);
-  world.finish(held, Ending::timed_out, 0);
-  world.finish(held, Ending::timed_out, 1);
+  EXPECT_LE(world.beliefs().endpoints, 9U);
+  EXPECT_GE(world.beliefs().endpoints, 8U);
+  EXPECT_LE(world.beliefs().in_flight, 2U);
+  world.finish(held, AttemptResult::timed_out, 0);
+  world.finish(held, AttemptResult::timed_out, 1);
   world.pass(3s);
-  EXPECT_EQ(world.beliefs().members, 7U);
-  EXPECT_LT(world.beliefs().kept, 20U);
+  EXPECT_EQ(world.beliefs().endpoints, 7U);
+  EXPECT_LT(world.beliefs().table_entries, 20U);
 }
 
 TEST(Effects, WritesReachTheOriginOnly) {
   World world;
   const auto sent = only<Attempt>(world.feed(world.request(1, 1)));
   ASSERT_EQ(sent.size(), 1U);
-  EXPECT_EQ(sent.front().member, "origin");
-  EXPECT_EQ(sent.front().rank, Rank::unkept);
+  EXPECT_EQ(sent.front().endpoint, "origin");
+  EXPECT_EQ(sent.front().rank, Rank::uncached);
 }
 
 TEST(Effects, AKeyedRequestIsResentOnlyWhileItsDuplicatesAreDiscarded) {
   World world;
   auto sent = only<Attempt>(world.feed(world.request(1, 1, 3s)));
   world.pass(200ms);
-  EXPECT_EQ(only<Attempt>(world.finish(sent.front(), Ending::broken)).size(), 1U);
+  EXPECT_EQ(only<Attempt>(world.finish(sent.front(), AttemptResult::connection_lost)).size(), 1U);
   sent = only<Attempt>(world.feed(world.request(2, 1, 3s)));
   world.pass(1000ms);
-  EXPECT_TRUE(only<Attempt>(world.finish(sent.front(), Ending::broken)).empty());
+  EXPECT_TRUE(only<Attempt>(world.finish(sent.front(), AttemptResult::connection_lost)).empty());
 }
 
 TEST(Health, OneConnectionThatBreaksWithManyAttemptsIsOneFailure) {
   // Guards against a sound cache that is shut, and loses its objects, for one connection that was reset.
   World world;
   const Attempt probe = world.serve(7);
-  const auto broken = [&](Ending ending, int most) {
+  const auto broken = [&](AttemptResult ending, int most) {
     std::vector<Attempt> out;
     for (std::uint64_t n = 0; n < 200 && static_cast<int>(out.size()) < most; ++n) {
       const auto sent = only<Attempt>(world.feed(world.request(1000 + n)));
       if (sent.empty()) continue;
-      if (sent.front().member == probe.member) {
+      if (sent.front().endpoint == probe.endpoint) {
         out.push_back(sent.front());
       } else {
-        world.finish(sent.front(), Ending::served);
+        world.finish(sent.front(), AttemptResult::served);
       }
     }
     EXPECT_GE(out.size(), 3U);
     for (const Attempt& a : out) world.finish(a, ending);
   };
-  broken(Ending::broken, 4);
-  EXPECT_EQ(world.serve(7).member, probe.member);
-  broken(Ending::spoilt, 4);
-  EXPECT_EQ(world.serve(7).member, probe.member);
+  broken(AttemptResult::connection_lost, 4);
+  EXPECT_EQ(world.serve(7).endpoint, probe.endpoint);
+  broken(AttemptResult::malformed_response, 4);
+  EXPECT_EQ(world.serve(7).endpoint, probe.endpoint);
 }
 
 TEST(Health, WhatWasSpoiltOnTheWayIsAskedAgainWhereItsCopyIs) {
@@ -328,22 +330,22 @@
   for (std::uint64_t n = 1; n < 10; ++n) {  // more than the budget for further attempts would pay for
     const auto sent = only<Attempt>(world.feed(world.request(n)));
     ASSERT_EQ(sent.size(), 1U);
-    const auto again = only<Attempt>(world.finish(sent.front(), Ending::spoilt));
+    const auto again = only<Attempt>(world.finish(sent.front(), AttemptResult::malformed_response));
     ASSERT_EQ(again.size(), 1U) << "request " << n;
-    EXPECT_EQ(again.front().member, sent.front().member);
-    world.finish(again.front(), Ending::served, 1);
+    EXPECT_EQ(again.front().endpoint, sent.front().endpoint);
+    world.finish(again.front(), AttemptResult::served, 1);
   }
 }
 
 TEST(Effects, AnUnsafeRequestThatMayHaveRunIsNeitherResentNorRefused) {
   World world;
   auto sent = only<Attempt>(world.feed(world.request(1, 2, 3s)));
-  auto after = world.finish(sent.front(), Ending::broken);
+  auto after = world.finish(sent.front(), AttemptResult::connection_lost);
   EXPECT_TRUE(only<Attempt>(after).empty());
-  EXPECT_TRUE(only<Refuse>(after).empty());
+  EXPECT_TRUE(only<Reject>(after).empty());
   EXPECT_EQ(only<Fail>(after).size(), 1U);
   sent = only<Attempt>(world.feed(world.request(2, 2, 3s)));
-  after = world.finish(sent.front(), Ending::shed);
+  after = world.finish(sent.front(), AttemptResult::shed);
   EXPECT_EQ(only<Attempt>(after).size(), 1U);
 }
 
@@ -351,13 +353,13 @@
 
 TEST(Drains, ADrainingMemberIsNeitherAskedNorNamedAsASource) {
   World world;
-  Member cache = member("cache-a", 0, 2), parent = member("parent-a", 1, 0);
-  cache.state = MemberState::draining;
-  parent.state = MemberState::gone;
-  world.feed(MemberList{ListKind::changes, {cache, parent}});
+  Endpoint cache = member("cache-a", 0, 2), parent = member("parent-a", 1, 0);
+  cache.state = EndpointState::draining;
+  parent.state = EndpointState::removed;
+  world.feed(EndpointList{ListKind::changes, {cache, parent}});
   for (std::uint64_t object = 0; object < 60; ++object) {
     const Attempt a = world.serve(object);
-    EXPECT_NE(a.member, "cache-a");
+    EXPECT_NE(a.endpoint, "cache-a");
     EXPECT_NE(a.source, "parent-a");
   }
 }
@@ -366,8 +368,8 @@
   World world;
   auto list = members();
   list.erase(list.begin());
-  world.feed(MemberList{ListKind::whole, list});
-  for (std::uint64_t object = 0; object < 60; ++object) EXPECT_NE(world.serve(object).member, "cache-a");
+  world.feed(EndpointList{ListKind::complete, list});
+  for (std::uint64_t object = 0; object < 60; ++object) EXPECT_NE(world.serve(object).endpoint, "cache-a");
 }
 
 // ---- Cold members ----
@@ -380,16 +382,17 @@
       world.serve(i);
       if (!asked_far_more_than_served) continue;
       for (int more = 0; more < 4; ++more) {
-        for (const Attempt& a : only<Attempt>(world.feed(world.request(i)))) world.finish(a, Ending::shed);
+        for (const Attempt& a : only<Attempt>(world.feed(world.request(i))))
+          world.finish(a, AttemptResult::shed);
       }
     }
     world.pass(1s);
   }
-  world.feed(MemberList{ListKind::changes, {member("cache-a", 0, 2, world.now - since_start)}});
+  world.feed(EndpointList{ListKind::changes, {member("cache-a", 0, 2, world.now - since_start)}});
   int sent = 0;
   for (int step = 0; step < 20; ++step) {
     for (std::uint64_t i = 0; i < 3; ++i)
-      sent += world.serve(static_cast<std::uint64_t>(step) % 10 * 3 + i).member == "cache-a" ? 1 : 0;
+      sent += world.serve(static_cast<std::uint64_t>(step) % 10 * 3 + i).endpoint == "cache-a" ? 1 : 0;
     world.pass(100ms);
   }
   return sent * 0.05;
@@ -406,7 +409,7 @@
 
 TEST(ColdMembers, ARouterThatKnowsNothingYetSendsAColdMemberNothing) {
   World world(settings(), {member("cache-a", 0, 2, 999s), member("origin", 2, 0)});
-  for (std::uint64_t i = 0; i < 20; ++i) EXPECT_NE(world.serve(i).member, "cache-a");
+  for (std::uint64_t i = 0; i < 20; ++i) EXPECT_NE(world.serve(i).endpoint, "cache-a");
 }
 
 TEST(ColdMembers, ARouterThatKnowsNothingYetGivesThemTheirPartOfTheToldSize) {
@@ -414,13 +417,13 @@
   // load, gave their cold caches nothing and refused nearly all for 18 s.
   Settings s = settings();
   s.weights = Weights::nominal;
-  Member cold = member("cache-a", 0, 2, 1000s);
+  Endpoint cold = member("cache-a", 0, 2, 1000s);
   cold.weight = 4;
   World world(s, {cold, member("origin", 2, 0)});
   const auto sent_in_2s = [&world] {
     std::size_t sent = 0;
     for (std::uint64_t i = 0; i < 200; ++i) {
-      sent += world.serve(i).member == "cache-a" ? 1 : 0;
+      sent += world.serve(i).endpoint == "cache-a" ? 1 : 0;
       world.pass(10ms);
     }
     return static_cast<double>(sent) * 0.05;
@@ -438,14 +441,14 @@
   const auto sent_in_2s = [](double part) {
     Settings s = settings();
     s.weights = Weights::nominal;
-    Member cold = member("cache-a", 0, 2, 1000s);
+    Endpoint cold = member("cache-a", 0, 2, 1000s);
     cold.weight = 4;
     World world(s, {cold, member("origin", 2, 0)});
     world.pass(5s);
-    world.feed(Portion{1, part});
+    world.feed(QuotaChanged{1, part});
     std::size_t sent = 0;
     for (std::uint64_t i = 0; i < 200; ++i) {
-      sent += world.serve(i).member == "cache-a" ? 1 : 0;
+      sent += world.serve(i).endpoint == "cache-a" ? 1 : 0;
       world.pass(10ms);
     }
     return sent;
@@ -465,9 +468,9 @@
     world.serve(static_cast<std::uint64_t>(second));  // 0.05 s of sending a second over three caches
     world.pass(1s);
   }
-  world.feed(MemberList{ListKind::changes, {member("cache-a", 0, 2, world.now)}});
+  world.feed(EndpointList{ListKind::changes, {member("cache-a", 0, 2, world.now)}});
   for (int step = 0; step < 80; ++step) {
-    sent += world.serve(static_cast<std::uint64_t>(step)).member == "cache-a" ? 1 : 0;
+    sent += world.serve(static_cast<std::uint64_t>(step)).endpoint == "cache-a" ? 1 : 0;
     world.pass(100ms);
   }
   EXPECT_GE(sent, 1U);
@@ -482,11 +485,11 @@
     world.pass(1s);
   }
   auto list = members();
-  for (Member& m : list) m.started = m.kind == 0 ? world.now : Time{0};
-  world.feed(MemberList{ListKind::whole, list});
+  for (Endpoint& m : list) m.started = m.kind == 0 ? world.now : Time{0};
+  world.feed(EndpointList{ListKind::complete, list});
   world.pass(12s);
   std::size_t at_caches = 0;
-  for (std::uint64_t i = 0; i < 30; ++i) at_caches += world.serve(i).member.starts_with("cache") ? 1 : 0;
+  for (std::uint64_t i = 0; i < 30; ++i) at_caches += world.serve(i).endpoint.starts_with("cache") ? 1 : 0;
   EXPECT_GE(at_caches, 15U);
 }
 
@@ -500,16 +503,16 @@
   for (int second = 0; second < 12; ++second) {
     for (std::uint64_t i = 0; i < 30; ++i) {
       for (const Attempt& a : only<Attempt>(world.feed(world.request(i))))
-        world.finish(a, a.member.starts_with("cache") ? Ending::unreachable : Ending::served);
+        world.finish(a, a.endpoint.starts_with("cache") ? AttemptResult::unreachable : AttemptResult::served);
     }
     world.pass(1s);
   }
   auto list = members();
-  for (Member& m : list) m.started = m.kind == 0 ? world.now : Time{0};
-  world.feed(MemberList{ListKind::whole, list});
+  for (Endpoint& m : list) m.started = m.kind == 0 ? world.now : Time{0};
+  world.feed(EndpointList{ListKind::complete, list});
   world.pass(8s);
   std::size_t at_caches = 0;
-  for (std::uint64_t i = 0; i < 30; ++i) at_caches += world.serve(i).member.starts_with("cache") ? 1 : 0;
+  for (std::uint64_t i = 0; i < 30; ++i) at_caches += world.serve(i).endpoint.starts_with("cache") ? 1 : 0;
   EXPECT_GE(at_caches, 15U);
 }
 
@@ -517,26 +520,26 @@
 
 TEST(Purges, BindTheOldestCopyOnEveryAttempt) {
   World world;
-  world.feed(Purge{std::uint64_t{1}, 0, 30ms});
+  world.feed(Invalidation{std::uint64_t{1}, 0, 30ms});
   const auto first = only<Attempt>(world.feed(world.request(1)));
-  EXPECT_EQ(first.front().oldest, 30ms);
+  EXPECT_EQ(first.front().max_copy_age, 30ms);
   world.pass(100ms);
-  const auto second = only<Attempt>(world.finish(first.front(), Ending::shed));
+  const auto second = only<Attempt>(world.finish(first.front(), AttemptResult::shed));
   ASSERT_EQ(second.size(), 1U);
-  EXPECT_EQ(second.front().oldest, 130ms);
-  EXPECT_EQ(world.serve(2).oldest, 0ms);
+  EXPECT_EQ(second.front().max_copy_age, 130ms);
+  EXPECT_EQ(world.serve(2).max_copy_age, 0ms);
 }
 
 TEST(Purges, OfAGroupBindAllItsObjects) {
   World world;
-  world.feed(Purge{std::nullopt, 9, 10ms});
+  world.feed(Invalidation{std::nullopt, 9, 10ms});
   Request r = world.request(1);
   r.group = 9;
-  EXPECT_EQ(only<Attempt>(world.feed(r)).front().oldest, 10ms);
+  EXPECT_EQ(only<Attempt>(world.feed(r)).front().max_copy_age, 10ms);
   world.pass(7s);
   Request later = world.request(2);
   later.group = 9;
-  EXPECT_EQ(only<Attempt>(world.feed(later)).front().oldest, 7010ms);
+  EXPECT_EQ(only<Attempt>(world.feed(later)).front().max_copy_age, 7010ms);
 }
 
 // ---- Guards ----
@@ -553,7 +556,7 @@
   World world;
   for (int round = 0; round < 40; ++round) {
     world.feed(world.request(1));
-    for (const Attempt& a : only<Attempt>(world.pass(600ms))) world.finish(a, Ending::cancelled, 1);
+    for (const Attempt& a : only<Attempt>(world.pass(600ms))) world.finish(a, AttemptResult::cancelled, 1);
   }
   std::size_t at_once = 0;
   for (int i = 0; i < 100; ++i) at_once += only<Attempt>(world.feed(world.request(1))).size();
@@ -565,14 +568,14 @@
   for (std::uint64_t i = 0; i < 200; ++i) {
     auto sent = only<Attempt>(world.feed(world.request(i)));
     for (int n = 0; !sent.empty(); ++n) {
-      const bool fill = sent.front().source != sent.front().member;
-      sent = only<Attempt>(world.finish(sent.front(), fill ? Ending::shed : Ending::missing, n,
-                                        fill ? Note::source_shed : Note::unknown));
+      const bool fill = sent.front().source != sent.front().endpoint;
+      sent = only<Attempt>(world.finish(sent.front(), fill ? AttemptResult::shed : AttemptResult::cache_miss,
+                                        n, fill ? CacheStatus::source_shed : CacheStatus::unknown));
     }
   }
   const auto sent = only<Attempt>(world.feed(world.request(1)));
   ASSERT_EQ(sent.size(), 1U);
-  EXPECT_EQ(sent.front().source, sent.front().member);
+  EXPECT_EQ(sent.front().source, sent.front().endpoint);
 }
 
 TEST(Limits, RecoverSoonAfterATrouble) {
@@ -581,7 +584,7 @@
   for (int round = 0; round < 80; ++round) {
     auto sent = only<Attempt>(world.feed(world.request(1)));
     for (int n = 0; !sent.empty(); ++n)
-      sent = only<Attempt>(world.finish(sent.front(), Ending::shed, n, Note::unknown));
+      sent = only<Attempt>(world.finish(sent.front(), AttemptResult::shed, n, CacheStatus::unknown));
   }
   const auto at_once = [&world] {
     std::vector<Attempt> sent;
@@ -591,20 +594,20 @@
     return sent;
   };
   for (int round = 0; round < 8; ++round) {
-    for (const Attempt& a : at_once()) world.finish(a, Ending::served, 0, Note::hit);
+    for (const Attempt& a : at_once()) world.finish(a, AttemptResult::served, 0, CacheStatus::hit);
   }
   EXPECT_GE(at_once().size(), 6U);
 }
 
 TEST(Limits, ALateHitLowersTheCachesLimitAndALateFillItsSourcesMore) {
   // How many attempts the cache takes at once, and how many fills it is asked for, after a few late answers.
-  const auto room_after = [](Note note) {
+  const auto room_after = [](CacheStatus note) {
     World world(settings(), {member("cache-a", 0, 2), member("parent-a", 1, 0), member("origin", 2, 0)});
     for (int late = 0; late < 8;) {
       const auto sent = only<Attempt>(world.feed(world.request(1)));
       world.pass(510ms);
       if (!sent.empty()) {
-        world.finish(sent.front(), Ending::served, 0, note, 510ms);
+        world.finish(sent.front(), AttemptResult::served, 0, note, 510ms);
         ++late;
       }
       world.end_cancelled();
@@ -612,14 +615,14 @@
     std::size_t fills = 0, all = 0;
     for (int i = 0; i < 40; ++i) {
       for (const Attempt& a : only<Attempt>(world.feed(world.request(1)))) {
-        if (a.member != "cache-a") continue;
+        if (a.endpoint != "cache-a") continue;
         ++all;
-        fills += a.source != a.member ? 1 : 0;
+        fills += a.source != a.endpoint ? 1 : 0;
       }
     }
     return std::pair{fills, all};
   };
-  const auto hits = room_after(Note::hit), fills = room_after(Note::filled);
+  const auto hits = room_after(CacheStatus::hit), fills = room_after(CacheStatus::filled);
   EXPECT_GT(fills.second, hits.second);  // late fills are laid to the cache by half
   EXPECT_LT(fills.first, 12U);           // and cost their sources a good part of the 16 they had
 }
@@ -633,13 +636,13 @@
     for (std::uint64_t i = 0; i < 30; ++i) {
       auto sent = only<Attempt>(world.feed(world.request(i)));
       for (int n = 0; !sent.empty(); ++n) {
-        sent = only<Attempt>(world.finish(sent.front(), Ending::shed, n, Note::unknown));
+        sent = only<Attempt>(world.finish(sent.front(), AttemptResult::shed, n, CacheStatus::unknown));
       }
     }
     std::size_t at_caches = 0;
     for (std::uint64_t i = 0; i < 100; ++i) {
       for (const Attempt& a : only<Attempt>(world.feed(world.request(i)))) {
-        at_caches += a.member.starts_with("cache") ? 1 : 0;
+        at_caches += a.endpoint.starts_with("cache") ? 1 : 0;
       }
     }
     return at_caches;
@@ -659,19 +662,19 @@
   World world;
   Request large = world.request(1000);
   for (std::uint64_t i = 0; i < 40; ++i) {  // the usual mix
-    world.serve(i, Note::filled);
+    world.serve(i, CacheStatus::filled);
     large = world.request(1000 + i);
-    large.kb = 2000;
+    large.size_kb = 2000;
     for (const Attempt& a : only<Attempt>(world.feed(large)))
-      world.finish(a, Ending::served, 0, Note::filled);
+      world.finish(a, AttemptResult::served, 0, CacheStatus::filled);
   }
   const auto fills = [&world](double kb) {
     int sent = 0;
     for (std::uint64_t i = 0; i < 60; ++i) {
       Request r = world.request(5000 + i);
-      r.kb = kb;
+      r.size_kb = kb;
       for (const Attempt& a : only<Attempt>(world.feed(r)))
-        sent += a.source.starts_with("parent") || a.member.starts_with("parent") ? 1 : 0;
+        sent += a.source.starts_with("parent") || a.endpoint.starts_with("parent") ? 1 : 0;
     }
     return sent;
   };
@@ -689,7 +692,7 @@
   for (int i = 0; i < requests; ++i) {
     const auto sent = only<Attempt>(world.feed(world.request(static_cast<std::uint64_t>(i))));
     if (!sent.empty()) {
-      if (requests - i <= 40 && sent.front().source != sent.front().member && !sent.front().held_only)
+      if (requests - i <= 40 && sent.front().source != sent.front().endpoint && !sent.front().cached_only)
         ++fills;
       end(sent.front(), i);
     }
@@ -704,14 +707,16 @@
   // bind, and a purge or a slow origin was answered by more fills than the origin could bear.
   World world;
   const auto late = [&world](const Attempt& a, int) {
-    const bool fill = a.source != a.member;
+    const bool fill = a.source != a.endpoint;
     if (fill) world.pass(510ms);
-    world.finish(a, fill ? Ending::served : Ending::missing, 0, fill ? Note::filled : Note::unknown, 510ms);
+    world.finish(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
+                 fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
   };
   EXPECT_LE(fills_of_the_last_40(world, 100, late), 20U);  // a few to parents, a few to the origin
   const auto in_time = [&world](const Attempt& a, int) {
-    const bool fill = a.source != a.member;
-    world.finish(a, fill ? Ending::served : Ending::missing, 0, fill ? Note::filled : Note::unknown);
+    const bool fill = a.source != a.endpoint;
+    world.finish(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
+                 fill ? CacheStatus::filled : CacheStatus::unknown);
   };
   EXPECT_GE(fills_of_the_last_40(world, 140, in_time), 38U);
 }
@@ -724,11 +729,12 @@
   for (int i = 0; i < 120; ++i) {
     const auto sent = only<Attempt>(world.feed(world.request(static_cast<std::uint64_t>(i))));
     for (const Attempt& a : sent) {
-      from_origin += a.source == "origin" && a.member != "origin" ? 1 : 0;
-      held_back += a.held_only || a.source == a.member ? 1 : 0;
-      const bool fill = !a.held_only && a.source != a.member;
+      from_origin += a.source == "origin" && a.endpoint != "origin" ? 1 : 0;
+      held_back += a.cached_only || a.source == a.endpoint ? 1 : 0;
+      const bool fill = !a.cached_only && a.source != a.endpoint;
       if (fill) world.pass(510ms);
-      world.finish(a, fill ? Ending::served : Ending::missing, 0, fill ? Note::filled : Note::unknown, 510ms);
+      world.finish(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
+                   fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
     }
     world.pass(100ms);
     world.end_cancelled();
@@ -742,9 +748,10 @@
   s.parent_kind = -1;
   World world(s, {member("cache-a", 0, 2), member("cache-b", 0, 2), member("origin", 2, 0)});
   const auto late = [&world](const Attempt& a, int) {
-    const bool fill = a.source != a.member;
+    const bool fill = a.source != a.endpoint;
     if (fill) world.pass(510ms);
-    world.finish(a, fill ? Ending::served : Ending::missing, 0, fill ? Note::filled : Note::unknown, 510ms);
+    world.finish(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
+                 fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
   };
   EXPECT_LE(fills_of_the_last_40(world, 100, late), 15U);
 }
@@ -753,14 +760,15 @@
   // Found on days with lost answers after a slow origin: hits that were lost counted as failed fills, and
   // fills stayed held back long after the origin had recovered.
   Settings s = settings();
-  s.second_copies = false;
+  s.hedging = false;
   World world(s);
   const auto end = [&world](const Attempt& a, bool late) {
-    if (a.source == a.member || a.held_only) {
-      world.finish(a, Ending::missing, 0, a.held_only ? Note::source_lacks : Note::unknown);
+    if (a.source == a.endpoint || a.cached_only) {
+      world.finish(a, AttemptResult::cache_miss, 0,
+                   a.cached_only ? CacheStatus::source_miss : CacheStatus::unknown);
     } else {
       if (late) world.pass(510ms);
-      world.finish(a, Ending::served, 0, Note::filled_by_origin, late ? 510ms : 50ms);
+      world.finish(a, AttemptResult::served, 0, CacheStatus::filled_by_origin, late ? 510ms : 50ms);
     }
   };
   fills_of_the_last_40(world, 100, [&end](const Attempt& a, int) { end(a, true); });
@@ -778,17 +786,17 @@
     const auto sent = only<Attempt>(world.feed(world.request(static_cast<std::uint64_t>(i))));
     if (sent.empty()) continue;
     const Attempt& a = sent.front();
-    if (a.source == a.member) {
-      world.finish(a, Ending::missing, 0, Note::unknown);
-    } else if (a.held_only) {
+    if (a.source == a.endpoint) {
+      world.finish(a, AttemptResult::cache_miss, 0, CacheStatus::unknown);
+    } else if (a.cached_only) {
       EXPECT_TRUE(a.source.starts_with("parent"));
       held += i >= 80 ? 1 : 0;
-      const auto after = world.finish(a, i % 2 == 0 ? Ending::served : Ending::missing, 0,
-                                      i % 2 == 0 ? Note::filled : Note::source_lacks);
+      const auto after = world.finish(a, i % 2 == 0 ? AttemptResult::served : AttemptResult::cache_miss, 0,
+                                      i % 2 == 0 ? CacheStatus::filled : CacheStatus::source_miss);
       EXPECT_TRUE(only<Attempt>(after).empty());
     } else {
       world.pass(510ms);
-      world.finish(a, Ending::served, 0, Note::filled_by_origin, 510ms);
+      world.finish(a, AttemptResult::served, 0, CacheStatus::filled_by_origin, 510ms);
     }
     world.pass(100ms);
     world.end_cancelled();
@@ -801,14 +809,14 @@
   const auto fills_at = [](std::optional<double> told) {
     World world;
     const auto end = [&world, told](const Attempt& a, int) {
-      const bool fill = a.source != a.member;
+      const bool fill = a.source != a.endpoint;
       Outcome o;
       o.request = a.request;
-      o.member = a.member;
-      o.ending = fill ? Ending::served : Ending::missing;
-      o.note = fill ? Note::filled : Note::unknown;
-      o.took = 50ms;
-      o.settled = fill;
+      o.endpoint = a.endpoint;
+      o.result = fill ? AttemptResult::served : AttemptResult::cache_miss;
+      o.cache_status = fill ? CacheStatus::filled : CacheStatus::unknown;
+      o.duration = 50ms;
+      o.request_finished = fill;
       if (told) o.report = LoadReport{{}, {}, {}, {}, told};
       world.feed(o);
     };
@@ -824,7 +832,7 @@
   // Found on a day on which all caches of a location were cold or shut: the parent gave only what it held.
   World world(settings(), {member("parent-a", 1, 0), member("origin", 2, 0)});
   const Attempt a = world.serve(1);
-  EXPECT_EQ(a.member, "parent-a");
+  EXPECT_EQ(a.endpoint, "parent-a");
   EXPECT_EQ(a.source, "origin");
 }
 
@@ -836,9 +844,9 @@
     for (std::uint64_t object = 0; object < 150; ++object) {
       const auto sent = only<Attempt>(world.feed(world.request(object)));
       if (sent.empty()) continue;
-      const bool slow = sent.front().member == "cache-a";
+      const bool slow = sent.front().endpoint == "cache-a";
       count += slow ? 1 : 0;
-      world.finish(sent.front(), Ending::served, 0, Note::hit, slow ? took : 50ms);
+      world.finish(sent.front(), AttemptResult::served, 0, CacheStatus::hit, slow ? took : 50ms);
     }
     return count;
   };
@@ -853,7 +861,7 @@
   const auto first = only<Attempt>(world.feed(world.request(1)));
   const auto second = only<Attempt>(world.pass(350ms));
   ASSERT_EQ(second.size(), 1U);
-  EXPECT_NE(second.front().member, first.front().member);
+  EXPECT_NE(second.front().endpoint, first.front().endpoint);
   EXPECT_NE(second.front().source, first.front().source);
 }
 
@@ -864,7 +872,7 @@
     auto attempts = only<Attempt>(world.feed(world.request(static_cast<std::uint64_t>(i))));
     for (int n = 0; n < 8 && !attempts.empty(); ++n) {
       ++sent;
-      attempts = only<Attempt>(world.finish(attempts.front(), Ending::shed, n, Note::unknown));
+      attempts = only<Attempt>(world.finish(attempts.front(), AttemptResult::shed, n, CacheStatus::unknown));
     }
   }
   EXPECT_LE(sent, 200U + 10U + 2U);
@@ -876,7 +884,7 @@
     for (std::uint64_t i = 0; i < 300; ++i) world.serve(i * i % 37);
     world.pass(2s);
     std::string trace;
-    for (const Attempt& a : only<Attempt>(world.all)) trace += a.member + a.source + ";";
+    for (const Attempt& a : only<Attempt>(world.all)) trace += a.endpoint + a.source + ";";
     return trace;
   };
   EXPECT_EQ(run(), run());
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -230,7 +230,7 @@
   EXPECT_EQ(m.address, "10.1.0.9:9090");
   EXPECT_EQ(m.member.zone, 1);
   EXPECT_EQ(m.member.kind, 0);
-  EXPECT_EQ(m.member.state, MemberState::draining);
+  EXPECT_EQ(m.member.state, EndpointState::draining);
   EXPECT_EQ(m.member.started, std::chrono::milliseconds(1764576000123));
 
   const auto purge = parse_bulletin_event(R"({"no":43,"recall":{"lot":17,"issued":1000}})", names);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -38,7 +38,7 @@
   EXPECT_EQ(config.requests_per_connection, 32);
   EXPECT_EQ(config.connect_timeout, std::chrono::milliseconds(400));
   EXPECT_EQ(config.settings.classes.size(), 3U);
-  EXPECT_EQ(config.settings.classes[2].effect, Effect::keyed);
+  EXPECT_EQ(config.settings.classes[2].idempotency, Idempotency::with_key);
   EXPECT_EQ(config.known_number, 1);
   ASSERT_EQ(config.known.size(), 1U);
   EXPECT_EQ(config.known[0].roster->members[1].member.kind, config.settings.origin_kind);
--- a/tests/crowded_world.h
+++ b/tests/crowded_world.h
@@ -39,19 +39,19 @@
  public:
   explicit CrowdedWorld(const CrowdedPlan& plan) : plan_(plan), draws_(plan.seed * 7919 + 1) {
     settings_ = settings();
-    settings_.routers = kRouters;
+    settings_.router_count = kRouters;
     settings_.routers_by_zone = {0, 0, kRouters};
     settings_.weights = Weights::nominal;
-    settings_.notes = Notes::none;
-    settings_.second_copies = settings_.straight = false;
-    settings_.stream_kb_per_s = kPace;
+    settings_.cache_status_detail = CacheStatusDetail::none;
+    settings_.hedging = settings_.direct_to_sources = false;
+    settings_.transfer_kb_per_s = kPace;
     RequestClass video = settings_.classes[0], pages = video, order = settings_.classes[1];
-    video.worth = 2;
+    video.priority_weight = 2;
     video.deadline = 5s;
-    pages.aim = 250ms;
-    order.worth = 3;
-    order.aim = 600ms;
-    order.memory = 2s;
+    pages.latency_objective = 250ms;
+    order.priority_weight = 3;
+    order.latency_objective = 600ms;
+    order.deduplication_window = 2s;
     settings_.classes = {video, pages, order};
     for (const auto& [id, seats] : {std::pair{"cache-a", 6},
                                     {"cache-b", 6},
@@ -64,13 +64,13 @@
   }
 
   CrowdedResult run() {
-    std::vector<Member> list{sized("cache-a", 0, 2, 6),   sized("cache-b", 0, 2, 6),
-                             sized("cache-c", 0, 2, 6),   sized("cache-d", 0, 2, 6),
-                             sized("parent-a", 1, 0, 24), sized("parent-b", 1, 1, 24),
-                             sized("origin", 2, 0, 1)};
+    std::vector<Endpoint> list{sized("cache-a", 0, 2, 6),   sized("cache-b", 0, 2, 6),
+                               sized("cache-c", 0, 2, 6),   sized("cache-d", 0, 2, 6),
+                               sized("parent-a", 1, 0, 24), sized("parent-b", 1, 1, 24),
+                               sized("origin", 2, 0, 1)};
     for (int i = 0; i < kRouters; ++i) {
       routers_.push_back(std::make_unique<Router>(settings_, draws_()));
-      feed(i, MemberList{ListKind::remembered, list});
+      feed(i, EndpointList{ListKind::from_configuration, list});
       at(kBegin + gap(), [this, i] { ask(i); });
     }
     at(kBegin + 5s, [this] {
@@ -112,8 +112,8 @@
     std::deque<JobPtr> waiting;
   };
 
-  static Member sized(std::string id, int kind, int zone, double weight) {
-    Member m = member(std::move(id), kind, zone);
+  static Endpoint sized(std::string id, int kind, int zone, double weight) {
+    Endpoint m = member(std::move(id), kind, zone);
     m.weight = weight;
     return m;
   }
@@ -151,10 +151,10 @@
     r.write = r.request_class == 2;
     r.object = draws_() % 4000;
     constexpr double kSigma = 1.1;  // sizes vary widely, as the sites say
-    r.kb = mean_kb(r.request_class) *
-           std::exp(std::normal_distribution<double>(-kSigma * kSigma / 2, kSigma)(draws_));
+    r.size_kb = mean_kb(r.request_class) *
+                std::exp(std::normal_distribution<double>(-kSigma * kSigma / 2, kSigma)(draws_));
     r.expires = now_ + settings_.classes[static_cast<std::size_t>(r.request_class)].deadline;
-    asked_[r.id] = {i, r.request_class, 0, r.kb, r.object, false};
+    asked_[r.id] = {i, r.request_class, 0, r.size_kb, r.object, false};
     feed(i, r);
   }
 
@@ -163,11 +163,11 @@
     if (plan_.observer) plan_.observer(i, now_, event, actions);
     for (const Action& action : actions) {
       if (const auto* a = std::get_if<Attempt>(&action)) send(*a);
-      if (const auto* w = std::get_if<Wake>(&action))
+      if (const auto* w = std::get_if<SetTimer>(&action))
         at(now_ + w->after, [this, i] { feed(i, TimerFired{1}); });
       if (const auto* c = std::get_if<Cancel>(&action)) {
         const auto job = jobs_.find({c->request, c->attempt});
-        if (job != jobs_.end()) end(job->second, Ending::cancelled);
+        if (job != jobs_.end()) end(job->second, AttemptResult::cancelled);
       }
     }
   }
@@ -181,29 +181,29 @@
     jobs_[{a.request, job->number}] = job;
     const Time sending = seconds_of(asked.kb / kPace), filling = seconds_of(asked.kb / kFillPace);
     const bool writes = asked.request_class == 2;
-    if (writes || !holds(a.member, asked.object)) {
-      if (a.source == a.member || (a.held_only && !holds(a.source, asked.object))) {
-        at(now_ + 2ms, [this, job] { end(job, Ending::missing); });
+    if (writes || !holds(a.endpoint, asked.object)) {
+      if (a.source == a.endpoint || (a.cached_only && !holds(a.source, asked.object))) {
+        at(now_ + 2ms, [this, job] { end(job, AttemptResult::cache_miss); });
         return;
       }
       if (a.source != "origin" && !holds(a.source, asked.object))
         job->steps.emplace_back("origin", filling + 40ms);
       job->steps.emplace_back(a.source, filling + 10ms);
     }
-    job->steps.emplace_back(a.member, sending);
+    job->steps.emplace_back(a.endpoint, sending);
     at(now_ + 2ms, [this, job] { next_step(job); });
   }
 
   void next_step(const JobPtr& job) {
     if (job->over) return;
     if (job->steps.empty()) {
-      end(job, Ending::served);
+      end(job, AttemptResult::served);
       return;
     }
     const std::string id = job->steps.front().first;
     Station& station = stations_.at(id);
     if (station.waiting.size() >= 4 * static_cast<std::size_t>(station.seats)) {
-      end(job, id == job->attempt.member ? Ending::shed : Ending::error);
+      end(job, id == job->attempt.endpoint ? AttemptResult::shed : AttemptResult::error);
       return;
     }
     job->waits_at = id;
@@ -238,23 +238,23 @@
     start_next(id);
   }
 
-  void end(JobPtr job, Ending ending) {  // a share of its own: what the table holds goes here
+  void end(JobPtr job, AttemptResult ending) {  // a share of its own: what the table holds goes here
     if (std::exchange(job->over, true)) return;
     leave(job);
     jobs_.erase({job->attempt.request, job->number});
     Asked& asked = asked_.at(job->attempt.request);
-    if (ending == Ending::served) {
+    if (ending == AttemptResult::served) {
       asked.answered = true;
-      if (job->attempt.rank != Rank::unkept) filled_[job->attempt.member].insert(asked.object);
+      if (job->attempt.rank != Rank::uncached) filled_[job->attempt.endpoint].insert(asked.object);
       if (job->attempt.source != "origin") filled_[job->attempt.source].insert(asked.object);
     }
     Outcome o;
     o.request = job->attempt.request;
-    o.member = job->attempt.member;
+    o.endpoint = job->attempt.endpoint;
     o.attempt = job->number;
-    o.ending = ending;
-    o.took = now_ - job->sent;
-    o.settled = ending == Ending::served;
+    o.result = ending;
+    o.duration = now_ - job->sent;
+    o.request_finished = ending == AttemptResult::served;
     // Told as an event of its own: the module may be in the middle of another.
     at(now_, [this, router = asked.router, o] { feed(router, o); });
   }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -16,21 +16,21 @@
 
 Settings fleet_settings() {
   Settings s = settings();
-  s.routers = kRouters;
+  s.router_count = kRouters;
   s.routers_by_zone = {0, 0, kRouters};
   s.weights = Weights::nominal;
-  s.notes = Notes::none;
-  s.second_copies = false;
-  s.straight = false;
+  s.cache_status_detail = CacheStatusDetail::none;
+  s.hedging = false;
+  s.direct_to_sources = false;
   return s;
 }
 
-Member sized(Member m, double weight) {
+Endpoint sized(Endpoint m, double weight) {
   m.weight = weight;
   return m;
 }
 
-std::vector<std::unique_ptr<World>> fleet(const std::vector<Member>& list) {
+std::vector<std::unique_ptr<World>> fleet(const std::vector<Endpoint>& list) {
   std::vector<std::unique_ptr<World>> worlds;
   for (int i = 0; i < kRouters; ++i)
     worlds.push_back(std::make_unique<World>(fleet_settings(), list, static_cast<std::uint64_t>(i + 1)));
@@ -49,11 +49,11 @@
   for (int step = 0; step < warm / 100ms; ++step) {
     for (auto& world : worlds) {
       for (const Attempt& a : only<Attempt>(world->feed(world->request(++object)))) {
-        if (a.member == cold || a.source == cold) {
+        if (a.endpoint == cold || a.source == cold) {
           sent.emplace_back(world->now, kWork);
           sum += kWork;
         }
-        world->finish(a, Ending::served, 0, Note::unknown);
+        world->finish(a, AttemptResult::served, 0, CacheStatus::unknown);
       }
       world->pass(100ms);
     }
@@ -91,8 +91,8 @@
     std::vector<std::pair<World*, Attempt>> asked;
     for (auto& world : worlds) {
       for (const Attempt& a : only<Attempt>(world->feed(world->request(++object)))) {
-        if (a.source == a.member || a.held_only) {
-          world->finish(a, Ending::missing, 0, Note::unknown, 1ms);
+        if (a.source == a.endpoint || a.cached_only) {
+          world->finish(a, AttemptResult::cache_miss, 0, CacheStatus::unknown, 1ms);
         } else {
           asked.emplace_back(world.get(), a);
         }
@@ -102,11 +102,11 @@
     if (step < 5) most_at_first = std::max(most_at_first, fetches);
     if (step >= 50) asked_late_in_the_day += fetches;
     if (fetches <= kBears) {
-      for (auto& [world, a] : asked) world->finish(a, Ending::served, 0, Note::unknown, 50ms);
+      for (auto& [world, a] : asked) world->finish(a, AttemptResult::served, 0, CacheStatus::unknown, 50ms);
       asked.clear();
     }
     for (auto& world : worlds) world->pass(200ms);
-    for (auto& [world, a] : slower) world->finish(a, Ending::served, 0, Note::unknown, 600ms);
+    for (auto& [world, a] : slower) world->finish(a, AttemptResult::served, 0, CacheStatus::unknown, 600ms);
     slower = std::exchange(slow, std::move(asked));
     for (auto& world : worlds) world->end_cancelled();
   }
--- a/tests/golden/codec_golden_test.cpp
+++ b/tests/golden/codec_golden_test.cpp
@@ -459,13 +459,13 @@
   return value;
 }
 
-const char* name_of_endpoint_state(MemberState state) {
+const char* name_of_endpoint_state(EndpointState state) {
   switch (state) {
-    case MemberState::running:
+    case EndpointState::running:
       return "running";
-    case MemberState::draining:
+    case EndpointState::draining:
       return "draining";
-    case MemberState::gone:
+    case EndpointState::removed:
       return "gone";
   }
   return "?";
@@ -480,7 +480,7 @@
   if (event.roster) {
     lines.push_back(Line("endpoint_list").flag("complete", event.roster->complete).text());
     for (const codec::ListedMember& listed : event.roster->members) {
-      const Member& m = listed.member;
+      const Endpoint& m = listed.member;
       lines.push_back(Line("endpoint")
                           .bytes("id", m.id)
                           .word("state", name_of_endpoint_state(m.state))
@@ -595,24 +595,24 @@
 
 // ---- Settings and configuration ----
 
-const char* name_of_idempotency(Effect effect) {
+const char* name_of_idempotency(Idempotency effect) {
   switch (effect) {
-    case Effect::safe:
+    case Idempotency::idempotent:
       return "idempotent";
-    case Effect::keyed:
+    case Idempotency::with_key:
       return "with_key";
-    case Effect::unsafe:
+    case Idempotency::none:
       return "none";
   }
   return "?";
 }
-const char* name_of_deduplication_scope(DedupGroup scope) {
+const char* name_of_deduplication_scope(DeduplicationScope scope) {
   switch (scope) {
-    case DedupGroup::all:
+    case DeduplicationScope::all:
       return "all";
-    case DedupGroup::zone:
+    case DeduplicationScope::zone:
       return "zone";
-    case DedupGroup::cell:
+    case DeduplicationScope::cell:
       return "cell";
   }
   return "?";
@@ -652,13 +652,13 @@
   }
   return "?";
 }
-const char* name_of_cache_status_detail(Notes notes) {
+const char* name_of_cache_status_detail(CacheStatusDetail notes) {
   switch (notes) {
-    case Notes::none:
+    case CacheStatusDetail::none:
       return "none";
-    case Notes::hits:
+    case CacheStatusDetail::hits:
       return "hits";
-    case Notes::all:
+    case CacheStatusDetail::all:
       return "all";
   }
   return "?";
@@ -674,9 +674,9 @@
 Lines settings_lines(const Settings& s) {
   Lines lines;
   lines.push_back(Line("router")
-                      .whole("index", s.me)
+                      .whole("index", s.router_number)
                       .whole("zone", s.zone)
-                      .whole("routers", s.routers)
+                      .whole("routers", s.router_count)
                       .bytes("routers_by_zone", list_of(s.routers_by_zone))
                       .bytes("hub_by_zone", list_of(s.hub_by_zone))
                       .bytes("link_in_kb_per_s", list_of(s.link_in_kb_per_s))
@@ -685,66 +685,66 @@
   lines.push_back(Line("topology")
                       .whole("parent_kind", s.parent_kind)
                       .whole("origin_kind", s.origin_kind)
-                      .flag("direct_attempts", s.straight)
+                      .flag("direct_attempts", s.direct_to_sources)
                       .word("sibling_fills", name_of_sibling_fills(s.sibling_fills))
-                      .word("cache_status_detail", name_of_cache_status_detail(s.notes))
-                      .real("stream_kb_per_s", s.stream_kb_per_s)
+                      .word("cache_status_detail", name_of_cache_status_detail(s.cache_status_detail))
+                      .real("stream_kb_per_s", s.transfer_kb_per_s)
                       .text());
   lines.push_back(Line("endpoints")
                       .time("answer_slack", s.answer_slack)
                       .time("drain_grace", s.drain_grace)
-                      .real("initial_capacity", s.cold_share)
-                      .time("warm_up_time", s.warm_after)
-                      .real("overload_factor", s.fall_multiple)
-                      .time("overload_window", s.fall_span)
+                      .real("initial_capacity", s.initial_capacity)
+                      .time("warm_up_time", s.warm_up_time)
+                      .real("overload_factor", s.overload_factor)
+                      .time("overload_window", s.overload_window)
                       .text());
   lines.push_back(Line("parents_and_origin")
-                      .real("parent_initial_capacity", s.parent_cold_share)
-                      .time("parent_warm_up_time", s.parent_warm_after)
-                      .real("parent_overload_factor", s.parent_fall_multiple)
-                      .real("origin_overload_factor", s.origin_fall_multiple)
-                      .time("origin_overload_window", s.origin_fall_span)
+                      .real("parent_initial_capacity", s.parent_initial_capacity)
+                      .time("parent_warm_up_time", s.parent_warm_up_time)
+                      .real("parent_overload_factor", s.parent_overload_factor)
+                      .real("origin_overload_factor", s.origin_overload_factor)
+                      .time("origin_overload_window", s.origin_overload_window)
                       .text());
   lines.push_back(Line("allowed")
-                      .time("invalidation_slack", s.purge_slack)
-                      .time("invalidation_completed", s.purge_cleared)
+                      .time("invalidation_slack", s.invalidation_slack)
+                      .time("invalidation_completed", s.invalidation_settled_after)
                       .whole("max_attempts", s.max_attempts)
-                      .flag("cancellation", s.cancelling)
-                      .flag("health_checks", s.probes)
-                      .flag("hedged_requests", s.second_copies)
+                      .flag("cancellation", s.cancellation)
+                      .flag("health_checks", s.health_checks)
+                      .flag("hedged_requests", s.hedging)
                       .flag("retry_after", s.retry_after)
                       .time("max_retry_after", s.max_retry_after)
-                      .flag("must_subscribe", s.must_subscribe)
-                      .time("poll_within", s.must_ask_within)
-                      .flag("clients_mark_retries", s.marks_retry)
+                      .flag("must_subscribe", s.subscription_required)
+                      .time("poll_within", s.poll_within)
+                      .flag("clients_mark_retries", s.marks_client_retries)
                       .word("report_channel", name_of_report_channel(s.report_via))
                       .word("weights", name_of_weights(s.weights))
                       .text());
   lines.push_back(Line("cost_weights")
-                      .real("cross_zone", s.fees.cross_zone)
-                      .real("waste", s.fees.waste)
-                      .real("origin", s.fees.origin)
-                      .real("health_check", s.fees.probe)
-                      .real("late_failure", s.fees.late_fail)
-                      .real("link_bytes", s.fees.link_bytes)
+                      .real("cross_zone", s.cost_weights.cross_zone)
+                      .real("waste", s.cost_weights.waste)
+                      .real("origin", s.cost_weights.origin)
+                      .real("health_check", s.cost_weights.health_check)
+                      .real("late_failure", s.cost_weights.late_failure)
+                      .real("link_bytes", s.cost_weights.link_bytes)
                       .text());
   for (const RequestClass& c : s.classes) {
     lines.push_back(Line("request_class")
                         .bytes("name", c.name)
-                        .time("latency_objective", c.aim)
-                        .real("latency_objective_per_transfer_time", c.aim_stretch)
+                        .time("latency_objective", c.latency_objective)
+                        .real("latency_objective_per_transfer_time", c.latency_objective_per_transfer_time)
                         .time("deadline", c.deadline)
-                        .word("idempotency", name_of_idempotency(c.effect))
-                        .word("deduplication_scope", name_of_deduplication_scope(c.group))
-                        .time("deduplication_window", c.memory)
-                        .real("priority_weight", c.worth)
-                        .real("late_weight", c.late_worth)
+                        .word("idempotency", name_of_idempotency(c.idempotency))
+                        .word("deduplication_scope", name_of_deduplication_scope(c.deduplication_scope))
+                        .time("deduplication_window", c.deduplication_window)
+                        .real("priority_weight", c.priority_weight)
+                        .real("late_weight", c.late_weight)
                         .flag("streamed", c.streamed)
                         .time("max_age", c.max_age)
                         .time("grace", c.grace)
-                        .real("stale_weight", c.stale_earns)
+                        .real("stale_weight", c.stale_weight)
                         .flag("segmented", c.segmented)
-                        .flag("uncacheable", c.never_kept)
+                        .flag("uncacheable", c.uncacheable)
                         .text());
   }
   return lines;
--- a/tests/golden/routing_golden_test.cpp
+++ b/tests/golden/routing_golden_test.cpp
@@ -117,7 +117,7 @@
   }
 
   void run(int steps) {
-    feed(list(ListKind::remembered));
+    feed(list(ListKind::from_configuration));
     for (int step = 0; step < steps; ++step) {
       if (step % 400 == 0) change_phase();
       pass(draws_.up_to(draws_.chance(2) ? Time{4s} : quiet_ ? Time{60ms} : Time{12ms}));
@@ -135,79 +135,80 @@
     std::string endpoint;
     std::string source;
     Time sent{0};
-    Ending ending = Ending::served;
-    Note note = Note::hit;
+    AttemptResult ending = AttemptResult::served;
+    CacheStatus note = CacheStatus::hit;
   };
 
   // ---- Settings ----
 
-  RequestClass request_class(const std::string& name, Effect effect, DedupGroup group) {
+  RequestClass request_class(const std::string& name, Idempotency effect, DeduplicationScope group) {
     RequestClass c;
     c.name = name;
-    c.aim = Time{200ms} + draws_.up_to(400ms);
-    c.aim_stretch = draws_.chance(50) ? 2 : 0;
+    c.latency_objective = Time{200ms} + draws_.up_to(400ms);
+    c.latency_objective_per_transfer_time = draws_.chance(50) ? 2 : 0;
     c.deadline = Time{2000ms} + draws_.up_to(1500ms);
-    c.effect = effect;
-    c.group = group;
-    if (effect == Effect::keyed) c.memory = Time{400ms} + draws_.up_to(1500ms);
-    c.worth = 0.5 + 3 * draws_.part();
-    c.late_worth = draws_.part();
+    c.idempotency = effect;
+    c.deduplication_scope = group;
+    if (effect == Idempotency::with_key) c.deduplication_window = Time{400ms} + draws_.up_to(1500ms);
+    c.priority_weight = 0.5 + 3 * draws_.part();
+    c.late_weight = draws_.part();
     return c;
   }
 
   Settings draw_settings() {
     Settings s = settings();
-    RequestClass aged = request_class("aged", Effect::safe, DedupGroup::all);
+    RequestClass aged = request_class("aged", Idempotency::idempotent, DeduplicationScope::all);
     aged.max_age = 4s;
     aged.grace = 9s;
-    aged.stale_earns = 0.5;
-    RequestClass streamed = request_class("streamed", Effect::safe, DedupGroup::all);
+    aged.stale_weight = 0.5;
+    RequestClass streamed = request_class("streamed", Idempotency::idempotent, DeduplicationScope::all);
     streamed.streamed = streamed.segmented = true;
-    RequestClass stored = request_class("stored", Effect::unsafe, DedupGroup::all);
-    RequestClass written = request_class("written", Effect::unsafe, DedupGroup::all);
-    written.never_kept = true;
+    RequestClass stored = request_class("stored", Idempotency::none, DeduplicationScope::all);
+    RequestClass written = request_class("written", Idempotency::none, DeduplicationScope::all);
+    written.uncacheable = true;
     s.classes = {aged,
                  streamed,
-                 request_class("plain", Effect::safe, DedupGroup::all),
-                 request_class("keyed_all", Effect::keyed, DedupGroup::all),
-                 request_class("keyed_zone", Effect::keyed, DedupGroup::zone),
-                 request_class("keyed_cell", Effect::keyed, DedupGroup::cell),
+                 request_class("plain", Idempotency::idempotent, DeduplicationScope::all),
+                 request_class("keyed_all", Idempotency::with_key, DeduplicationScope::all),
+                 request_class("keyed_zone", Idempotency::with_key, DeduplicationScope::zone),
+                 request_class("keyed_cell", Idempotency::with_key, DeduplicationScope::cell),
                  stored,
                  written};
-    s.routers = 1 + static_cast<int>(draws_.below(4));
+    s.router_count = 1 + static_cast<int>(draws_.below(4));
     s.routers_by_zone = {0, 0, 1 + static_cast<int>(draws_.below(2))};
     s.link_in_kb_per_s = {0, 0, 20000};
-    s.stream_kb_per_s = draws_.chance(80) ? 1000 : 0;
-    s.fees = {0.1, 0.2, 0.3, 0.01, 0.5, 0.05};
+    s.transfer_kb_per_s = draws_.chance(80) ? 1000 : 0;
+    s.cost_weights = {0.1, 0.2, 0.3, 0.01, 0.5, 0.05};
     s.weights = draws_.one_of(std::array{Weights::none, Weights::nominal, Weights::rough, Weights::live});
     s.report_via = draws_.one_of(std::array{ReportVia::none, ReportVia::probes, ReportVia::answers});
     s.sibling_fills =
         draws_.one_of(std::array{SiblingFills::none, SiblingFills::location, SiblingFills::any});
-    s.must_subscribe = draws_.chance(60);
+    s.subscription_required = draws_.chance(60);
     redraw_permissions(s);
     return s;
   }
 
   void redraw_permissions(Settings& s) {
-    s.straight = draws_.chance(40);
-    s.cancelling = draws_.chance(70);
-    s.second_copies = draws_.chance(70);
+    s.direct_to_sources = draws_.chance(40);
+    s.cancellation = draws_.chance(70);
+    s.hedging = draws_.chance(70);
     s.retry_after = draws_.chance(50);
     s.max_retry_after = 500ms;
     s.max_attempts = draws_.chance(70) ? 8 : 2;
-    s.notes = draws_.one_of(std::array{Notes::none, Notes::hits, Notes::all});
+    s.cache_status_detail =
+        draws_.one_of(std::array{CacheStatusDetail::none, CacheStatusDetail::hits, CacheStatusDetail::all});
   }
 
   // ---- Endpoints ----
 
-  Member endpoint(const std::string& id, int kind, int zone, int cell) {
-    Member m = member(id, kind, zone);
+  Endpoint endpoint(const std::string& id, int kind, int zone, int cell) {
+    Endpoint m = member(id, kind, zone);
     m.cell = cell;
     m.weight = 0.5 + draws_.part();
     return m;
   }
 
-  MemberList list(ListKind kind) {
+  EndpointList list(ListKind kind) {
     if (endpoints_.empty()) {
       for (int i = 0; i < 5; ++i) endpoints_.push_back(endpoint("cache-" + std::to_string(i), 0, 2, i % 2));
       endpoints_.push_back(endpoint("cache-elsewhere", 0, 1, 0));
@@ -219,49 +220,50 @@
 
   void change_list() {
     if (draws_.chance(15)) {
-      feed(MemberList{ListKind::failed, {}});
+      feed(EndpointList{ListKind::failed, {}});
       return;
     }
     if (draws_.chance(25)) {
-      MemberList complete = list(ListKind::whole);
+      EndpointList complete = list(ListKind::complete);
       if (draws_.chance(60))
-        complete.members.erase(complete.members.begin() + static_cast<int>(draws_.below(3)));
+        complete.endpoints.erase(complete.endpoints.begin() + static_cast<int>(draws_.below(3)));
       feed(complete);
       return;
     }
-    Member& changed = endpoints_[draws_.below(endpoints_.size())];
+    Endpoint& changed = endpoints_[draws_.below(endpoints_.size())];
     switch (draws_.below(7)) {
       case 0:
-        changed.state = MemberState::draining;
+        changed.state = EndpointState::draining;
         break;
       case 1:
-        changed.state = MemberState::gone;
+        changed.state = EndpointState::removed;
         break;
       case 2:
         changed.started = now_ - draws_.up_to(3s);
-        changed.state = MemberState::running;
+        changed.state = EndpointState::running;
         break;
       default:
-        changed.state = MemberState::running;
+        changed.state = EndpointState::running;
         if (changed.kind == 0 && draws_.chance(50)) {  // another one takes its place
-          const Member replaced = changed;
+          const Endpoint replaced = changed;
           changed.id = "cache-new-" + std::to_string(++replacements_);
           changed.started = now_;
-          Member gone = replaced;
-          gone.state = MemberState::gone;
-          feed(MemberList{ListKind::changes, {gone, changed}});
+          Endpoint gone = replaced;
+          gone.state = EndpointState::removed;
+          feed(EndpointList{ListKind::changes, {gone, changed}});
           return;
         }
     }
-    feed(MemberList{ListKind::changes, {changed}});
+    feed(EndpointList{ListKind::changes, {changed}});
   }
 
   void change_phase() {
     failing_ = endpoints_[draws_.below(5)].id;  // a cache
     failing_source_ = "parent-" + std::to_string(draws_.below(3));
-    failure_ = draws_.one_of(std::array{Ending::broken, Ending::unreachable, Ending::broken,
-                                        Ending::unreachable, Ending::error, Ending::shed, Ending::timed_out,
-                                        Ending::missing, Ending::spoilt});
+    failure_ = draws_.one_of(std::array{AttemptResult::connection_lost, AttemptResult::unreachable,
+                                        AttemptResult::connection_lost, AttemptResult::unreachable,
+                                        AttemptResult::error, AttemptResult::shed, AttemptResult::timed_out,
+                                        AttemptResult::cache_miss, AttemptResult::malformed_response});
     slow_ = draws_.chance(50);
     quiet_ = draws_.chance(40);
   }
@@ -275,10 +277,11 @@
     } else if (draw < 880) {
       end_one();
     } else if (draw < 910) {
-      feed(draw < 895 ? Purge{draws_.below(40), 0, draws_.up_to(2s)}
-                      : Purge{std::nullopt, static_cast<std::int64_t>(draws_.below(6)), draws_.up_to(2s)});
+      feed(draw < 895
+               ? Invalidation{draws_.below(40), 0, draws_.up_to(2s)}
+               : Invalidation{std::nullopt, static_cast<std::int64_t>(draws_.below(6)), draws_.up_to(2s)});
     } else if (draw < 930) {
-      feed(Withdrawn{"r" + std::to_string(made_ - static_cast<int>(draws_.below(4)))});
+      feed(RequestCancelled{"r" + std::to_string(made_ - static_cast<int>(draws_.below(4)))});
     } else if (draw < 950) {
       if (!open_.empty()) {
         const OpenAttempt& a = open_[draws_.below(open_.size())];
@@ -287,14 +290,14 @@
     } else if (draw < 970) {
       change_list();
     } else if (draw < 978) {
-      feed(Portion{2 * draws_.part(), 2 * draws_.part()});
+      feed(QuotaChanged{2 * draws_.part(), 2 * draws_.part()});
     } else if (draw < 984) {
       redraw_permissions(settings_);
-      feed(Resettle{settings_});
+      feed(SettingsChanged{settings_});
     } else if (draw < 990) {
-      feed(Probed{"cache-1", draws_.chance(80), draws_.up_to(30ms), report()});
+      feed(HealthChecked{"cache-1", draws_.chance(80), draws_.up_to(30ms), report()});
     } else if (draw < 995) {
-      feed(Outcome{"none", 0, "cache-1", Ending::served, 5ms, true, Note::hit, {}, {}});
+      feed(Outcome{"none", 0, "cache-1", AttemptResult::served, 5ms, true, CacheStatus::hit, {}, {}});
     } else {
       feed(TimerFired{1});
     }
@@ -309,14 +312,14 @@
     r.part = draws_.below(2);
     r.group = static_cast<std::int64_t>(r.object % 6);
     const double factor = draws_.part(), other_factor = draws_.part();
-    r.kb = draws_.chance(20) ? 0 : 5 + 300 * factor * other_factor;
+    r.size_kb = draws_.chance(20) ? 0 : 5 + 300 * factor * other_factor;
     const Time deadline = r.request_class == 99
                               ? Time{1s}
                               : settings_.classes[static_cast<std::size_t>(r.request_class)].deadline;
     r.expires = now_ + (draws_.chance(10) ? draws_.up_to(50ms) : deadline);
     r.write = draws_.chance(4);
     r.client_retry = draws_.chance(8);
-    if (draws_.chance(6)) r.own_copy = draws_.chance(50) ? Time{0} : draws_.up_to(300ms);
+    if (draws_.chance(6)) r.local_copy_wait = draws_.chance(50) ? Time{0} : draws_.up_to(300ms);
     feed(r);
   }
 
@@ -326,8 +329,8 @@
     if (draws_.chance(70)) load.busy = draws_.part();
     if (draws_.chance(50)) load.in_flight = 20 * draws_.part();
     if (draws_.chance(50)) load.queued = 5 * draws_.part();
-    if (draws_.chance(50)) load.hit_share = draws_.part();
-    if (draws_.chance(80)) load.link_fill = 4 * draws_.part();
+    if (draws_.chance(50)) load.hit_ratio = draws_.part();
+    if (draws_.chance(80)) load.link_utilization = 4 * draws_.part();
     return load;
   }
 
@@ -335,42 +338,46 @@
     if (open_.empty()) return;
     const std::size_t at = draws_.chance(60) ? 0 : draws_.below(open_.size());
     const OpenAttempt a = open_[at];
-    if (slow_ && a.ending == Ending::served && draws_.chance(70)) return;
+    if (slow_ && a.ending == AttemptResult::served && draws_.chance(70)) return;
     open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(at));
     end(a, a.ending, a.note);
     if (draws_.chance(2)) end(a, a.ending, a.note);  // told twice
   }
 
-  void end(const OpenAttempt& a, Ending ending, Note note) {
+  void end(const OpenAttempt& a, AttemptResult ending, CacheStatus note) {
     Outcome o;
     o.request = a.request;
     o.attempt = a.number;
-    o.member = a.endpoint;
-    o.ending = ending;
-    o.took = now_ - a.sent;
-    o.settled = ending == Ending::served && draws_.chance(95);
-    o.note = note;
+    o.endpoint = a.endpoint;
+    o.result = ending;
+    o.duration = now_ - a.sent;
+    o.request_finished = ending == AttemptResult::served && draws_.chance(95);
+    o.cache_status = note;
     if (draws_.chance(50)) o.first_byte = draws_.up_to(200ms);
     o.report = report();
     feed(o);
   }
 
   void choose_ending(OpenAttempt& a) {
-    constexpr std::array kNotes{
-        Note::unknown,      Note::hit,           Note::filled,       Note::filled_by_origin,
-        Note::joined,       Note::stale,         Note::source_shed,  Note::source_unreached,
-        Note::source_lacks, Note::no_fill_place, Note::origin_failed};
-    constexpr std::array kEndings{Ending::error,       Ending::shed,   Ending::timed_out,
-                                  Ending::unreachable, Ending::broken, Ending::unsent,
-                                  Ending::missing,     Ending::spoilt, Ending::cancelled};
+    constexpr std::array kNotes{CacheStatus::unknown,      CacheStatus::hit,
+                                CacheStatus::filled,       CacheStatus::filled_by_origin,
+                                CacheStatus::joined,       CacheStatus::stale,
+                                CacheStatus::source_shed,  CacheStatus::source_unreachable,
+                                CacheStatus::source_miss,  CacheStatus::no_fill_capacity,
+                                CacheStatus::origin_failed};
+    constexpr std::array kEndings{AttemptResult::error,           AttemptResult::shed,
+                                  AttemptResult::timed_out,       AttemptResult::unreachable,
+                                  AttemptResult::connection_lost, AttemptResult::not_sent,
+                                  AttemptResult::cache_miss,      AttemptResult::malformed_response,
+                                  AttemptResult::cancelled};
     if ((a.endpoint == failing_ || a.source == failing_source_) && draws_.chance(95)) {
       a.ending = failure_;
-      a.note = draws_.chance(40) ? Note::unknown : draws_.one_of(kNotes);
+      a.note = draws_.chance(40) ? CacheStatus::unknown : draws_.one_of(kNotes);
     } else if (draws_.chance(8)) {
       a.ending = draws_.one_of(kEndings);
       a.note = draws_.one_of(kNotes);
     } else {
-      a.note = draws_.chance(50) ? Note::hit : draws_.one_of(kNotes);
+      a.note = draws_.chance(50) ? CacheStatus::hit : draws_.one_of(kNotes);
     }
   }
 
@@ -387,34 +394,34 @@
     const std::vector<Action> actions = router_.handle(now_, event);
     golden::record_routing_step(record_, 0, now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* wake = std::get_if<Wake>(&action)) wake_at_ = now_ + wake->after;
+      if (const auto* wake = std::get_if<SetTimer>(&action)) wake_at_ = now_ + wake->after;
       if (const auto* a = std::get_if<Attempt>(&action)) {
-        OpenAttempt attempt{a->request, attempts_[a->request]++, a->member, a->source, now_};
+        OpenAttempt attempt{a->request, attempts_[a->request]++, a->endpoint, a->source, now_};
         choose_ending(attempt);
         open_.push_back(attempt);
       }
       if (const auto* cancel = std::get_if<Cancel>(&action)) {
         for (OpenAttempt& attempt : open_) {
           if (attempt.request != cancel->request || attempt.number != cancel->attempt) continue;
-          attempt.ending = Ending::cancelled;
-          attempt.note = Note::unknown;
+          attempt.ending = AttemptResult::cancelled;
+          attempt.note = CacheStatus::unknown;
         }
       }
     }
   }
 
   void record_beliefs() {
-    const Router::Beliefs beliefs = router_.beliefs();
+    const Router::Stats beliefs = router_.stats();
     record_.add(golden::TraceLine("beliefs")
-                    .add("in_flight", beliefs.out)
-                    .add("ejected", beliefs.shut)
-                    .add("endpoints", beliefs.members)
+                    .add("in_flight", beliefs.in_flight)
+                    .add("ejected", beliefs.ejected)
+                    .add("endpoints", beliefs.endpoints)
                     .text());
   }
 
   GoldenRecord& record_;
   Draws draws_;
-  std::vector<Member> endpoints_;
+  std::vector<Endpoint> endpoints_;
   Settings settings_;
   Router router_;
   Time now_{1000s};
@@ -423,7 +430,7 @@
   std::vector<OpenAttempt> open_;
   std::map<std::string, int> attempts_;  // by request
   std::string failing_, failing_source_;
-  Ending failure_ = Ending::broken;
+  AttemptResult failure_ = AttemptResult::connection_lost;
   bool slow_ = false, quiet_ = false;
 };
 
--- a/tests/golden/routing_trace.cpp
+++ b/tests/golden/routing_trace.cpp
@@ -11,25 +11,25 @@
 
 // ---- Enumerations ----
 
-const char* label_of(Effect effect) {
+const char* label_of(Idempotency effect) {
   switch (effect) {
-    case Effect::safe:
+    case Idempotency::idempotent:
       return "idempotent";
-    case Effect::keyed:
+    case Idempotency::with_key:
       return "with_key";
-    case Effect::unsafe:
+    case Idempotency::none:
       return "none";
   }
   return "?";
 }
 
-const char* label_of(DedupGroup scope) {
+const char* label_of(DeduplicationScope scope) {
   switch (scope) {
-    case DedupGroup::all:
+    case DeduplicationScope::all:
       return "all";
-    case DedupGroup::zone:
+    case DeduplicationScope::zone:
       return "zone";
-    case DedupGroup::cell:
+    case DeduplicationScope::cell:
       return "cell";
   }
   return "?";
@@ -73,25 +73,25 @@
   return "?";
 }
 
-const char* label_of(Notes notes) {
+const char* label_of(CacheStatusDetail notes) {
   switch (notes) {
-    case Notes::none:
+    case CacheStatusDetail::none:
       return "none";
-    case Notes::hits:
+    case CacheStatusDetail::hits:
       return "hits";
-    case Notes::all:
+    case CacheStatusDetail::all:
       return "all";
   }
   return "?";
 }
 
-const char* label_of(MemberState state) {
+const char* label_of(EndpointState state) {
   switch (state) {
-    case MemberState::running:
+    case EndpointState::running:
       return "running";
-    case MemberState::draining:
+    case EndpointState::draining:
       return "draining";
-    case MemberState::gone:
+    case EndpointState::removed:
       return "gone";
   }
   return "?";
@@ -101,9 +101,9 @@
   switch (kind) {
     case ListKind::changes:
       return "changes";
-    case ListKind::whole:
+    case ListKind::complete:
       return "complete";
-    case ListKind::remembered:
+    case ListKind::from_configuration:
       return "remembered";
     case ListKind::failed:
       return "failed";
@@ -111,55 +111,55 @@
   return "?";
 }
 
-const char* label_of(Ending result) {
+const char* label_of(AttemptResult result) {
   switch (result) {
-    case Ending::served:
+    case AttemptResult::served:
       return "served";
-    case Ending::error:
+    case AttemptResult::error:
       return "error";
-    case Ending::shed:
+    case AttemptResult::shed:
       return "shed";
-    case Ending::timed_out:
+    case AttemptResult::timed_out:
       return "timed_out";
-    case Ending::unreachable:
+    case AttemptResult::unreachable:
       return "unreachable";
-    case Ending::broken:
+    case AttemptResult::connection_lost:
       return "connection_lost";
-    case Ending::cancelled:
+    case AttemptResult::cancelled:
       return "cancelled";
-    case Ending::unsent:
+    case AttemptResult::not_sent:
       return "not_sent";
-    case Ending::missing:
+    case AttemptResult::cache_miss:
       return "cache_miss";
-    case Ending::spoilt:
+    case AttemptResult::malformed_response:
       return "malformed_response";
   }
   return "?";
 }
 
-const char* label_of(Note status) {
+const char* label_of(CacheStatus status) {
   switch (status) {
-    case Note::unknown:
+    case CacheStatus::unknown:
       return "unknown";
-    case Note::hit:
+    case CacheStatus::hit:
       return "hit";
-    case Note::filled:
+    case CacheStatus::filled:
       return "filled";
-    case Note::filled_by_origin:
+    case CacheStatus::filled_by_origin:
       return "filled_by_origin";
-    case Note::joined:
+    case CacheStatus::joined:
       return "joined";
-    case Note::stale:
+    case CacheStatus::stale:
       return "stale";
-    case Note::source_shed:
+    case CacheStatus::source_shed:
       return "source_shed";
-    case Note::source_unreached:
+    case CacheStatus::source_unreachable:
       return "source_unreachable";
-    case Note::source_lacks:
+    case CacheStatus::source_miss:
       return "source_miss";
-    case Note::no_fill_place:
+    case CacheStatus::no_fill_capacity:
       return "no_fill_capacity";
-    case Note::origin_failed:
+    case CacheStatus::origin_failed:
       return "origin_failed";
   }
   return "?";
@@ -167,7 +167,7 @@
 
 const char* label_of(Rank rank) {
   switch (rank) {
-    case Rank::unkept:
+    case Rank::uncached:
       return "uncached";
     case Rank::low:
       return "low";
@@ -205,35 +205,35 @@
 std::string text_of(const RequestClass& c) {
   return TraceLine("class")
       .add("name", c.name)
-      .add("latency_objective", c.aim)
-      .add("latency_objective_per_transfer_time", c.aim_stretch)
+      .add("latency_objective", c.latency_objective)
+      .add("latency_objective_per_transfer_time", c.latency_objective_per_transfer_time)
       .add("deadline", c.deadline)
-      .add("idempotency", label_of(c.effect))
-      .add("deduplication_scope", label_of(c.group))
-      .add("deduplication_window", c.memory)
-      .add("priority_weight", c.worth)
-      .add("late_weight", c.late_worth)
+      .add("idempotency", label_of(c.idempotency))
+      .add("deduplication_scope", label_of(c.deduplication_scope))
+      .add("deduplication_window", c.deduplication_window)
+      .add("priority_weight", c.priority_weight)
+      .add("late_weight", c.late_weight)
       .add("streamed", c.streamed)
       .add("max_age", c.max_age)
       .add("grace", c.grace)
-      .add("stale_weight", c.stale_earns)
+      .add("stale_weight", c.stale_weight)
       .add("segmented", c.segmented)
-      .add("uncacheable", c.never_kept)
+      .add("uncacheable", c.uncacheable)
       .text();
 }
 
-std::string text_of(const Fees& fees) {
+std::string text_of(const CostWeights& fees) {
   return TraceLine("cost_weights")
       .add("cross_zone", fees.cross_zone)
       .add("waste", fees.waste)
       .add("origin", fees.origin)
-      .add("health_check", fees.probe)
-      .add("late_failure", fees.late_fail)
+      .add("health_check", fees.health_check)
+      .add("late_failure", fees.late_failure)
       .add("link_bytes", fees.link_bytes)
       .text();
 }
 
-std::string text_of(const Member& member) {
+std::string text_of(const Endpoint& member) {
   return TraceLine("endpoint")
       .add("id", member.id)
       .add("state", label_of(member.state))
@@ -251,17 +251,17 @@
   add_optional(line, "busy", report->busy);
   add_optional(line, "in_flight", report->in_flight);
   add_optional(line, "queued", report->queued);
-  add_optional(line, "hit_ratio", report->hit_share);
-  add_optional(line, "link_utilization", report->link_fill);
+  add_optional(line, "hit_ratio", report->hit_ratio);
+  add_optional(line, "link_utilization", report->link_utilization);
   return line.text();
 }
 
 // ---- Events ----
 
-std::string event_text(const MemberList& list) {
+std::string event_text(const EndpointList& list) {
   TraceLine line("endpoint_list");
   line.add("kind", label_of(list.kind));
-  for (const Member& member : list.members) line.add_inner("item", text_of(member));
+  for (const Endpoint& member : list.endpoints) line.add_inner("item", text_of(member));
   return line.text();
 }
 
@@ -272,11 +272,11 @@
       .add("object", request.object)
       .add("part", request.part)
       .add("group", request.group)
-      .add("size_kb", request.kb)
+      .add("size_kb", request.size_kb)
       .add("expires", request.expires)
       .add("write", request.write)
       .add("client_retry", request.client_retry);
-  add_optional(line, "local_copy_delay", request.own_copy);
+  add_optional(line, "local_copy_delay", request.local_copy_wait);
   return line.text();
 }
 
@@ -288,32 +288,32 @@
   TraceLine line("attempt_completed");
   line.add("request", outcome.request)
       .add("attempt", outcome.attempt)
-      .add("endpoint", outcome.member)
-      .add("result", label_of(outcome.ending))
-      .add("took", outcome.took)
-      .add("request_finished", outcome.settled)
-      .add("cache_status", label_of(outcome.note));
+      .add("endpoint", outcome.endpoint)
+      .add("result", label_of(outcome.result))
+      .add("took", outcome.duration)
+      .add("request_finished", outcome.request_finished)
+      .add("cache_status", label_of(outcome.cache_status));
   add_optional(line, "first_byte", outcome.first_byte);
   line.add_inner("report", text_of(outcome.report));
   return line.text();
 }
 
-std::string event_text(const Probed& check) {
+std::string event_text(const HealthChecked& check) {
   return TraceLine("health_checked")
-      .add("endpoint", check.member)
+      .add("endpoint", check.endpoint)
       .add("answered", check.answered)
-      .add("took", check.took)
+      .add("took", check.duration)
       .add_inner("report", text_of(check.report))
       .text();
 }
 
-std::string event_text(const Purge& purge) {
+std::string event_text(const Invalidation& purge) {
   TraceLine line("invalidation");
   add_optional(line, "object", purge.object);
-  return line.add("group", purge.group).add("age", purge.ago).text();
+  return line.add("group", purge.group).add("age", purge.age).text();
 }
 
-std::string event_text(const Withdrawn& cancelled) {
+std::string event_text(const RequestCancelled& cancelled) {
   return TraceLine("request_cancelled").add("request", cancelled.request).text();
 }
 
@@ -321,14 +321,14 @@
   return TraceLine("stream_started").add("request", stream.request).add("attempt", stream.attempt).text();
 }
 
-std::string event_text(const Portion& quota) {
+std::string event_text(const QuotaChanged& quota) {
   return TraceLine("quota_changed")
-      .add("of_parents", quota.of_parents)
-      .add("of_caches", quota.of_caches)
+      .add("of_parents", quota.parent_share)
+      .add("of_caches", quota.cache_share)
       .text();
 }
 
-std::string event_text(const Resettle& change) {
+std::string event_text(const SettingsChanged& change) {
   return TraceLine("settings_changed").add_inner("settings", golden::text_of(change.settings)).text();
 }
 
@@ -337,16 +337,16 @@
 std::string action_text(const Attempt& attempt) {
   return TraceLine("attempt")
       .add("request", attempt.request)
-      .add("endpoint", attempt.member)
+      .add("endpoint", attempt.endpoint)
       .add("source", attempt.source)
       .add("rank", label_of(attempt.rank))
-      .add("max_copy_age", attempt.oldest)
+      .add("max_copy_age", attempt.max_copy_age)
       .add("timeout", attempt.timeout)
       .add("send_within", attempt.send_within)
-      .add("join_fill", attempt.join)
-      .add("only_if_cached", attempt.held_only)
-      .add("parent_does_not_store", attempt.parent_keeps_none)
-      .add("refresh", attempt.renew)
+      .add("join_fill", attempt.join_fill)
+      .add("only_if_cached", attempt.cached_only)
+      .add("parent_does_not_store", attempt.parent_uncached)
+      .add("refresh", attempt.stale_while_revalidate)
       .text();
 }
 
@@ -354,25 +354,25 @@
   return TraceLine("cancel").add("request", cancel.request).add("attempt", cancel.attempt).text();
 }
 
-std::string action_text(const Refuse& reject) {
+std::string action_text(const Reject& reject) {
   return TraceLine("reject").add("request", reject.request).add("retry_after", reject.retry_after).text();
 }
 
 std::string action_text(const Fail& fail) { return TraceLine("fail").add("request", fail.request).text(); }
 
-std::string action_text(const Wake& timer) {
+std::string action_text(const SetTimer& timer) {
   return TraceLine("set_timer").add("after", timer.after).add("token", timer.token).text();
 }
 
-std::string action_text(const ProbeMember& check) {
-  return TraceLine("check_health").add("endpoint", check.member).text();
+std::string action_text(const CheckHealth& check) {
+  return TraceLine("check_health").add("endpoint", check.endpoint).text();
 }
 
-std::string action_text(const FetchList&) { return "fetch_list"; }
-std::string action_text(const SubscribeList&) { return "subscribe_list"; }
-std::string action_text(const Remark&) { return {}; }
+std::string action_text(const FetchEndpointList&) { return "fetch_list"; }
+std::string action_text(const SubscribeEndpointList&) { return "subscribe_list"; }
+std::string action_text(const LogMessage&) { return {}; }
 
-std::string action_text(const ServeOwn& serve) {
+std::string action_text(const ServeFromLocalCache& serve) {
   return TraceLine("serve_from_local_cache").add("request", serve.request).text();
 }
 
@@ -380,45 +380,45 @@
 
 std::string text_of(const Settings& s) {
   TraceLine line("settings");
-  line.add("self", s.me)
+  line.add("self", s.router_number)
       .add("zone", s.zone)
-      .add("routers", s.routers)
+      .add("routers", s.router_count)
       .add("routers_by_zone", numbers(s.routers_by_zone))
       .add("hub_by_zone", numbers(s.hub_by_zone))
       .add("link_in_kb_per_s", numbers(s.link_in_kb_per_s));
   for (const RequestClass& c : s.classes) line.add_inner("item", text_of(c));
   line.add("parent_kind", s.parent_kind)
       .add("origin_kind", s.origin_kind)
-      .add("direct", s.straight)
+      .add("direct", s.direct_to_sources)
       .add("sibling_fills", label_of(s.sibling_fills))
-      .add("cache_status_detail", label_of(s.notes))
-      .add("stream_kb_per_s", s.stream_kb_per_s)
+      .add("cache_status_detail", label_of(s.cache_status_detail))
+      .add("stream_kb_per_s", s.transfer_kb_per_s)
       .add("tick", s.tick)
       .add("answer_slack", s.answer_slack)
       .add("drain_grace", s.drain_grace)
-      .add("initial_capacity", s.cold_share)
-      .add("warm_up_time", s.warm_after)
-      .add("overload_factor", s.fall_multiple)
-      .add("overload_window", s.fall_span)
-      .add("parent_initial_capacity", s.parent_cold_share)
-      .add("parent_warm_up_time", s.parent_warm_after)
-      .add("parent_overload_factor", s.parent_fall_multiple)
-      .add("origin_overload_factor", s.origin_fall_multiple)
-      .add("origin_overload_window", s.origin_fall_span)
-      .add("invalidation_slack", s.purge_slack)
-      .add("invalidation_complete_after", s.purge_cleared)
+      .add("initial_capacity", s.initial_capacity)
+      .add("warm_up_time", s.warm_up_time)
+      .add("overload_factor", s.overload_factor)
+      .add("overload_window", s.overload_window)
+      .add("parent_initial_capacity", s.parent_initial_capacity)
+      .add("parent_warm_up_time", s.parent_warm_up_time)
+      .add("parent_overload_factor", s.parent_overload_factor)
+      .add("origin_overload_factor", s.origin_overload_factor)
+      .add("origin_overload_window", s.origin_overload_window)
+      .add("invalidation_slack", s.invalidation_slack)
+      .add("invalidation_complete_after", s.invalidation_settled_after)
       .add("max_attempts", s.max_attempts)
-      .add("cancelling", s.cancelling)
-      .add("health_checks", s.probes)
-      .add("hedging", s.second_copies)
+      .add("cancelling", s.cancellation)
+      .add("health_checks", s.health_checks)
+      .add("hedging", s.hedging)
       .add("retry_after", s.retry_after)
       .add("max_retry_after", s.max_retry_after)
-      .add("must_subscribe", s.must_subscribe)
-      .add("must_poll_within", s.must_ask_within)
-      .add("marks_retries", s.marks_retry)
+      .add("must_subscribe", s.subscription_required)
+      .add("must_poll_within", s.poll_within)
+      .add("marks_retries", s.marks_client_retries)
       .add("report_via", label_of(s.report_via))
       .add("weights", label_of(s.weights))
-      .add_inner("costs", text_of(s.fees));
+      .add_inner("costs", text_of(s.cost_weights));
   return line.text();
 }
 
--- a/tests/golden/stored_files_golden_test.cpp
+++ b/tests/golden/stored_files_golden_test.cpp
@@ -100,13 +100,13 @@
   return listed;
 }
 
-const char* name_of_endpoint_state(MemberState state) {
+const char* name_of_endpoint_state(EndpointState state) {
   switch (state) {
-    case MemberState::running:
+    case EndpointState::running:
       return "running";
-    case MemberState::draining:
+    case EndpointState::draining:
       return "draining";
-    case MemberState::gone:
+    case EndpointState::removed:
       return "gone";
   }
   return "?";
--- a/tests/slow_start_world.h
+++ b/tests/slow_start_world.h
@@ -44,21 +44,21 @@
  public:
   explicit SlowStartWorld(const SlowStartPlan& plan) : plan_(plan), draws_(plan.seed * 7919 + 1) {
     settings_ = settings();
-    settings_.routers = plan.routers;
+    settings_.router_count = plan.routers;
     settings_.routers_by_zone = {0, 0, plan.routers};
     settings_.weights = plan.weights;
-    settings_.notes = Notes::none;
-    settings_.second_copies = settings_.straight = false;
-    settings_.stream_kb_per_s = 9100;
-    settings_.cold_share = 0.18;
-    settings_.warm_after = 18s;
-    settings_.fall_multiple = 4;
-    settings_.parent_cold_share = 0.07;
-    settings_.parent_warm_after = 22s;
+    settings_.cache_status_detail = CacheStatusDetail::none;
+    settings_.hedging = settings_.direct_to_sources = false;
+    settings_.transfer_kb_per_s = 9100;
+    settings_.initial_capacity = 0.18;
+    settings_.warm_up_time = 18s;
+    settings_.overload_factor = 4;
+    settings_.parent_initial_capacity = 0.07;
+    settings_.parent_warm_up_time = 22s;
     RequestClass heavy = settings_.classes[0], light = heavy;
     heavy.deadline = 5s;
-    heavy.aim_stretch = light.aim_stretch = 2;
-    light.aim = 250ms;
+    heavy.latency_objective_per_transfer_time = light.latency_objective_per_transfer_time = 2;
+    light.latency_objective = 250ms;
     settings_.classes = {heavy, light};
   }
 
@@ -151,16 +151,16 @@
                   std::move(attempt), number});
   }
 
-  [[nodiscard]] Member sized(Member m, double weight) const {
+  [[nodiscard]] Endpoint sized(Endpoint m, double weight) const {
     m.weight = plan_.weights == Weights::none ? 1 : weight;
     if (plan_.weights == Weights::rough) m.weight *= m.id == "cache-a" || m.id == "parent-a" ? 1.2 : 0.9;
     return m;
   }
-  std::vector<Member> list(bool told) const {
-    std::vector<Member> all{sized(member("cache-b", 0, 2), kCacheWeight),
-                            sized(member("cache-c", 0, 2), kCacheWeight),
-                            sized(member("cache-d", 0, 2), kCacheWeight),
-                            sized(member("parent-b", 1, 1), kParentWeight), member("origin", 2, 0)};
+  std::vector<Endpoint> list(bool told) const {
+    std::vector<Endpoint> all{sized(member("cache-b", 0, 2), kCacheWeight),
+                              sized(member("cache-c", 0, 2), kCacheWeight),
+                              sized(member("cache-d", 0, 2), kCacheWeight),
+                              sized(member("parent-b", 1, 1), kParentWeight), member("origin", 2, 0)};
     if (told) {
       all.push_back(sized(member("cache-a", 0, 2, kStarted), kCacheWeight));
       all.push_back(sized(member("parent-a", 1, 0, kStarted), kParentWeight));
@@ -174,7 +174,7 @@
     r.up = Time{0};
     r.tries.clear();
     r.router = std::make_unique<Router>(settings_, draws_());
-    feed(i, MemberList{ListKind::remembered, list(r.told)});
+    feed(i, EndpointList{ListKind::from_configuration, list(r.told)});
   }
 
   void step(const Next& next) {
@@ -186,7 +186,7 @@
         break;
       case Kind::told:
         r.told = true;
-        feed(next.router, MemberList{ListKind::changes, list(true)});
+        feed(next.router, EndpointList{ListKind::changes, list(true)});
         break;
       case Kind::restart:
         start(next.router);
@@ -209,10 +209,10 @@
     request.request_class = std::uniform_real_distribution<double>(0, 1)(draws_) < 0.55 ? 0 : 1;
     request.object = draws_();
     constexpr double kSigma = 1.1;  // sizes vary widely, as the sites say
-    request.kb = work_of(request.request_class) * 9100 *
-                 std::exp(std::normal_distribution<double>(-kSigma * kSigma / 2, kSigma)(draws_));
-    const Time takes = 40ms + seconds_of(request.kb / 9100);
-    if (!plan_.sizes_told) request.kb = 0;
+    request.size_kb = work_of(request.request_class) * 9100 *
+                      std::exp(std::normal_distribution<double>(-kSigma * kSigma / 2, kSigma)(draws_));
+    const Time takes = 40ms + seconds_of(request.size_kb / 9100);
+    if (!plan_.sizes_told) request.size_kb = 0;
     request.expires = now_ + (request.request_class == 0 ? 5s : 2500ms);
     routers_[static_cast<std::size_t>(i)].tries[request.id] = {0, request.request_class, takes};
     feed(i, request);
@@ -223,12 +223,12 @@
     const auto found = tries.find(next.attempt.request);
     Outcome o;
     o.request = next.attempt.request;
-    o.member = next.attempt.member;
+    o.endpoint = next.attempt.endpoint;
     o.attempt = next.number;
-    o.ending = found == tries.end() ? Ending::cancelled : Ending::served;
-    o.settled = true;
+    o.result = found == tries.end() ? AttemptResult::cancelled : AttemptResult::served;
+    o.request_finished = true;
     if (found != tries.end()) {
-      o.took = found->second.takes;
+      o.duration = found->second.takes;
       ++served_;
       tries.erase(found);
     }
@@ -236,7 +236,7 @@
   }
 
   void written(const Attempt& a, int request_class) {
-    if (a.member == "cache-a") cache_.add(now_, work_of(request_class), mean_work());
+    if (a.endpoint == "cache-a") cache_.add(now_, work_of(request_class), mean_work());
     if (a.source == "parent-a") parent_.add(now_, work_of(request_class), mean_work());
   }
 
@@ -248,7 +248,7 @@
       if (const auto* a = std::get_if<Attempt>(&action)) {
         Asked& asked = r.tries[a->request];
         Time at = now_;
-        if (a->member == "cache-a") {
+        if (a->endpoint == "cache-a") {
           if (r.up == Time{0}) r.up = now_ + seconds_of(plan_.connects_in);
           at = std::max(at, r.up);
         }
@@ -258,9 +258,9 @@
           written(*a, asked.request_class);
         }
         push(at + asked.takes, i, Kind::done, *a, asked.attempts++);
-      } else if (const auto* w = std::get_if<Wake>(&action)) {
+      } else if (const auto* w = std::get_if<SetTimer>(&action)) {
         push(now_ + w->after, i, Kind::wake);
-      } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      } else if (const auto* refuse = std::get_if<Reject>(&action)) {
         r.tries.erase(refuse->request);
       } else if (const auto* fail = std::get_if<Fail>(&action)) {
         r.tries.erase(fail->request);
