--- a/src/choice.cpp
+++ b/src/choice.cpp
@@ -28,7 +28,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using limits::FillGate;
+using limits::FillAdmission;
 
 // The design's open values.
 constexpr Time kWindowPerRouter = 20s;     // the counting window, times the location's routers
@@ -514,17 +514,17 @@
 
   /// The told load of the location's link shows what its other routers draw, before anything is late. Every
   /// answer tells it anew, also of what is kept; where it is not told it stays 0.
-  bool fill_allowed(FillGate& gate, const Held& h) {
+  bool fill_allowed(FillAdmission& gate, const Held& h) {
     return gate.admit(now_, (h.work + fill_delay_) / std::max(expected_worth(h), 1e-6),
                       kLinkFull / std::max(link_fill_, kLinkFull));
   }
 
-  FillGate& gate_of(const Try& t) {
+  FillAdmission& gate_of(const Try& t) {
     return t.held_only ? held_fills_ : peers_[t.source].role == Role::origin ? origin_fills_ : fills_;
   }
 
   /// The gates to which an attempt tells what happens to answers where nothing is fetched.
-  std::vector<FillGate*> beside(const Try& t) {
+  std::vector<FillAdmission*> beside(const Try& t) {
     if (t.source == t.at) return {&fills_, &origin_fills_, &held_fills_};
     if (t.held_only) return {&fills_, &origin_fills_};
     return {};
@@ -721,10 +721,10 @@
       if (std::exchange(t.late, true)) continue;
       too_late(blamed);
       sample(peers_[t.at], kWorstPace);
-      for (FillGate* gate : beside(t)) gate->held_silent();
+      for (FillAdmission* gate : beside(t)) gate->record_cached_timeout();
       if (t.source == t.at) continue;
       filling = true;
-      gate_of(t).silent();
+      gate_of(t).record_timeout();
       too_late(peers_[t.at], 0.5);
       fill_ended(h, false, now_ - t.sent);
     }
@@ -768,9 +768,9 @@
     Peer& source = peers_[t.source];
     --p.under_way;
     if (t.source != t.at) --source.under_way;
-    for (FillGate* gate : {&fills_, &origin_fills_, &held_fills_}) gate->fade(now_);
-    for (FillGate* gate : beside(t)) gate->held();
-    if (t.source != t.at) gate_of(t).asked();
+    for (FillAdmission* gate : {&fills_, &origin_fills_, &held_fills_}) gate->decay(now_);
+    for (FillAdmission* gate : beside(t)) gate->record_cached();
+    if (t.source != t.at) gate_of(t).record_source_asked();
     if (p.role == Role::cache && o.report && o.report->link_utilization)
       link_fill_ += kLinkMemory * (*o.report->link_utilization - link_fill_);
     t.spoilt = o.result == AttemptResult::malformed_response;
@@ -806,26 +806,26 @@
         if (p.role == Role::cache) load_second_ += h.work;
 
         if (t.source != t.at && hit) {
-          gate_of(t).was_hit();
+          gate_of(t).record_hit();
         } else if (t.source != t.at) {
           if (source.role == Role::parent) fills_second_ += h.work;
           if (o.cache_status != CacheStatus::unknown) good(source);
           if (!t.judged) sample(source, pace);
           if (pace <= 1) in_time(source);
-          if (pace <= 1) gate_of(t).in_time();
+          if (pace <= 1) gate_of(t).record_in_time();
           // Late though no origin was asked: the link or the parent is full, and asking less would not help.
           if (!t.held_only && o.cache_status != CacheStatus::filled_by_origin)
-            pace <= 1 ? held_fills_.in_time() : held_fills_.refused();
+            pace <= 1 ? held_fills_.record_in_time() : held_fills_.record_rejected();
           const Time over_sending = std::max(0us, o.duration - from_seconds(h.work));
           if (!t.late) fill_ended(h, pace <= 1, o.first_byte.value_or(over_sending));
         }
         break;
       }
       case AttemptResult::cache_miss:
-        if (t.source == t.at) held_fills_.denied();  // no fill was asked for
+        if (t.source == t.at) held_fills_.record_denied();  // no fill was asked for
         if (t.source == t.at || t.held_only) {
-          fills_.denied();
-          origin_fills_.denied();
+          fills_.record_denied();
+          origin_fills_.record_denied();
           break;
         }
         [[fallthrough]];
@@ -836,7 +836,7 @@
           sample(p, kWorstPace);
           break;
         }
-        if (t.source != t.at && !t.late) gate_of(t).refused();
+        if (t.source != t.at && !t.late) gate_of(t).record_rejected();
         if (by_source && t.source != t.at) {
           too_late(source);
           strike(source);
@@ -950,11 +950,11 @@
   std::vector<double> mean_work_;  // by class
   double fill_delay_ = 0;          // time to a fill's first byte, lately, in seconds
   std::vector<double>
-      fills_in_time_;      // by class, share of the attempts with a source that were in time, lately
-  double link_fill_ = 0;   // transfers on the location's link over those that fit, as told
-  FillGate fills_;         // that the source may have to fetch
-  FillGate origin_fills_;  // asked of the origin itself
-  FillGate held_fills_;    // asked of a parent only where it holds them
+      fills_in_time_;           // by class, share of the attempts with a source that were in time, lately
+  double link_fill_ = 0;        // transfers on the location's link over those that fit, as told
+  FillAdmission fills_;         // that the source may have to fetch
+  FillAdmission origin_fills_;  // asked of the origin itself
+  FillAdmission held_fills_;    // asked of a parent only where it holds them
   double retry_budget_ = kRetryBurst;
   double usual_work_ = 0, usual_worth_ = 0;    // of a request, as a moving mean
   double load_second_ = 0, usual_load_ = 0;    // own work served by caches, in seconds of sending each second
--- a/src/edge/peering.cpp
+++ b/src/edge/peering.cpp
@@ -53,16 +53,17 @@
 }
 
 std::optional<QuotaChanged> Peering::changed_portion(int fleet, int here) {
-  if (!settings_ || (!asked_anew_ && context_.now < part_.until)) return std::nullopt;
+  if (!settings_ || (!asked_anew_ && context_.now < part_.expires_at)) return std::nullopt;
   asked_anew_ = false;
-  const limits::Shares::Part before = part_;
-  part_ = state_ ? state_->shares().part(context_.now) : limits::Shares::Part{0, 0, false, Time::max()};
-  if (part_.of_all == before.of_all && part_.of_zone == before.of_zone && told_) return std::nullopt;
+  const limits::QuotaLeases::QuotaShare before = part_;
+  part_ = state_ ? state_->shares().share(context_.now)
+                 : limits::QuotaLeases::QuotaShare{0, 0, false, Time::max()};
+  if (part_.of_cluster == before.of_cluster && part_.of_zone == before.of_zone && told_) return std::nullopt;
   told_ = true;
   if (state_)
-    context_.log("peers share held=" + std::string(part_.held ? "1" : "0") +
-                 " of_all=" + std::to_string(part_.of_all) + " of_zone=" + std::to_string(part_.of_zone));
-  return QuotaChanged{part_.of_all * std::max(1, fleet), part_.of_zone * std::max(1, here)};
+    context_.log("peers share held=" + std::string(part_.has_lease ? "1" : "0") +
+                 " of_all=" + std::to_string(part_.of_cluster) + " of_zone=" + std::to_string(part_.of_zone));
+  return QuotaChanged{part_.of_cluster * std::max(1, fleet), part_.of_zone * std::max(1, here)};
 }
 
 void Peering::stop() {
--- a/src/edge/peering.h
+++ b/src/edge/peering.h
@@ -59,7 +59,7 @@
   bool keep_ = false;
   bool told_ = false;
   bool asked_anew_ = true;  // the shares may have changed
-  limits::Shares::Part part_;
+  limits::QuotaLeases::QuotaShare part_;
 };
 
 }  // namespace dahliahall::edge
--- a/src/limits/fill_gate.h
+++ b/src/limits/fill_gate.h
@@ -14,37 +14,38 @@
 /// somewhat more are let through than were in time of late, those first that cost least. Covers a slow
 /// origin, a purge of many groups, a full link, dead parents. Harm: some fills are held back where few are
 /// asked for.
-class FillGate {
+class FillAdmission {
  public:
   using Time = std::chrono::microseconds;
 
   /// Whether a fill may go. `cost`: time it takes of what is shared over what it earns, in any unit that is
   /// the same for all. `most`: bound from elsewhere on the part let through, 0 to 1.
-  bool admit(Time now, double cost, double most);
+  bool admit(Time now, double cost, double max_ratio);
 
   /// Attempts that end count from here on: what came before fades.
-  void fade(Time now);
+  void decay(Time now);
 
   // How attempts ended that were asked of the source.
-  void asked() { asked_ += 1; }
-  void in_time() { in_time_ += 1; }
-  void refused() { refused_ += 1; }  ///< or broken off
-  void silent() { silent_ += 1; }    ///< no answer by the wanted time
-  void denied() { denied_ += 1; }    ///< a miss for which no fill was asked
-  void was_hit();                    ///< it was let through and took nothing of the source
+  void record_source_asked() { source_asked_ += 1; }
+  void record_in_time() { in_time_ += 1; }
+  void record_rejected() { rejected_ += 1; }  ///< or broken off
+  void record_timeout() { timed_out_ += 1; }  ///< no answer by the wanted time
+  void record_denied() { denied_ += 1; }      ///< a miss for which no fill was asked
+  void record_hit();                          ///< it was let through and took nothing of the source
   // How those ended that were asked of no source.
-  void held() { held_ += 1; }
-  void held_silent() { held_silent_ += 1; }
+  void record_cached() { cached_ += 1; }
+  void record_cached_timeout() { cached_timed_out_ += 1; }
 
  private:
-  [[nodiscard]] double failed() const;
+  [[nodiscard]] double failed_ratio() const;
 
   // Numbers that fade.
-  double in_time_ = 0, refused_ = 0, silent_ = 0, asked_ = 0, denied_ = 0, held_ = 0, held_silent_ = 0;
+  double in_time_ = 0, rejected_ = 0, timed_out_ = 0, source_asked_ = 0, denied_ = 0, cached_ = 0,
+         cached_timed_out_ = 0;
   double credit_ = 1;
-  Time at_{0};
-  std::array<double, 32> costs_{};  // of the newest fills wanted
-  std::size_t wanted_ = 0;
+  Time decayed_at_{0};
+  std::array<double, 32> recent_costs_{};  // of the newest fills wanted
+  std::size_t fills_requested_ = 0;
 };
 
 }  // namespace dahliahall::limits
--- a/src/limits/shares.h
+++ b/src/limits/shares.h
@@ -26,97 +26,101 @@
 /// `lease` of its own clock; the others hand its share on only when half of all and every one that is
 /// registered have said that they renew it no more, `lease` and the drift of two clocks after the last of
 /// them did.
-class Shares {
+class QuotaLeases {
  public:
   using Time = std::chrono::microseconds;
 
   struct Settings {
     std::string name;
     Time lease{60'000'000};
-    double drift = 0.01;       ///< how much faster one clock may go than another, at most
-    double reserve = 0.1;      ///< part of the whole that those without a share divide
-    std::size_t expected = 1;  ///< members that a new fleet begins with: half of them have to be found first
-    std::size_t most = 1024;   ///< members that there may be, at most
+    double max_clock_drift = 0.01;  ///< how much faster one clock may go than another, at most
+    double reserve_share = 0.1;     ///< part of the whole that those without a share divide
+    std::size_t expected_members =
+        1;  ///< members that a new fleet begins with: half of them have to be found first
+    std::size_t max_members = 1024;  ///< members that there may be, at most
   };
-  struct Holder {
+  struct MemberIdentity {
     std::uint64_t disk = 0;
     int zone = 0;
-    bool operator==(const Holder&) const = default;
+    bool operator==(const MemberIdentity&) const = default;
   };
-  using Roster = std::map<std::string, Holder>;  ///< registered members, itself too
-  struct Ghost {
+  using MemberTable = std::map<std::string, MemberIdentity>;  ///< registered members, itself too
+  struct UnfencedHolder {
     std::string name;
-    Holder holder;
+    MemberIdentity identity;
     bool replaced =
         false;  ///< another disk has the name: that one is not counted as well, but not sure until then
-    bool operator==(const Ghost&) const = default;
+    bool operator==(const UnfencedHolder&) const = default;
   };
   /// What a member has said in its answer to a ping of this one.
-  struct Acked {
-    std::string by;
-    Time sent{0};              ///< when the ping went
-    std::uint64_t told = 0;    ///< told() when it went, where all marks went with it; else 0
-    std::uint64_t counts = 0;  ///< the disk under which it counts this one; 0: it does not
-    std::uint64_t roster = 0;  ///< of the names that it counts
-    bool sure = false;
+  struct QuotaAck {
+    std::string from;
+    Time ping_sent{0};                    ///< when the ping went
+    std::uint64_t announced_version = 0;  ///< told() when it went, where all marks went with it; else 0
+    std::uint64_t counted_disk = 0;       ///< the disk under which it counts this one; 0: it does not
+    std::uint64_t member_names_hash = 0;  ///< of the names that it counts
+    bool confirmed = false;
   };
   /// What may be used, as parts of the whole.
-  struct Part {
-    double of_all = 0;   ///< of what all members share
-    double of_zone = 0;  ///< of what those of its zone share
-    bool held = false;   ///< its share; else a little of the reserve
-    Time until{0};       ///< by its own clock: then it has to be asked for anew
-    bool operator==(const Part&) const = default;
+  struct QuotaShare {
+    double of_cluster = 0;   ///< of what all members share
+    double of_zone = 0;      ///< of what those of its zone share
+    bool has_lease = false;  ///< its share; else a little of the reserve
+    Time expires_at{0};      ///< by its own clock: then it has to be asked for anew
+    bool operator==(const QuotaShare&) const = default;
   };
 
   /// `ghosts`: those that an earlier process with this disk knew of.
   /// `not_before`: sure at that time at the earliest, of one with an empty disk: a lease after its start.
   /// Guards against many whose disks are new at once, and who know nothing of one that is cut off from them.
-  Shares(Settings settings, Time not_before, const std::vector<Ghost>& ghosts);
+  QuotaLeases(Settings settings, Time confirmed_not_before, const std::vector<UnfencedHolder>& unfenced);
   /// A lease of the other side, by this side's clock.
-  static Time past(Time lease, double drift);
+  static Time lease_expiry_bound(Time lease, double drift);
 
   /// The registered members as they are now; `gone_in_order`: those of the ones missing that left in order.
   /// `takes_part`: false while its own name is disputed, after it left or was forgotten.
-  void take(Time now, const Roster& roster, const std::set<std::string>& gone_in_order, bool takes_part);
-  void take(Time now, const Acked& acked);
+  void update_members(Time now, const MemberTable& roster, const std::set<std::string>& gone_in_order,
+                      bool takes_part);
+  void update_members(Time now, const QuotaAck& acked);
   /// It was forgotten, and joins anew: nobody is bound to count it.
-  void forgotten();
+  void on_forgotten();
 
-  [[nodiscard]] Part part(Time now) const;
-  [[nodiscard]] bool sure() const { return sure_; }
+  [[nodiscard]] QuotaShare share(Time now) const;
+  [[nodiscard]] bool confirmed() const { return confirmed_; }
   /// The disk under which a member is counted, to be told to it; 0: not yet.
-  [[nodiscard]] std::uint64_t counts(const std::string& name) const;
-  [[nodiscard]] std::uint64_t names() const { return names_; }  ///< of those counted: alike for the same ones
+  [[nodiscard]] std::uint64_t counted_disk_of(const std::string& name) const;
+  [[nodiscard]] std::uint64_t member_names_hash() const {
+    return member_names_hash_;
+  }  ///< of those counted: alike for the same ones
   /// Names of ghosts that others have to hear of, and the mark of what they then have heard.
-  [[nodiscard]] std::vector<std::string> marks() const;
-  [[nodiscard]] std::uint64_t told() const { return told_; }
-  [[nodiscard]] std::size_t ghosts() const { return ghosts_.size(); }
-  [[nodiscard]] std::vector<Ghost> known_ghosts() const;
+  [[nodiscard]] std::vector<std::string> announced_names() const;
+  [[nodiscard]] std::uint64_t announced_version() const { return announced_version_; }
+  [[nodiscard]] std::size_t unfenced_count() const { return unfenced_.size(); }
+  [[nodiscard]] std::vector<UnfencedHolder> unfenced_holders() const;
 
  private:
-  struct Haunting {
-    Ghost ghost;
-    std::uint64_t number = 0;  // as told() counts
-    std::set<std::string> heard, heard_sure;
-    Time over{0};  // 0: not all have heard of it
+  struct UnfencedRecord {
+    UnfencedHolder holder;
+    std::uint64_t announced_in = 0;  // as told() counts
+    std::set<std::string> heard_by, heard_by_confirmed;
+    Time fenced_at{0};  // 0: not all have heard of it
   };
 
-  void haunt(Ghost ghost);
-  void settle(Time now);
-  void drop(const std::string& name);
-  [[nodiscard]] std::size_t counted() const { return roster_.size() + unregistered_ghosts(); }
-  [[nodiscard]] std::size_t unregistered_ghosts() const;
+  void track_unfenced(UnfencedHolder ghost);
+  void update(Time now);
+  void drop_unfenced(const std::string& name);
+  [[nodiscard]] std::size_t counted_members() const { return members_.size() + unregistered_unfenced(); }
+  [[nodiscard]] std::size_t unregistered_unfenced() const;
 
   Settings settings_;
-  Time not_before_;
-  Roster roster_;
-  std::uint64_t names_ = 0;
-  bool sure_ = false, takes_part_ = true;
-  std::set<std::string> counted_by_;
-  std::map<std::string, Time> renewed_;  // when the ping went that a sure member answered last
-  std::vector<Haunting> ghosts_;
-  std::uint64_t told_ = 1;
+  Time confirmed_not_before_;
+  MemberTable members_;
+  std::uint64_t member_names_hash_ = 0;
+  bool confirmed_ = false, participates_ = true;
+  std::set<std::string> counted_by_members_;
+  std::map<std::string, Time> renewed_at_;  // when the ping went that a sure member answered last
+  std::vector<UnfencedRecord> unfenced_;
+  std::uint64_t announced_version_ = 1;
 };
 
 }  // namespace dahliahall::limits
--- a/src/peers/merging.cpp
+++ b/src/peers/merging.cpp
@@ -82,7 +82,7 @@
     // It hears that it was forgotten, maybe of a time before it refuted something: it joins anew, in a life
     // of its own, and nobody is bound by what was agreed with the one before.
     log("peers forgotten by=" + news.by + ": joins again");
-    shares_.forgotten();
+    shares_.on_forgotten();
     raise(std::max(news.incarnation, mine.incarnation) | (kLife - 1), Liveness::alive);
     return;
   }
--- a/src/peers/reducer.cpp
+++ b/src/peers/reducer.cpp
@@ -27,12 +27,12 @@
 constexpr double kReserve = 0.1;
 
 /// Those that were forgotten, or replaced, may not have stopped by the time of a start.
-std::vector<limits::Shares::Ghost> ghosts_of(const std::vector<News>& known) {
+std::vector<limits::QuotaLeases::UnfencedHolder> ghosts_of(const std::vector<News>& known) {
   std::map<std::string, std::uint64_t> disks;
   for (const News& news : known) {
     if (registered(news.state)) disks[news.name] = news.disk;
   }
-  std::vector<limits::Shares::Ghost> ghosts;
+  std::vector<limits::QuotaLeases::UnfencedHolder> ghosts;
   for (const News& news : known) {
     if (news.state != Liveness::forgotten) continue;
     const auto now = disks.find(news.name);
@@ -59,7 +59,9 @@
       next_exchange_(now),
       shares_({settings_.name, settings_.share_lease, kDrift, kReserve, settings_.expected,
                settings_.max_members},
-              identity.empty_disk ? now + limits::Shares::past(settings_.share_lease, kDrift) : Time{0},
+              identity.empty_disk
+                  ? now + limits::QuotaLeases::lease_expiry_bound(settings_.share_lease, kDrift)
+                  : Time{0},
               ghosts_of(identity.known)) {
   view_.take({settings_.name,
               settings_.address,
@@ -103,7 +105,8 @@
   std::visit([this](const auto& in) { on(in); }, input);
   if (!left_) run_due();
   if (recount_) count_members();
-  if (std::exchange(ghosts_kept_, shares_.ghosts()) != shares_.ghosts()) effects_.emplace_back(Keep{});
+  if (std::exchange(ghosts_kept_, shares_.unfenced_count()) != shares_.unfenced_count())
+    effects_.emplace_back(Keep{});
   return std::exchange(effects_, {});
 }
 
@@ -235,9 +238,9 @@
   // Only the process that is the member here is counted: a double of its name, or one that was forgotten, is
   // not.
   if (sender != nullptr && sender->news.disk == m.from.disk && sender->news.incarnation == m.from.incarnation)
-    ack.counts = shares_.counts(m.from.name);
-  ack.names = shares_.names();
-  ack.sure = shares_.sure();
+    ack.counts = shares_.counted_disk_of(m.from.name);
+  ack.names = shares_.member_names_hash();
+  ack.sure = shares_.confirmed();
   send(m.from.name, std::move(ack), m.from.address);
 }
 
@@ -256,7 +259,8 @@
   if (probe.target == m.from.name && m.target.empty()) {
     if (Member* member = view_.find(probe.target)) set_way(*member, Way::direct);
     if (settings_.lifeguard) doubt(-1);
-    shares_.take(now_, limits::Shares::Acked{m.from.name, probe.sent, probe.told, m.counts, m.names, m.sure});
+    shares_.update_members(
+        now_, limits::QuotaLeases::QuotaAck{m.from.name, probe.sent, probe.told, m.counts, m.names, m.sure});
     probes_.erase(found);
   } else if (probe.target == m.target) {
     probe.relayed = true;
@@ -457,26 +461,26 @@
 /// Tells the shares who is registered.
 void State::count_members() {
   recount_ = false;
-  limits::Shares::Roster roster;
+  limits::QuotaLeases::MemberTable roster;
   std::set<std::string> in_order;
   for (const auto& [name, member] : view_.members()) {
     if (registered(member.news.state)) roster[name] = {member.news.disk, member.news.zone};
     if (member.news.state == Liveness::left) in_order.insert(name);
   }
-  shares_.take(now_, roster, in_order, takes_part());
+  shares_.update_members(now_, roster, in_order, takes_part());
 }
 
 /// What others have to hear of ghosts goes with the ping. 0: not all of it fits.
 std::uint64_t State::add_marks(Message& ping) const {
   std::size_t room = settings_.datagram / 2;
-  for (const std::string& name : shares_.marks()) {
+  for (const std::string& name : shares_.announced_names()) {
     const Member* member = view_.find(name);
     if (member == nullptr) continue;
     if (size_of(member->news) > room) return 0;
     room -= size_of(member->news);
     ping.news.push_back(member->news);
   }
-  return shares_.told();
+  return shares_.announced_version();
 }
 
 // ---- Sending ----
@@ -554,16 +558,16 @@
 
 std::vector<News> State::kept() const {
   std::vector<News> all = all_news();
-  for (const limits::Shares::Ghost& ghost : shares_.known_ghosts()) {
+  for (const limits::QuotaLeases::UnfencedHolder& ghost : shares_.unfenced_holders()) {
     const Member* member = view_.find(ghost.name);
     if (member != nullptr && member->news.state == Liveness::forgotten &&
-        member->news.disk == ghost.holder.disk)
+        member->news.disk == ghost.identity.disk)
       continue;  // it is there already
     all.push_back({ghost.name,
                    settings_.address,
-                   ghost.holder.disk,
+                   ghost.identity.disk,
                    kGhost,
-                   ghost.holder.zone,
+                   ghost.identity.zone,
                    Liveness::forgotten,
                    {}});
   }
--- a/src/peers/reducer.h
+++ b/src/peers/reducer.h
@@ -102,7 +102,7 @@
   [[nodiscard]] const News& self() const { return view_.find(settings_.name)->news; }
   [[nodiscard]] const Settings& settings() const { return settings_; }
   [[nodiscard]] const Counts& counts() const { return counts_; }
-  [[nodiscard]] const limits::Shares& shares() const { return shares_; }
+  [[nodiscard]] const limits::QuotaLeases& shares() const { return shares_; }
   /// How much it doubts itself: 0, not at all, to Settings::most_doubt.
   [[nodiscard]] int doubt() const { return doubt_; }
   /// Members that told another view than this one's last, and since when the first of them has.
@@ -197,7 +197,7 @@
   Time next_probe_, next_gossip_, next_seek_, next_exchange_;
   Time exchanged_{0};
   Time refusal_told_{-10'000'000};
-  limits::Shares shares_;
+  limits::QuotaLeases shares_;
   std::size_t ghosts_kept_ = 0;
   bool recount_ = true;  // who is registered has changed
   std::vector<Effect> effects_;
--- a/src/peers/report.cpp
+++ b/src/peers/report.cpp
@@ -67,16 +67,16 @@
   put(out, "doubt", static_cast<std::uint64_t>(state.doubt()));
   put(out, "digest", std::to_string(view.digest()));
   put(out, "differing", differing);
-  const limits::Shares::Part part = state.shares().part(now);
+  const limits::QuotaLeases::QuotaShare part = state.shares().share(now);
   out.Key("share");
   out.StartObject();
   out.Key("held");
-  out.Bool(part.held);
+  out.Bool(part.has_lease);
   out.Key("of_all");
-  out.Double(part.of_all);
+  out.Double(part.of_cluster);
   out.Key("of_zone");
   out.Double(part.of_zone);
-  put(out, "ghosts", state.shares().ghosts());
+  put(out, "ghosts", state.shares().unfenced_count());
   out.EndObject();
   if (differing > 0) put_ago(out, "differing_ms", now, since);
   std::vector<const Member*> members;
@@ -102,9 +102,9 @@
       {"differing", differing},
       {"differing_ms", static_cast<std::uint64_t>(std::max<Time::rep>(0, (now - since).count()) / 1000)},
       {"entries", state.entries()},
-      {"share_ppm", static_cast<std::uint64_t>(state.shares().part(now).of_all * 1e6)},
-      {"share_held", state.shares().part(now).held ? 1U : 0U},
-      {"ghosts", state.shares().ghosts()},
+      {"share_ppm", static_cast<std::uint64_t>(state.shares().share(now).of_cluster * 1e6)},
+      {"share_held", state.shares().share(now).has_lease ? 1U : 0U},
+      {"ghosts", state.shares().unfenced_count()},
       {"probes", counts.probes, true},
       {"unanswered", counts.unanswered, true},
       {"suspected", counts.suspected, true},
--- a/tests/golden/membership_golden_test.cpp
+++ b/tests/golden/membership_golden_test.cpp
@@ -15,7 +15,7 @@
 
 using golden::GoldenRecord;
 using golden::TraceLine;
-using limits::Shares;
+using limits::QuotaLeases;
 using peers::Liveness;
 
 template <typename Value>
@@ -241,10 +241,10 @@
   GoldenRecord record("quota_leases");
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     std::mt19937_64 random(seed);
-    const Shares::Ghost unfenced{"n9", {7, 1}, seed % 2 == 0};
-    Shares leases({"n0", 6s, 0.01, 0.1, 4, 16}, Shares::Time{5s}, {unfenced});
-    Shares::Roster roster{{"n0", {1, 0}}, {"n1", {1, 0}}, {"n2", {1, 1}}};
-    Shares::Time now{1s};
+    const QuotaLeases::UnfencedHolder unfenced{"n9", {7, 1}, seed % 2 == 0};
+    QuotaLeases leases({"n0", 6s, 0.01, 0.1, 4, 16}, QuotaLeases::Time{5s}, {unfenced});
+    QuotaLeases::MemberTable roster{{"n0", {1, 0}}, {"n1", {1, 0}}, {"n2", {1, 1}}};
+    QuotaLeases::Time now{1s};
     std::uint64_t announced_before = 0;
     for (int step = 0; step < 400; ++step) {
       now += std::chrono::milliseconds(random() % 300);
@@ -253,7 +253,7 @@
       switch (random() % 24) {
         case 0:
         case 1: {
-          const Shares::Holder holder{1 + random() % 4 / 3, static_cast<int>(random() % 2)};
+          const QuotaLeases::MemberIdentity holder{1 + random() % 4 / 3, static_cast<int>(random() % 2)};
           std::set<std::string> left;
           if (roster.count(name) != 0 && random() % 2 == 0) {
             roster.erase(name);
@@ -262,7 +262,7 @@
             roster[name] = holder;
           }
           const bool takes_part = random() % 16 != 0;
-          leases.take(now, roster, left, takes_part);
+          leases.update_members(now, roster, left, takes_part);
           input.verbatim("members", golden::list_of(roster, [](const auto& entry) {
                            return entry.first + "/" + std::to_string(entry.second.disk) + "/" +
                                   std::to_string(entry.second.zone);
@@ -272,28 +272,30 @@
         }
         case 2:
           if (random() % 8 != 0) break;
-          leases.forgotten();
+          leases.on_forgotten();
           input.verbatim("kind", "forgotten");
           break;
         default: {
-          const Shares::Acked acked{name,
-                                    now - std::chrono::milliseconds(random() % 100),
-                                    drawn(random, {leases.told(), leases.told(), announced_before}),
-                                    drawn<std::uint64_t>(random, {1, 1, 1, 1, 1, 1, 1, 0, 2}),
-                                    drawn(random, {leases.names(), leases.names(), leases.names(), 5UL}),
-                                    random() % 8 != 0};
-          leases.take(now, acked);
+          const QuotaLeases::QuotaAck acked{
+              name,
+              now - std::chrono::milliseconds(random() % 100),
+              drawn(random, {leases.announced_version(), leases.announced_version(), announced_before}),
+              drawn<std::uint64_t>(random, {1, 1, 1, 1, 1, 1, 1, 0, 2}),
+              drawn(random, {leases.member_names_hash(), leases.member_names_hash(),
+                             leases.member_names_hash(), 5UL}),
+              random() % 8 != 0};
+          leases.update_members(now, acked);
           input.verbatim("kind", "acked")
-              .field("by", acked.by)
-              .field("sent", acked.sent)
-              .field("announced_version", acked.told)
-              .field("counted_disk", acked.counts)
-              .field("names_digest", acked.roster)
-              .field("confirmed", acked.sure);
+              .field("by", acked.from)
+              .field("sent", acked.ping_sent)
+              .field("announced_version", acked.announced_version)
+              .field("counted_disk", acked.counted_disk)
+              .field("names_digest", acked.member_names_hash)
+              .field("confirmed", acked.confirmed);
         }
       }
-      announced_before = leases.told();
-      record.add(input.field("at", now).field("counts", leases.counts(name)).text());
+      announced_before = leases.announced_version();
+      record.add(input.field("at", now).field("counts", leases.counted_disk_of(name)).text());
       record.add("  " + golden::state_of(leases, now));
     }
   }
--- a/tests/golden/membership_trace.cpp
+++ b/tests/golden/membership_trace.cpp
@@ -208,30 +208,30 @@
 
 std::string text_of(const peers::Input& input) { return std::visit(DescribeInput{}, input); }
 
-std::string text_of(const limits::Shares::Part& share) {
+std::string text_of(const limits::QuotaLeases::QuotaShare& share) {
   return TraceLine("{QuotaShare")
-             .field("of_all", share.of_all)
+             .field("of_all", share.of_cluster)
              .field("of_zone", share.of_zone)
-             .field("held", share.held)
-             .field("until", share.until)
+             .field("held", share.has_lease)
+             .field("until", share.expires_at)
              .text() +
          "}";
 }
 
-std::string state_of(const limits::Shares& leases, limits::Shares::Time now) {
+std::string state_of(const limits::QuotaLeases& leases, limits::QuotaLeases::Time now) {
   return TraceLine("QuotaLeases")
-      .verbatim("share", text_of(leases.part(now)))
-      .field("confirmed", leases.sure())
-      .field("names_digest", leases.names())
-      .field("announced_version", leases.told())
-      .verbatim("announced", list_of(leases.marks()))
-      .field("unfenced_count", leases.ghosts())
-      .verbatim("unfenced", list_of(leases.known_ghosts(),
-                                    [](const limits::Shares::Ghost& holder) {
+      .verbatim("share", text_of(leases.share(now)))
+      .field("confirmed", leases.confirmed())
+      .field("names_digest", leases.member_names_hash())
+      .field("announced_version", leases.announced_version())
+      .verbatim("announced", list_of(leases.announced_names()))
+      .field("unfenced_count", leases.unfenced_count())
+      .verbatim("unfenced", list_of(leases.unfenced_holders(),
+                                    [](const limits::QuotaLeases::UnfencedHolder& holder) {
                                       return TraceLine("{UnfencedHolder")
                                                  .field("name", holder.name)
-                                                 .field("disk", holder.holder.disk)
-                                                 .field("zone", holder.holder.zone)
+                                                 .field("disk", holder.identity.disk)
+                                                 .field("zone", holder.identity.zone)
                                                  .field("replaced", holder.replaced)
                                                  .text() +
                                              "}";
--- a/tests/golden/membership_trace.h
+++ b/tests/golden/membership_trace.h
@@ -21,10 +21,11 @@
 /// Updates of a full sync stand in the order of their text: their own is that of a hash table.
 std::string text_of(const dahliahall::peers::Message& message);
 std::string text_of(const dahliahall::peers::Input& input);
-std::string text_of(const dahliahall::limits::Shares::Part& share);
+std::string text_of(const dahliahall::limits::QuotaLeases::QuotaShare& share);
 
 /// What the quota leases of one member show of themselves.
-std::string state_of(const dahliahall::limits::Shares& leases, dahliahall::limits::Shares::Time now);
+std::string state_of(const dahliahall::limits::QuotaLeases& leases,
+                     dahliahall::limits::QuotaLeases::Time now);
 
 /// Adds an input of a member, then each effect, then what is persisted where that changed.
 void add_step(GoldenRecord& record, const std::string& member, dahliahall::peers::Time now,
--- a/tests/shares_test.cpp
+++ b/tests/shares_test.cpp
@@ -10,8 +10,8 @@
 namespace dahliahall::test {
 namespace {
 
-using limits::Shares;
-using Time = Shares::Time;
+using limits::QuotaLeases;
+using Time = QuotaLeases::Time;
 using peers::Liveness;
 
 constexpr auto kLease = 6s;
@@ -31,7 +31,7 @@
   double sum = 0;
   for (std::size_t i = 0; i < world.size(); ++i) {
     if (world.node(i).state && !world.node(i).stopped)
-      sum += world.node(i).state->shares().part(world.local(i)).of_all;
+      sum += world.node(i).state->shares().share(world.local(i)).of_cluster;
   }
   return sum;
 }
@@ -39,8 +39,8 @@
 bool all_hold(PeersWorld& world, double part) {
   for (std::size_t i = 0; i < world.size(); ++i) {
     if (!world.node(i).state) continue;
-    const Shares::Part held = world.node(i).state->shares().part(world.local(i));
-    if (!held.held || std::abs(held.of_all - part) > 1e-9) return false;
+    const QuotaLeases::QuotaShare held = world.node(i).state->shares().share(world.local(i));
+    if (!held.has_lease || std::abs(held.of_cluster - part) > 1e-9) return false;
   }
   return true;
 }
@@ -57,7 +57,7 @@
   const auto world = sharing(5);
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 5); }, 20s));
   world->feed(4, peers::StopAsked{});
-  EXPECT_LT(world->node(4).state->shares().part(world->local(4)).of_all, 0.01)
+  EXPECT_LT(world->node(4).state->shares().share(world->local(4)).of_cluster, 0.01)
       << "before anybody hears of it";
   world->kill(4);
   EXPECT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 4); }, 2s));
@@ -79,8 +79,8 @@
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 5); }, 20s));
   world->cut = [](std::size_t a, std::size_t b) { return (a < 2) != (b < 2); };
   world->run(kLease);
-  EXPECT_FALSE(world->node(0).state->shares().part(world->local(0)).held);
-  EXPECT_TRUE(world->node(4).state->shares().part(world->local(4)).held);
+  EXPECT_FALSE(world->node(0).state->shares().share(world->local(0)).has_lease);
+  EXPECT_TRUE(world->node(4).state->shares().share(world->local(4)).has_lease);
   world->cut = nullptr;
   EXPECT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 5); }, 30s));
 }
@@ -131,21 +131,23 @@
     world->run(100ms);
     ASSERT_LE(used(*world), 1.0 + 1e-9) << i;
   }
-  EXPECT_TRUE(world->node(1).state->shares().part(world->local(1)).held) << "the lease has run out since";
+  EXPECT_TRUE(world->node(1).state->shares().share(world->local(1)).has_lease)
+      << "the lease has run out since";
 }
 
 TEST(Shares, ANameWhoseDiskIsNewAgainAndAgainLeavesOneGhost) {
-  Shares shares({"n0", kLease, 0.01, 0.1, 3, 64}, Time{0}, {});
+  QuotaLeases shares({"n0", kLease, 0.01, 0.1, 3, 64}, Time{0}, {});
   for (std::uint64_t disk = 1; disk <= 500; ++disk) {
     // n2 is missing: it never hears of any of them.
-    shares.take(Time{1s}, {{"n0", {1, 0}}, {"n1", {disk, 0}}, {"n2", {1, 0}}}, {}, true);
-    shares.take(Time{1s}, Shares::Acked{"n1", Time{1s}, shares.told(), 1, shares.names(), true});
+    shares.update_members(Time{1s}, {{"n0", {1, 0}}, {"n1", {disk, 0}}, {"n2", {1, 0}}}, {}, true);
+    shares.update_members(Time{1s}, QuotaLeases::QuotaAck{"n1", Time{1s}, shares.announced_version(), 1,
+                                                          shares.member_names_hash(), true});
   }
-  EXPECT_EQ(shares.ghosts(), 1U);
-  ASSERT_EQ(shares.known_ghosts().size(), 1U);
-  EXPECT_EQ(shares.known_ghosts().front().holder.disk, 499U);
-  EXPECT_EQ(shares.counts("n1"), 0U) << "not before the others' leases are over";
-  EXPECT_FALSE(shares.sure());
+  EXPECT_EQ(shares.unfenced_count(), 1U);
+  ASSERT_EQ(shares.unfenced_holders().size(), 1U);
+  EXPECT_EQ(shares.unfenced_holders().front().identity.disk, 499U);
+  EXPECT_EQ(shares.counted_disk_of("n1"), 0U) << "not before the others' leases are over";
+  EXPECT_FALSE(shares.confirmed());
 }
 
 TEST(Shares, AnOldDiskBehindACutIsCountedByThoseWhoRestartMeanwhile) {
@@ -183,7 +185,8 @@
     world->run(100ms);
     ASSERT_LE(used(*world), 1.0 + 1e-9) << i;
   }
-  EXPECT_TRUE(world->until([&] { return world->node(4).state->shares().part(world->local(4)).held; }, 30s))
+  EXPECT_TRUE(
+      world->until([&] { return world->node(4).state->shares().share(world->local(4)).has_lease; }, 30s))
       << "the old one's lease has run out: the new one is counted";
 }
 
