--- a/bench/peers_figures.cpp
+++ b/bench/peers_figures.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using dahliahall::peers::Liveness;
+using dahliahall::peers::MemberStatus;
 using dahliahall::test::PeersWorld;
 
 double seconds(PeersWorld::Time span) { return std::chrono::duration<double>(span).count(); }
@@ -46,7 +46,7 @@
       if (!world->node(whom).state) continue;
       world->run(std::chrono::milliseconds(random() % 1000));
       world->kill(whom);
-      const auto took = world->until([&] { return world->all_believe(whom, Liveness::dead); }, 60s, 10ms);
+      const auto took = world->until([&] { return world->all_believe(whom, MemberStatus::dead); }, 60s, 10ms);
       spans.push_back(took ? seconds(*took) : 60);
       beats.push_back(heartbeat_known(members, 3, random));
       world->start(whom, false);
@@ -89,8 +89,8 @@
     }
     std::size_t by_slow = 0, of_sound = 0;
     for (std::size_t i = 0; i < members; ++i) {
-      const auto& counts = world->node(i).state->counts();
-      (i % 10 == 0 ? by_slow : of_sound) += counts.died;
+      const auto& counts = world->node(i).state->counters();
+      (i % 10 == 0 ? by_slow : of_sound) += counts.declared_dead;
     }
     std::printf(
         "slow members=%zu minutes=%d lifeguard=%d: declared dead by the slow ones %zu, by the others %zu\n",
@@ -158,8 +158,8 @@
   world->run(2s);
   world->cut = [members](std::size_t a, std::size_t b) { return (a < members / 3) != (b < members / 3); };
   world->run(std::chrono::seconds(seconds_cut));
-  const auto small = world->node(0).state->view().standing(),
-             large = world->node(members - 1).state->view().standing();
+  const auto small = world->node(0).state->view().partition_status(),
+             large = world->node(members - 1).state->view().partition_status();
   world->cut = nullptr;
   const auto took = world->until([&] { return world->agreed() && world->wrongly_dead() == 0; }, 120s, 100ms);
   std::printf(
@@ -175,7 +175,7 @@
   for (std::size_t i = 0; i < members; i += 3) world->kill(i);
   const auto known_to_all = [&] {
     for (std::size_t i = 0; i < members; i += 3) {
-      if (!world->all_believe(i, Liveness::dead)) return false;
+      if (!world->all_believe(i, MemberStatus::dead)) return false;
     }
     return true;
   };
--- a/src/config/peers_config.cpp
+++ b/src/config/peers_config.cpp
@@ -14,7 +14,7 @@
 constexpr Time kMostSpan = std::chrono::hours(1);
 
 std::string address(const Fields& fields, const char* name, const std::string& value) {
-  if (!peers::good_address(value))
+  if (!peers::is_valid_address(value))
     fields.fail(name, "should be an IPv4 address and a port, not '" + value + "'");
   return value;
 }
@@ -39,10 +39,10 @@
   Peers peers;
   peers::Settings& s = peers.settings;
   s.cluster = section.text("cluster");
-  if (!peers::good_name(s.cluster))
+  if (!peers::is_valid_name(s.cluster))
     section.fail("cluster", "should be 1 to 64 of letters, digits, '-', '_', '.'");
   s.name = name;
-  if (!peers::good_name(name))
+  if (!peers::is_valid_name(name))
     section.fail("", "the proxy's name should be 1 to 64 of letters, digits, '-', '_', '.'");
   s.zone = zone;
   peers.listen = address(section, "listen", section.text("listen"));
@@ -62,28 +62,29 @@
     if (!routes.IsObject()) section.fail("routes", "should be an object");
     for (const auto& route : routes.GetObject()) {
       if (!route.value.IsString()) section.fail("routes", "should hold strings");
-      s.book[address(section, "routes", {route.name.GetString(), route.name.GetStringLength()})] =
+      s.address_overrides[address(section, "routes",
+                                  {route.name.GetString(), route.name.GetStringLength()})] =
           address(section, "routes", {route.value.GetString(), route.value.GetStringLength()});
     }
   }
   s.max_members = static_cast<std::size_t>(
       within(section, "max_members", static_cast<int>(s.max_members), 2, kMostMembers));
-  s.datagram = static_cast<std::size_t>(
-      within(section, "datagram", static_cast<int>(s.datagram), kLeastDatagram, kMostDatagram));
-  s.probe_every = span(section, "probe_every", s.probe_every);
+  s.max_datagram_bytes = static_cast<std::size_t>(
+      within(section, "datagram", static_cast<int>(s.max_datagram_bytes), kLeastDatagram, kMostDatagram));
+  s.probe_interval = span(section, "probe_every", s.probe_interval);
   s.probe_timeout = span(section, "probe_timeout", s.probe_timeout);
   // Guards against asking others when the probe is over already.
-  if (s.probe_timeout * 2 > s.probe_every)
+  if (s.probe_timeout * 2 > s.probe_interval)
     section.fail("probe_timeout", "should be half of probe_every at most");
-  s.suspicion_least = span(section, "suspicion_least", s.suspicion_least);
-  s.exchange_every = span(section, "exchange_every", s.exchange_every);
-  s.seek_every = span(section, "seek_every", s.seek_every);
+  s.min_suspicion_timeout = span(section, "suspicion_least", s.min_suspicion_timeout);
+  s.full_sync_interval = span(section, "exchange_every", s.full_sync_interval);
+  s.reconnect_interval = span(section, "seek_every", s.reconnect_interval);
   // Guards the lease against running out between two rounds of probes, at the largest size.
-  const Time rounds = 3 * s.probe_every * static_cast<int>(s.max_members);
-  s.share_lease = span(section, "share_lease", std::max(s.share_lease, rounds));
-  if (s.share_lease < std::chrono::seconds(2))
+  const Time rounds = 3 * s.probe_interval * static_cast<int>(s.max_members);
+  s.quota_lease = span(section, "share_lease", std::max(s.quota_lease, rounds));
+  if (s.quota_lease < std::chrono::seconds(2))
     section.fail("share_lease", "should be 2000000 microseconds or more");
-  s.expected = static_cast<std::size_t>(
+  s.expected_members = static_cast<std::size_t>(
       within(section, "expected", std::max(1, members), 1, static_cast<int>(s.max_members)));
   // What is left to caches gives these up (edge/bounds.h): a small part.
   const int most_streams = std::max(1, sockets / 32);
--- a/src/config/policy_config.cpp
+++ b/src/config/policy_config.cpp
@@ -22,7 +22,7 @@
   const Json& voters = section.need("voters");
   if (!voters.IsArray()) section.fail("voters", "should be a list");
   for (const auto& voter : voters.GetArray()) {
-    if (!voter.IsString() || !peers::good_name({voter.GetString(), voter.GetStringLength()}))
+    if (!voter.IsString() || !peers::is_valid_name({voter.GetString(), voter.GetStringLength()}))
       section.fail("voters", "should hold names of edge proxies");
     s.voters.emplace_back(voter.GetString(), voter.GetStringLength());
   }
--- a/src/edge/agreeing.cpp
+++ b/src/edge/agreeing.cpp
@@ -30,7 +30,7 @@
 
 void Agreeing::ready(const peers::Identity& identity) {
   if (!settings_ || state_) return;
-  state_.emplace(*settings_, identity.incarnation << kNumbersOfALife, seed_ ^ identity.disk, context_.now);
+  state_.emplace(*settings_, identity.incarnation << kNumbersOfALife, seed_ ^ identity.disk_id, context_.now);
   look_at_peers();
   for (const agreed::Input& input : std::exchange(early_, {})) take(input);
   take(agreed::Due{});
@@ -56,7 +56,7 @@
   for (const agreed::Input& input : out.inputs) take(input);
 }
 
-void Agreeing::heard(const peers::Carried& carried) {
+void Agreeing::heard(const peers::UserMessageReceived& carried) {
   if (!state_) return;
   bool unlike = false;
   auto decoded = agreed::decode(carried.payload, settings_->lease, &unlike);
--- a/src/edge/agreeing.h
+++ b/src/edge/agreeing.h
@@ -30,7 +30,7 @@
   void take(const agreed::Input& input);
   void take(const PolicyOut& out);
   /// What a member had carried here.
-  void heard(const peers::Carried& carried);
+  void heard(const peers::UserMessageReceived& carried);
   void run_due();
   [[nodiscard]] std::optional<Time> next_due() const;
   /// Told of who is registered and reached where that has changed.
--- a/src/edge/peering.cpp
+++ b/src/edge/peering.cpp
@@ -12,37 +12,39 @@
 void Peering::ready(const peers::Identity& identity) {
   if (!settings_ || state_) return;
   // Each start draws otherwise, and so does each disk: guards against proxies of one seed that probe in step.
-  state_.emplace(*settings_, identity, seed_ ^ identity.disk ^ identity.incarnation, context_.now);
-  context_.log(
-      "peers ready name=" + settings_->name + " address=" + settings_->address +
-      " disk=" + std::to_string(identity.disk) + " incarnation=" + std::to_string(identity.incarnation) +
-      " new_disk=" + (identity.empty_disk ? "1" : "0") + " known=" + std::to_string(identity.known.size()));
-  take(peers::Due{});
+  state_.emplace(*settings_, identity, seed_ ^ identity.disk_id ^ identity.incarnation, context_.now);
+  context_.log("peers ready name=" + settings_->name + " address=" + settings_->address + " disk=" +
+               std::to_string(identity.disk_id) + " incarnation=" + std::to_string(identity.incarnation) +
+               " new_disk=" + (identity.is_new_disk ? "1" : "0") +
+               " known=" + std::to_string(identity.known_members.size()));
+  take(peers::TimerExpired{});
 }
 
 void Peering::take(const peers::Input& input) {
   if (!state_) return;
   asked_anew_ = true;
-  const peers::Standing before = state_->view().standing();
-  for (peers::Effect& effect : state_->take(context_.now, input))
+  const peers::PartitionStatus before = state_->view().partition_status();
+  for (peers::Effect& effect : state_->handle(context_.now, input))
     std::visit([this](auto& e) { pass_on(e); }, effect);
   const peers::View& view = state_->view();
-  if (view.standing() != before)
-    context_.log("peers stands=" + std::string(name_of(view.standing())) +
-                 " before=" + std::string(name_of(before)) + " reached=" + std::to_string(view.reached()) +
+  if (view.partition_status() != before)
+    context_.log("peers stands=" + std::string(name_of(view.partition_status())) +
+                 " before=" + std::string(name_of(before)) + " reached=" + std::to_string(view.reachable()) +
                  " registered=" + std::to_string(view.registered()));
-  if (std::exchange(keep_, false)) context_.effects.emplace_back(PeersKeep{state_->self(), state_->kept()});
+  if (std::exchange(keep_, false))
+    context_.effects.emplace_back(PeersKeep{state_->self(), state_->persistent_state()});
 }
 
 void Peering::run_due() {
-  if (state_ && state_->next_due() <= context_.now) take(peers::Due{});
+  if (state_ && state_->next_due() <= context_.now) take(peers::TimerExpired{});
 }
 
 std::map<std::string, bool> Peering::members() const {
   std::map<std::string, bool> all;
   if (!state_) return all;
   for (const auto& [name, member] : state_->view().members()) {
-    if (peers::registered(member.news.state)) all[name] = member.news.state == peers::Liveness::alive;
+    if (peers::is_registered(member.update.status))
+      all[name] = member.update.status == peers::MemberStatus::alive;
   }
   return all;
 }
@@ -56,7 +58,7 @@
   if (!settings_ || (!asked_anew_ && context_.now < part_.expires_at)) return std::nullopt;
   asked_anew_ = false;
   const limits::QuotaLeases::QuotaShare before = part_;
-  part_ = state_ ? state_->shares().share(context_.now)
+  part_ = state_ ? state_->quota().share(context_.now)
                  : limits::QuotaLeases::QuotaShare{0, 0, false, Time::max()};
   if (part_.of_cluster == before.of_cluster && part_.of_zone == before.of_zone && told_) return std::nullopt;
   told_ = true;
@@ -68,7 +70,7 @@
 
 void Peering::stop() {
   if (!settings_) return;
-  take(peers::StopAsked{});
+  take(peers::ShutdownRequested{});
   context_.effects.emplace_back(PeersStop{});
 }
 
@@ -80,19 +82,20 @@
 std::string Peering::figures() const {
   std::string text;
   if (!state_) return text;
-  for (const peers::Figure& figure : peers::figures(*state_, context_.now))
-    text +=
-        "svc.peers." + figure.name + ":" + std::to_string(figure.value) + (figure.count ? "|c\n" : "|g\n");
+  for (const peers::Metric& figure : peers::metrics(*state_, context_.now))
+    text += "svc.peers." + figure.name + ":" + std::to_string(figure.value) +
+            (figure.is_counter ? "|c\n" : "|g\n");
   return text;
 }
 
 Peering::Forgot Peering::forget(const std::string& name) {
   const peers::Member* member = state_ ? state_->view().find(name) : nullptr;
   if (member == nullptr) return Forgot::unknown;
-  if (member->news.state == peers::Liveness::forgotten || member->news.state == peers::Liveness::left)
+  if (member->update.status == peers::MemberStatus::forgotten ||
+      member->update.status == peers::MemberStatus::left)
     return Forgot::done;
-  if (member->news.state != peers::Liveness::dead) return Forgot::reached;
-  take(peers::Forget{name});
+  if (member->update.status != peers::MemberStatus::dead) return Forgot::reached;
+  take(peers::ForgetMember{name});
   return Forgot::done;
 }
 
--- a/src/edge/peering.h
+++ b/src/edge/peering.h
@@ -28,9 +28,9 @@
   std::optional<QuotaChanged> changed_portion(int fleet, int here);
   void stop();
   /// Bytes of another part, for that member.
-  void carry(const std::string& to, std::string bytes) { take(peers::Carry{to, std::move(bytes)}); }
+  void carry(const std::string& to, std::string bytes) { take(peers::SendUserMessage{to, std::move(bytes)}); }
   /// What members had carried here since.
-  std::vector<peers::Carried> carried() { return std::exchange(carried_, {}); }
+  std::vector<peers::UserMessageReceived> carried() { return std::exchange(carried_, {}); }
   /// Another one where members() may have changed.
   [[nodiscard]] std::uint64_t revision() const { return state_ ? state_->view().revision() : 0; }
   /// The registered members, and whether each is reached.
@@ -44,18 +44,18 @@
   Forgot forget(const std::string& name);
 
  private:
-  void pass_on(peers::Send& e) { context_.effects.emplace_back(PeersEffect{std::move(e)}); }
-  void pass_on(peers::Exchange& e) { context_.effects.emplace_back(PeersEffect{std::move(e)}); }
-  void pass_on(peers::Answer& e) { context_.effects.emplace_back(PeersEffect{std::move(e)}); }
-  void pass_on(peers::Log& e) { context_.log(std::move(e.line)); }
-  void pass_on(peers::Keep&) { keep_ = true; }
-  void pass_on(peers::Carried& e) { carried_.push_back(std::move(e)); }
+  void pass_on(peers::SendDatagram& e) { context_.effects.emplace_back(PeersEffect{std::move(e)}); }
+  void pass_on(peers::SendFullSync& e) { context_.effects.emplace_back(PeersEffect{std::move(e)}); }
+  void pass_on(peers::FullSyncReply& e) { context_.effects.emplace_back(PeersEffect{std::move(e)}); }
+  void pass_on(peers::LogLine& e) { context_.log(std::move(e.line)); }
+  void pass_on(peers::PersistState&) { keep_ = true; }
+  void pass_on(peers::UserMessageReceived& e) { carried_.push_back(std::move(e)); }
 
   Context& context_;
   std::optional<peers::Settings> settings_;
   std::uint64_t seed_;
   std::optional<peers::State> state_;
-  std::vector<peers::Carried> carried_;
+  std::vector<peers::UserMessageReceived> carried_;
   bool keep_ = false;
   bool told_ = false;
   bool asked_anew_ = true;  // the shares may have changed
--- a/src/edge/reducer.cpp
+++ b/src/edge/reducer.cpp
@@ -227,7 +227,7 @@
   /// What members had carried here, who is reached, what is due; then the terms that have come to hold.
   void agree() {
     if (!agreeing_.on()) return;
-    for (const peers::Carried& carried : peering_.carried()) agreeing_.heard(carried);
+    for (const peers::UserMessageReceived& carried : peering_.carried()) agreeing_.heard(carried);
     agreeing_.look_at_peers();
     agreeing_.run_due();
     apply_terms();
--- a/src/edge/reducer.h
+++ b/src/edge/reducer.h
@@ -154,12 +154,12 @@
 };
 /// To be sent by the peers' sockets.
 struct PeersEffect {
-  std::variant<peers::Send, peers::Exchange, peers::Answer> effect;
+  std::variant<peers::SendDatagram, peers::SendFullSync, peers::FullSyncReply> effect;
 };
 /// Who this process is, and the members it knows, for the next one; the newest counts.
 struct PeersKeep {
-  peers::News self;
-  std::vector<peers::News> members;
+  peers::MemberUpdate self;
+  std::vector<peers::MemberUpdate> members;
 };
 /// The peers' sockets close.
 struct PeersStop {};
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -79,7 +79,7 @@
   std::optional<peers::Identity> identity;
   if (store_.lock(why) && bind(why)) {
     const peers::Settings& s = config_.settings;
-    identity = store_.open({s.name, s.address, 0, 0, s.zone, peers::Liveness::alive, {}}, why);
+    identity = store_.open({s.name, s.address, 0, 0, s.zone, peers::MemberStatus::alive, {}}, why);
   }
   if (!identity) {
     datagrams_.reset();
@@ -127,7 +127,7 @@
   for (int i = 0; i < kDatagramsAtOnce && datagrams_; ++i) {
     GSocketAddress* sender = nullptr;
     // One byte more than is allowed tells one that is too large.
-    const std::size_t room = std::min(buffer.size(), config_.settings.datagram + 1);
+    const std::size_t room = std::min(buffer.size(), config_.settings.max_datagram_bytes + 1);
     const gssize size =
         g_socket_receive_from(datagrams_.get(), &sender, buffer.data(), room, nullptr, nullptr);
     const ObjectPtr<GSocketAddress> from(sender);
@@ -141,20 +141,21 @@
                   std::to_string(config_.datagrams) + " a second");
       continue;
     }
-    hear({buffer.data(), static_cast<std::size_t>(size)}, config_.settings.datagram, text_of(from.get()), 0);
+    hear({buffer.data(), static_cast<std::size_t>(size)}, config_.settings.max_datagram_bytes,
+         text_of(from.get()), 0);
   }
 }
 
 void PeerLink::hear(std::string_view bytes, std::size_t most, const std::string& from, std::uint64_t stream) {
   auto decoded = peers::decode(bytes, config_.settings.cluster, most);
-  if (const auto* reason = std::get_if<peers::Refusal>(&decoded)) {
-    told_.input(peers::Refused{*reason, from});
+  if (const auto* reason = std::get_if<peers::DecodeError>(&decoded)) {
+    told_.input(peers::MessageRejected{*reason, from});
     return;
   }
-  told_.input(peers::Heard{std::move(std::get<peers::Message>(decoded)), stream});
+  told_.input(peers::MessageReceived{std::move(std::get<peers::Message>(decoded)), stream});
 }
 
-void PeerLink::perform(const peers::Send& send) {
+void PeerLink::perform(const peers::SendDatagram& send) {
   const auto where = address_of(send.address);
   if (!datagrams_ || !where) return;
   const std::string bytes = peers::encode(send.message, config_.settings.cluster);
@@ -175,7 +176,7 @@
   }
 }
 
-void PeerLink::perform(const peers::Exchange& exchange) {
+void PeerLink::perform(const peers::SendFullSync& exchange) {
   const auto where = address_of(exchange.address);
   if (!datagrams_ || !where || streams_.size() >= static_cast<std::size_t>(config_.streams)) return;
   ObjectPtr<GSocket> socket(
@@ -191,7 +192,7 @@
   watch(stream);
 }
 
-void PeerLink::perform(const peers::Answer& answer) {
+void PeerLink::perform(const peers::FullSyncReply& answer) {
   const auto found = streams_.find(answer.stream);
   if (found == streams_.end()) return;
   Stream& stream = *found->second;
@@ -271,7 +272,7 @@
 
 void PeerLink::end(std::uint64_t stream) { streams_.erase(stream); }
 
-void PeerLink::keep(const peers::News& self, std::vector<peers::News> members) {
+void PeerLink::keep(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members) {
   store_.keep(self, std::move(members));
 }
 
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -31,10 +31,10 @@
   PeerLink(const PeerLink&) = delete;
   PeerLink& operator=(const PeerLink&) = delete;
 
-  void perform(const peers::Send& send);
-  void perform(const peers::Exchange& exchange);
-  void perform(const peers::Answer& answer);
-  void keep(const peers::News& self, std::vector<peers::News> members);
+  void perform(const peers::SendDatagram& send);
+  void perform(const peers::SendFullSync& exchange);
+  void perform(const peers::FullSyncReply& answer);
+  void keep(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members);
   /// Nothing comes or goes any more.
   void stop();
 
--- a/src/net/peer_store.cpp
+++ b/src/net/peer_store.cpp
@@ -78,30 +78,30 @@
   return std::nullopt;
 }
 
-std::string PeerStore::text(const peers::News& self, std::vector<peers::News> members) const {
+std::string PeerStore::text(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members) const {
   peers::Message kept;
-  kept.kind = peers::Kind::whole;
+  kept.kind = peers::MessageKind::full_sync;
   kept.from = self;
-  kept.news = std::move(members);
+  kept.updates = std::move(members);
   const std::string bytes = peers::encode(kept, cluster_);
   return sum_of(bytes) + bytes;
 }
 
-std::optional<peers::Identity> PeerStore::open(const peers::News& self, std::string& why) {
+std::optional<peers::Identity> PeerStore::open(const peers::MemberUpdate& self, std::string& why) {
   peers::Identity identity;
-  peers::News mine = self;
+  peers::MemberUpdate mine = self;
   if (auto kept = read()) {
-    identity.disk = kept->from.disk;
-    identity.incarnation = ((kept->from.incarnation >> peers::kLifeBits) + 1) << peers::kLifeBits;
-    identity.empty_disk = false;
-    identity.known = std::move(kept->news);
+    identity.disk_id = kept->from.disk_id;
+    identity.incarnation = ((kept->from.incarnation >> peers::kRefutationBits) + 1) << peers::kRefutationBits;
+    identity.is_new_disk = false;
+    identity.known_members = std::move(kept->updates);
   } else {
-    identity.disk = new_mark();
-    identity.incarnation = peers::kLife;
+    identity.disk_id = new_mark();
+    identity.incarnation = peers::kEpochStep;
   }
-  mine.disk = identity.disk;
+  mine.disk_id = identity.disk_id;
   mine.incarnation = identity.incarnation;
-  if (!write_durably(text(mine, identity.known), why)) return std::nullopt;
+  if (!write_durably(text(mine, identity.known_members), why)) return std::nullopt;
   return identity;
 }
 
@@ -126,7 +126,7 @@
   return good;
 }
 
-void PeerStore::keep(const peers::News& self, std::vector<peers::News> members) {
+void PeerStore::keep(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members) {
   file_.write(text(self, std::move(members)));
 }
 
--- a/src/net/peer_store.h
+++ b/src/net/peer_store.h
@@ -26,12 +26,13 @@
   bool lock(std::string& why);
   /// Who this process is, once its new incarnation is on the disk. None where that failed: it must not take
   /// part, since it could not tell its own past later on (`why`).
-  std::optional<peers::Identity> open(const peers::News& self, std::string& why);
+  std::optional<peers::Identity> open(const peers::MemberUpdate& self, std::string& why);
   /// Writes beside the loop; the newest counts.
-  void keep(const peers::News& self, std::vector<peers::News> members);
+  void keep(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members);
 
  private:
-  [[nodiscard]] std::string text(const peers::News& self, std::vector<peers::News> members) const;
+  [[nodiscard]] std::string text(const peers::MemberUpdate& self,
+                                 std::vector<peers::MemberUpdate> members) const;
   [[nodiscard]] std::optional<peers::Message> read() const;
   bool write_durably(const std::string& bytes, std::string& why) const;
 
--- a/src/peers/merging.cpp
+++ b/src/peers/merging.cpp
@@ -21,162 +21,165 @@
 
 }  // namespace
 
-void State::merge(const News& news, const std::string& cause) {
+void State::merge(const MemberUpdate& news, const std::string& cause) {
   if (news.name == settings_.name) {
-    merge_self(news);
+    refute(news);
     return;
   }
-  if (view_.full(news.name)) {
-    ++counts_.turned_away;
+  if (view_.has_no_room_for(news.name)) {
+    ++counters_.table_full;
     return;
   }
-  const View::Taken taken = view_.take(news, now_);
-  if (taken.fate == View::Fate::old) return;
+  const View::Merged taken = view_.merge(news, now_);
+  if (taken.result == View::MergeResult::outdated) return;
   Member& member = *view_.find(news.name);
-  if (taken.fate == View::Fate::confirms) {
+  if (taken.result == View::MergeResult::confirmation) {
     // More than these shorten nothing: passing them on would only cost.
-    if (member.by.size() <= static_cast<std::size_t>(settings_.confirmations) + 1) queue_.add(news);
-    set_deadline(member);
+    if (member.suspected_by.size() <= static_cast<std::size_t>(settings_.max_confirmations) + 1)
+      broadcasts_.enqueue(news);
+    set_suspicion_deadline(member);
     return;
   }
-  queue_.add(news);
-  follow_up(taken, member, cause);
+  broadcasts_.enqueue(news);
+  on_status_change(taken, member, cause);
 }
 
-void State::follow_up(const View::Taken& taken, const Member& member, const std::string& cause) {
-  const News& news = member.news;
+void State::on_status_change(const View::Merged& taken, const Member& member, const std::string& cause) {
+  const MemberUpdate& news = member.update;
   Member& found = *view_.find(news.name);
-  suspects_.erase({found.deadline, news.name});
-  if (news.state == Liveness::suspect) set_deadline(found);
-  if (!reachable(news.state)) differs_.erase(news.name);
-  const bool was_reached = taken.before && reachable(*taken.before) && !taken.replaced;
-  if (reachable(news.state) && (taken.first || (taken.before && !was_reached))) {
-    const std::size_t place = order_.empty() ? 0 : random_() % (order_.size() + 1);
-    order_.insert(order_.begin() + static_cast<std::ptrdiff_t>(place), news.name);
-    if (place < turn_) ++turn_;
+  suspicion_deadlines_.erase({found.suspicion_deadline, news.name});
+  if (news.status == MemberStatus::suspect) set_suspicion_deadline(found);
+  if (!is_reachable(news.status)) other_view_since_.erase(news.name);
+  const bool was_reached = taken.previous_status && is_reachable(*taken.previous_status) && !taken.replaced;
+  if (is_reachable(news.status) && (taken.is_new || (taken.previous_status && !was_reached))) {
+    const std::size_t place = probe_order_.empty() ? 0 : random_() % (probe_order_.size() + 1);
+    probe_order_.insert(probe_order_.begin() + static_cast<std::ptrdiff_t>(place), news.name);
+    if (place < probe_index_) ++probe_index_;
   }
-  const bool registers = taken.first || taken.replaced || taken.moved ||
-                         (taken.before && registered(*taken.before) != registered(news.state));
+  const bool registers =
+      taken.is_new || taken.replaced || taken.previous_address ||
+      (taken.previous_status && is_registered(*taken.previous_status) != is_registered(news.status));
   if (registers) {
-    effects_.emplace_back(Keep{});
-    recount_ = true;
+    effects_.emplace_back(PersistState{});
+    quota_outdated_ = true;
   }
   if (taken.replaced)
-    log("peer replaced name=" + news.name + " disk=" + std::to_string(news.disk) +
-        " before=" + std::to_string(taken.replaced->disk) + ": what the one before held is gone");
-  if (taken.moved)
-    log("peer moved name=" + news.name + " address=" + news.address + " before=" + *taken.moved);
-  if (taken.first || taken.before) {
-    std::string line = "peer name=" + news.name + " state=" + std::string(name_of(news.state)) +
-                       " before=" + (taken.before ? std::string(name_of(*taken.before)) : "unknown") +
+    log("peer replaced name=" + news.name + " disk=" + std::to_string(news.disk_id) +
+        " before=" + std::to_string(taken.replaced->disk_id) + ": what the one before held is gone");
+  if (taken.previous_address)
+    log("peer moved name=" + news.name + " address=" + news.address + " before=" + *taken.previous_address);
+  if (taken.is_new || taken.previous_status) {
+    std::string line = "peer name=" + news.name + " state=" + std::string(name_of(news.status)) + " before=" +
+                       (taken.previous_status ? std::string(name_of(*taken.previous_status)) : "unknown") +
                        " incarnation=" + std::to_string(news.incarnation);
-    if (!news.by.empty()) line += " by=" + news.by;
+    if (!news.reported_by.empty()) line += " by=" + news.reported_by;
     log(line + " cause=" + cause);
   }
 }
 
-void State::merge_self(const News& news) {
-  const News mine = self();
-  if (left_ || age_of(news) < age_of(mine)) return;
-  if (news.disk == mine.disk && !registered(news.state)) {
+void State::refute(const MemberUpdate& news) {
+  const MemberUpdate mine = self();
+  if (has_left_ || precedence_of(news) < precedence_of(mine)) return;
+  if (news.disk_id == mine.disk_id && !is_registered(news.status)) {
     // It hears that it was forgotten, maybe of a time before it refuted something: it joins anew, in a life
     // of its own, and nobody is bound by what was agreed with the one before.
-    log("peers forgotten by=" + news.by + ": joins again");
-    shares_.on_forgotten();
-    raise(std::max(news.incarnation, mine.incarnation) | (kLife - 1), Liveness::alive);
+    log("peers forgotten by=" + news.reported_by + ": joins again");
+    quota_.on_forgotten();
+    raise_incarnation(std::max(news.incarnation, mine.incarnation) | (kEpochStep - 1), MemberStatus::alive);
     return;
   }
-  if (news.disk == mine.disk && news.incarnation == mine.incarnation) {
-    if (news.state == mine.state) return;
-    if (news.state == Liveness::alive) {
+  if (news.disk_id == mine.disk_id && news.incarnation == mine.incarnation) {
+    if (news.status == mine.status) return;
+    if (news.status == MemberStatus::alive) {
       // Guards against two processes with one disk: only a start raises the incarnation, so an address that
       // is not from here is another process's.
       if (news.address == mine.address) return;
-      raise(news.incarnation, Liveness::disputed);
+      raise_incarnation(news.incarnation, MemberStatus::disputed);
       return;
     }
-    if (mine.state == Liveness::disputed) return;
-    ++counts_.refuted;
-    if (settings_.lifeguard) doubt(1);
-    log("peers refuted state=" + std::string(name_of(news.state)) + " by=" + news.by);
-    raise(news.incarnation, Liveness::alive);
+    if (mine.status == MemberStatus::disputed) return;
+    ++counters_.refutations;
+    if (settings_.lifeguard) local_health(1);
+    log("peers refuted state=" + std::string(name_of(news.status)) + " by=" + news.reported_by);
+    raise_incarnation(news.incarnation, MemberStatus::alive);
     return;
   }
   if (news == mine) return;
   // Soon after its start this is what is left of an earlier process; later on another one uses the name now.
-  const bool settling = now_ - started_ < kSettling;
-  if (settling && mine.state != Liveness::disputed) {
-    if (news.disk != mine.disk) log("peers name taken over disk=" + std::to_string(news.disk));
-    raise(news.incarnation + kLife, Liveness::alive);
-  } else if (mine.state != Liveness::disputed || news.state != Liveness::disputed) {
-    raise(news.incarnation, Liveness::disputed);
+  const bool settling = now_ - started_at_ < kSettling;
+  if (settling && mine.status != MemberStatus::disputed) {
+    if (news.disk_id != mine.disk_id) log("peers name taken over disk=" + std::to_string(news.disk_id));
+    raise_incarnation(news.incarnation + kEpochStep, MemberStatus::alive);
+  } else if (mine.status != MemberStatus::disputed || news.status != MemberStatus::disputed) {
+    raise_incarnation(news.incarnation, MemberStatus::disputed);
   }
 }
 
 /// Says anew what this proxy is, above that incarnation.
-void State::raise(std::uint64_t above, Liveness state) {
-  News mine = self();
-  const Liveness before = mine.state;
+void State::raise_incarnation(std::uint64_t above, MemberStatus state) {
+  MemberUpdate mine = self();
+  const MemberStatus before = mine.status;
   mine.incarnation = above + 1;
-  mine.state = state;
-  mine.by = state == Liveness::disputed ? settings_.name : "";
-  view_.take(mine, now_);
-  queue_.add(mine);
-  recount_ = true;
-  if (state == Liveness::disputed && before != state) {
+  mine.status = state;
+  mine.reported_by = state == MemberStatus::disputed ? settings_.name : "";
+  view_.merge(mine, now_);
+  broadcasts_.enqueue(mine);
+  quota_outdated_ = true;
+  if (state == MemberStatus::disputed && before != state) {
     probes_.clear();
     log("peers disputed: another process uses the name " + settings_.name +
         "; it takes no part until one of them is stopped and the other started again");
   }
-  effects_.emplace_back(Keep{});
+  effects_.emplace_back(PersistState{});
 }
 
 void State::suspect(const std::string& name) {
-  News news = view_.find(name)->news;
-  news.state = Liveness::suspect;
-  news.by = settings_.name;
-  ++counts_.suspected;
+  MemberUpdate news = view_.find(name)->update;
+  news.status = MemberStatus::suspect;
+  news.reported_by = settings_.name;
+  ++counters_.suspected;
   merge(news, "no answer, neither to this proxy nor through others");
 }
 
 /// From the least, with enough independent confirmations or too few members for any, to `suspicion_most` of
 /// it.
-void State::set_deadline(Member& member) {
-  const Time least = std::max(settings_.suspicion_least,
-                              times(settings_.probe_every, settings_.suspicion_factor * spread()));
+void State::set_suspicion_deadline(Member& member) {
+  const Time least =
+      std::max(settings_.min_suspicion_timeout,
+               scaled(settings_.probe_interval, settings_.suspicion_factor * log_cluster_size()));
   Time span = least;
-  const auto others = static_cast<int>(view_.reached()) - 2;  // but this one and the suspect
-  const int wanted = std::min(settings_.confirmations, others);
+  const auto others = static_cast<int>(view_.reachable()) - 2;  // but this one and the suspect
+  const int wanted = std::min(settings_.max_confirmations, others);
   if (settings_.lifeguard && wanted > 0) {
-    const Time most = times(least, settings_.suspicion_most);
-    const double part = std::log(static_cast<double>(member.by.size())) / std::log(wanted + 1.0);
-    span = std::max(least, most - times(most - least, part));
+    const Time most = scaled(least, settings_.max_suspicion_multiple);
+    const double part = std::log(static_cast<double>(member.suspected_by.size())) / std::log(wanted + 1.0);
+    span = std::max(least, most - scaled(most - least, part));
   }
-  suspects_.erase({member.deadline, member.news.name});
-  member.deadline = member.suspected + span;
-  suspects_.emplace(member.deadline, member.news.name);
+  suspicion_deadlines_.erase({member.suspicion_deadline, member.update.name});
+  member.suspicion_deadline = member.suspected_since + span;
+  suspicion_deadlines_.emplace(member.suspicion_deadline, member.update.name);
 }
 
-void State::set_way(Member& member, Way way) {
-  if (member.way == way) return;
-  const Way before = member.way;
-  member.way = way;
-  member.way_since = now_;
-  if (before == Way::unknown && way == Way::direct) return;
-  log("peer way name=" + member.news.name + " way=" + std::string(name_of(way)) +
+void State::set_reachability(Member& member, Reachability way) {
+  if (member.reachability == way) return;
+  const Reachability before = member.reachability;
+  member.reachability = way;
+  member.reachability_since = now_;
+  if (before == Reachability::unknown && way == Reachability::direct) return;
+  log("peer way name=" + member.update.name + " way=" + std::string(name_of(way)) +
       " before=" + std::string(name_of(before)));
 }
 
 /// Holds the sender's view against this one's.
-void State::compare(const Message& m) {
+void State::compare_digest(const Message& m) {
   if (m.digest == view_.digest()) {
-    differs_.erase(m.from.name);
+    other_view_since_.erase(m.from.name);
     return;
   }
-  const Time since = differs_.try_emplace(m.from.name, now_).first->second;
+  const Time since = other_view_since_.try_emplace(m.from.name, now_).first->second;
   const Time least = kMendEvery + kMendEveryMember * static_cast<int>(view_.registered());
-  if (now_ - since < kDiffersFor || now_ - exchanged_ < least || !takes_part()) return;
-  exchange_with(m.from.name);
+  if (now_ - since < kDiffersFor || now_ - last_full_sync_ < least || !is_participating()) return;
+  full_sync_with(m.from.name);
 }
 
 }  // namespace dahliahall::peers
--- a/src/peers/news_queue.h
+++ b/src/peers/news_queue.h
@@ -14,69 +14,70 @@
 
 namespace dahliahall::peers {
 
-class NewsQueue {
+class BroadcastQueue {
  public:
   /// Newer news of a name takes the place of older; one more suspicion of it stands beside the first.
-  void add(const News& news) {
-    const std::string key = news.state == Liveness::suspect ? news.name + '\n' + news.by : news.name;
-    if (news.state != Liveness::suspect) drop_suspicions(news.name);
+  void enqueue(const MemberUpdate& update) {
+    const std::string key =
+        update.status == MemberStatus::suspect ? update.name + '\n' + update.reported_by : update.name;
+    if (update.status != MemberStatus::suspect) drop_suspicions_of(update.name);
     drop(key);
-    const Place place{0, next_++};
-    order_.emplace(place, key);
-    items_.emplace(key, Item{news, place});
+    const QueuePosition place{0, next_++};
+    by_position_.emplace(place, key);
+    items_.emplace(key, Item{update, place});
   }
 
   /// Items that fit into `room` bytes. Each is given out `most` times in all, then dropped.
   template <typename SizeOf>
-  std::vector<News> give(std::size_t room, std::size_t most, SizeOf&& size_of) {
-    std::vector<News> given;
-    std::vector<std::string> told;
-    for (const auto& [place, key] : order_) {
-      const News& news = items_.at(key).news;
+  std::vector<MemberUpdate> take(std::size_t max_bytes, std::size_t max_transmits, SizeOf&& size_of) {
+    std::vector<MemberUpdate> taken;
+    std::vector<std::string> transmitted;
+    for (const auto& [place, key] : by_position_) {
+      const MemberUpdate& news = items_.at(key).update;
       const std::size_t size = size_of(news);
-      if (size > room) break;
-      room -= size;
-      given.push_back(news);
-      told.push_back(key);
+      if (size > max_bytes) break;
+      max_bytes -= size;
+      taken.push_back(news);
+      transmitted.push_back(key);
     }
-    for (const std::string& key : told) {
+    for (const std::string& key : transmitted) {
       const auto found = items_.find(key);
-      order_.erase(found->second.place);
-      if (++found->second.place.first >= most) {
+      by_position_.erase(found->second.position);
+      if (++found->second.position.first >= max_transmits) {
         items_.erase(found);
       } else {
-        order_.emplace(found->second.place, key);
+        by_position_.emplace(found->second.position, key);
       }
     }
-    return given;
+    return taken;
   }
 
   [[nodiscard]] bool empty() const { return items_.empty(); }
   [[nodiscard]] std::size_t size() const { return items_.size(); }
 
  private:
-  using Place = std::pair<std::size_t, std::uint64_t>;  // how often told, then which came first
+  using QueuePosition = std::pair<std::size_t, std::uint64_t>;  // how often told, then which came first
   struct Item {
-    News news;
-    Place place;
+    MemberUpdate update;
+    QueuePosition position;
   };
 
   void drop(const std::string& key) {
     const auto found = items_.find(key);
     if (found == items_.end()) return;
-    order_.erase(found->second.place);
+    by_position_.erase(found->second.position);
     items_.erase(found);
   }
-  void drop_suspicions(const std::string& name) {
+  void drop_suspicions_of(const std::string& name) {
     const std::string front = name + '\n';
     for (auto it = items_.lower_bound(front); it != items_.end() && it->first.starts_with(front);) {
-      order_.erase(it->second.place);
+      by_position_.erase(it->second.position);
       it = items_.erase(it);
     }
   }
 
   std::map<std::string, Item> items_;
-  std::map<Place, std::string> order_;
+  std::map<QueuePosition, std::string> by_position_;
   std::uint64_t next_ = 0;
 };
 
--- a/src/peers/report.h
+++ b/src/peers/report.h
@@ -14,11 +14,11 @@
 /// One JSON object: where this proxy stands, and each member. Times are milliseconds before `now`.
 std::string report(const State& state, Time now);
 
-struct Figure {
+struct Metric {
   std::string name;
   std::uint64_t value = 0;
-  bool count = false;  ///< from the start; else what is so now
+  bool is_counter = false;  ///< from the start; else what is so now
 };
-std::vector<Figure> figures(const State& state, Time now);
+std::vector<Metric> metrics(const State& state, Time now);
 
 }  // namespace dahliahall::peers
--- a/src/peers/spans.h
+++ b/src/peers/spans.h
@@ -7,7 +7,7 @@
 
 namespace dahliahall::peers {
 
-inline Time times(Time span, double factor) {
+inline Time scaled(Time span, double factor) {
   return Time{static_cast<Time::rep>(static_cast<double>(span.count()) * factor)};
 }
 
--- a/src/peers/types.h
+++ b/src/peers/types.h
@@ -19,7 +19,7 @@
 
 /// What is believed of a member. The first three are registered; the others are kept as marks, so that old
 /// news does not bring them back.
-enum class Liveness : std::uint8_t {
+enum class MemberStatus : std::uint8_t {
   alive,
   suspect,    ///< it did not answer; it may still refute that
   dead,       ///< nobody reaches it; it stays registered
@@ -27,62 +27,64 @@
   forgotten,  ///< an operator said so
   disputed    ///< two processes use this name: neither takes part until one has been stopped
 };
-constexpr std::size_t kLivenesses = 6;
-std::string_view name_of(Liveness state);
-constexpr bool registered(Liveness state) {
-  return state == Liveness::alive || state == Liveness::suspect || state == Liveness::dead ||
-         state == Liveness::disputed;
+constexpr std::size_t kMemberStatusCount = 6;
+std::string_view name_of(MemberStatus state);
+constexpr bool is_registered(MemberStatus state) {
+  return state == MemberStatus::alive || state == MemberStatus::suspect || state == MemberStatus::dead ||
+         state == MemberStatus::disputed;
+}
+constexpr bool is_reachable(MemberStatus state) {
+  return state == MemberStatus::alive || state == MemberStatus::suspect;
 }
-constexpr bool reachable(Liveness state) { return state == Liveness::alive || state == Liveness::suspect; }
 
-struct News {
+struct MemberUpdate {
   std::string name;
   std::string address;            ///< host:port, of its datagrams and of its stream
-  std::uint64_t disk = 0;         ///< the mark of its disk: another one is another member under that name
+  std::uint64_t disk_id = 0;      ///< the mark of its disk: another one is another member under that name
   std::uint64_t incarnation = 0;  ///< only the member itself raises it; never falls, whatever the disk
   int zone = 0;
-  Liveness state = Liveness::alive;
-  std::string by;  ///< who says so first, of suspect and dead
-  bool operator==(const News&) const = default;
+  MemberStatus status = MemberStatus::alive;
+  std::string reported_by;  ///< who says so first, of suspect and dead
+  bool operator==(const MemberUpdate&) const = default;
 };
 
 /// The incarnation counts the member's lives (its starts, and its joining anew once it was forgotten) above
 /// these bits, and what it refuted within one below them.
-constexpr unsigned kLifeBits = 20;
-constexpr std::uint64_t kLife = std::uint64_t{1} << kLifeBits;
+constexpr unsigned kRefutationBits = 20;
+constexpr std::uint64_t kEpochStep = std::uint64_t{1} << kRefutationBits;
 
 /// Newer news has the greater age: a later life; within one, that the member has gone for good, which nothing
 /// that it said before it heard so undoes; then the higher incarnation. At the same one, the state that comes
 /// later in Liveness.
-inline std::tuple<std::uint64_t, bool, std::uint64_t> age_of(const News& news) {
-  return {news.incarnation >> kLifeBits, !registered(news.state), news.incarnation};
+inline std::tuple<std::uint64_t, bool, std::uint64_t> precedence_of(const MemberUpdate& news) {
+  return {news.incarnation >> kRefutationBits, !is_registered(news.status), news.incarnation};
 }
 
-enum class Kind : std::uint8_t {
+enum class MessageKind : std::uint8_t {
   ping,
-  ack,     ///< to a ping, from its target; `number` is the ping's
-  nack,    ///< from one asked to ping another: no answer so far
-  ask,     ///< ping `target` for me
-  gossip,  ///< news alone
-  whole,   ///< all that is known, over a stream; answered by the like
-  whole_answer,
-  carry  ///< `payload` is another subsystem's, for that member
+  ack,        ///< to a ping, from its target; `number` is the ping's
+  nack,       ///< from one asked to ping another: no answer so far
+  ping_req,   ///< ping `target` for me
+  gossip,     ///< news alone
+  full_sync,  ///< all that is known, over a stream; answered by the like
+  full_sync_reply,
+  user_message  ///< `payload` is another subsystem's, for that member
 };
-constexpr std::size_t kKinds = 8;
+constexpr std::size_t kMessageKindCount = 8;
 
 struct Message {
-  Kind kind = Kind::ping;
-  std::uint64_t number = 0;            ///< names the ping or the question, for its sender
+  MessageKind kind = MessageKind::ping;
+  std::uint64_t sequence = 0;          ///< names the ping or the question, for its sender
   std::string to;                      ///< the member it is meant for; empty: whoever is at that address
-  News from;                           ///< the sender, of itself
+  MemberUpdate from;                   ///< the sender, of itself
   std::uint64_t digest = 0;            ///< of the sender's view
   std::string target, target_address;  ///< of ask; an ack that is passed on names who acked as `target`
-  std::vector<News> news;
+  std::vector<MemberUpdate> updates;
   // Of acks, for the shares of what all use (limits/shares.h).
-  std::uint64_t counts = 0;  ///< the disk under which the receiver is counted; 0: it is not
-  std::uint64_t names = 0;   ///< of the names that the sender counts
-  bool sure = false;         ///< the sender is counted by all
-  std::string payload;       ///< of carry
+  std::uint64_t counted_disk = 0;       ///< the disk under which the receiver is counted; 0: it is not
+  std::uint64_t member_names_hash = 0;  ///< of the names that the sender counts
+  bool confirmed = false;               ///< the sender is counted by all
+  std::string payload;                  ///< of carry
 };
 
 }  // namespace dahliahall::peers
--- a/src/peers/view.cpp
+++ b/src/peers/view.cpp
@@ -16,21 +16,21 @@
   return x ^ (x >> 31U);
 }
 
-std::uint64_t hash_of(const News& news) {
+std::uint64_t hash_of(const MemberUpdate& news) {
   const std::uint64_t hash = fnv1a(news.address, fnv1a(news.name));
   // A suspicion is no disagreement: it is either refuted or becomes a death.
-  const Liveness state = news.state == Liveness::suspect ? Liveness::alive : news.state;
-  return mix(hash ^ mix(news.disk ^ mix(news.incarnation ^ mix(static_cast<std::uint64_t>(state)))));
+  const MemberStatus state = news.status == MemberStatus::suspect ? MemberStatus::alive : news.status;
+  return mix(hash ^ mix(news.disk_id ^ mix(news.incarnation ^ mix(static_cast<std::uint64_t>(state)))));
 }
 
 }  // namespace
 
-std::string_view name_of(Way way) {
+std::string_view name_of(Reachability way) {
   static constexpr std::array<std::string_view, 5> names{"unknown", "direct", "through", "one_way", "none"};
   return names[static_cast<std::size_t>(way)];
 }
 
-std::string_view name_of(Standing standing) {
+std::string_view name_of(PartitionStatus standing) {
   static constexpr std::array<std::string_view, 4> names{"whole", "part", "alone", "disputed"};
   return names[static_cast<std::size_t>(standing)];
 }
@@ -44,86 +44,91 @@
   return found == members_.end() ? nullptr : &found->second;
 }
 
-bool View::full(const std::string& name) const { return members_.count(name) == 0 && registered_ >= most_; }
+bool View::has_no_room_for(const std::string& name) const {
+  return members_.count(name) == 0 && registered_ >= max_members_;
+}
 
-View::Taken View::take(const News& news, Time now) {
-  Taken taken;
-  if (full(news.name)) return taken;
+View::Merged View::merge(const MemberUpdate& news, Time now) {
+  Merged taken;
+  if (has_no_room_for(news.name)) return taken;
   const auto found = members_.find(news.name);
   if (found == members_.end()) {
     Member member;
-    member.news = news;
-    member.since = now;
-    if (news.state == Liveness::suspect) member.by.insert(news.by), member.suspected = now;
-    count(member, 1);
+    member.update = news;
+    member.status_since = now;
+    if (news.status == MemberStatus::suspect)
+      member.suspected_by.insert(news.reported_by), member.suspected_since = now;
+    add_to_counts(member, 1);
     members_.emplace(news.name, std::move(member));
-    if (!peers::registered(news.state)) bury(news.name);
-    taken.fate = Fate::news;
-    taken.first = true;
+    if (!peers::is_registered(news.status)) add_tombstone(news.name);
+    taken.result = MergeResult::changed;
+    taken.is_new = true;
     return taken;
   }
   Member& member = found->second;
-  const News before = member.news;
-  if (age_of(news) < age_of(before)) return taken;
-  if (age_of(news) == age_of(before)) {
+  const MemberUpdate before = member.update;
+  if (precedence_of(news) < precedence_of(before)) return taken;
+  if (precedence_of(news) == precedence_of(before)) {
     // Guards against two processes of one name that came to the same number at once: the greater disk stands
     // here as everywhere, and the other one is told by what comes back.
-    if (news.disk != before.disk && news.disk < before.disk) return taken;
-    if (news.disk == before.disk) {
-      if (news.state == Liveness::suspect && before.state == Liveness::suspect) {
-        if (news.by.empty() || !member.by.insert(news.by).second) return taken;
-        taken.fate = Fate::confirms;
+    if (news.disk_id != before.disk_id && news.disk_id < before.disk_id) return taken;
+    if (news.disk_id == before.disk_id) {
+      if (news.status == MemberStatus::suspect && before.status == MemberStatus::suspect) {
+        if (news.reported_by.empty() || !member.suspected_by.insert(news.reported_by).second) return taken;
+        taken.result = MergeResult::confirmation;
         return taken;
       }
-      if (news.state <= before.state) return taken;
+      if (news.status <= before.status) return taken;
     }
   }
-  count(member, -1);
-  member.news = news;
-  if (news.address != before.address) taken.moved = before.address;
-  if (news.disk != before.disk) taken.replaced = before;
-  if (news.state != before.state || taken.replaced) {
-    member.since = now;
-    taken.before = before.state;
+  add_to_counts(member, -1);
+  member.update = news;
+  if (news.address != before.address) taken.previous_address = before.address;
+  if (news.disk_id != before.disk_id) taken.replaced = before;
+  if (news.status != before.status || taken.replaced) {
+    member.status_since = now;
+    taken.previous_status = before.status;
   }
-  member.by.clear();
-  if (news.state == Liveness::suspect) {
-    member.suspected = now;
-    member.by.insert(news.by);
+  member.suspected_by.clear();
+  if (news.status == MemberStatus::suspect) {
+    member.suspected_since = now;
+    member.suspected_by.insert(news.reported_by);
   }
-  if (news.state == Liveness::dead) member.way = Way::none, member.way_since = now;
-  count(member, 1);
-  if (!peers::registered(news.state) && peers::registered(before.state)) bury(news.name);
-  if (peers::registered(news.state) && !peers::registered(before.state)) std::erase(gone_, news.name);
-  taken.fate = Fate::news;
+  if (news.status == MemberStatus::dead)
+    member.reachability = Reachability::unreachable, member.reachability_since = now;
+  add_to_counts(member, 1);
+  if (!peers::is_registered(news.status) && peers::is_registered(before.status)) add_tombstone(news.name);
+  if (peers::is_registered(news.status) && !peers::is_registered(before.status))
+    std::erase(tombstones_, news.name);
+  taken.result = MergeResult::changed;
   return taken;
 }
 
-void View::count(const Member& member, int sign) {
+void View::add_to_counts(const Member& member, int sign) {
   ++revision_;
   const auto step = [sign](std::size_t& number) { sign > 0 ? ++number : --number; };
-  if (peers::registered(member.news.state)) {
+  if (peers::is_registered(member.update.status)) {
     step(registered_);
     // Marks of those that have gone are kept for a bounded time only, so they stay out of the digest.
-    digest_ += sign > 0 ? hash_of(member.news) : ~hash_of(member.news) + 1;
+    digest_ += sign > 0 ? hash_of(member.update) : ~hash_of(member.update) + 1;
   }
-  if (reachable(member.news.state)) step(reached_);
+  if (is_reachable(member.update.status)) step(reachable_);
 }
 
 /// Guards the memory against names that come and go for ever: of those that have gone, the newest are kept.
-void View::bury(const std::string& name) {
-  gone_.push_back(name);
-  if (gone_.size() <= most_) return;
-  const std::string oldest = gone_.front();
-  gone_.pop_front();
+void View::add_tombstone(const std::string& name) {
+  tombstones_.push_back(name);
+  if (tombstones_.size() <= max_members_) return;
+  const std::string oldest = tombstones_.front();
+  tombstones_.pop_front();
   members_.erase(oldest);
 }
 
-Standing View::standing() const {
+PartitionStatus View::partition_status() const {
   const Member* self = find(self_);
-  if (self != nullptr && self->news.state == Liveness::disputed) return Standing::disputed;
-  if (reached_ * 2 > registered_) return Standing::whole;
-  return reached_ > 1 ? Standing::part : Standing::alone;
+  if (self != nullptr && self->update.status == MemberStatus::disputed) return PartitionStatus::disputed;
+  if (reachable_ * 2 > registered_) return PartitionStatus::majority;
+  return reachable_ > 1 ? PartitionStatus::minority : PartitionStatus::isolated;
 }
 
 }  // namespace dahliahall::peers
--- a/tests/agreeing_test.cpp
+++ b/tests/agreeing_test.cpp
@@ -28,7 +28,7 @@
     return config::parse(text, {});
   }
   void ready() {
-    const peers::Identity identity{1, peers::kLife, false, {}};
+    const peers::Identity identity{1, peers::kEpochStep, false, {}};
     peering_.ready(identity);
     agreeing_.ready(identity);
   }
--- a/tests/golden/codec_golden_test.cpp
+++ b/tests/golden/codec_golden_test.cpp
@@ -755,7 +755,8 @@
   Line addresses("membership_addresses");
   addresses.bytes("listen", p.listen).bytes("advertised", s.address);
   for (const std::string& seed : s.seeds) addresses.bytes("seed", seed);
-  for (const auto& [from, to] : s.book) addresses.bytes("override_of", from).bytes("override", to);
+  for (const auto& [from, to] : s.address_overrides)
+    addresses.bytes("override_of", from).bytes("override", to);
   return {Line("membership")
               .bytes("cluster", s.cluster)
               .bytes("name", s.name)
@@ -765,25 +766,25 @@
               .whole("max_datagrams_per_s", p.datagrams)
               .whole("max_user_message_bytes", p.most_carried)
               .whole("max_members", s.max_members)
-              .whole("max_datagram_bytes", s.datagram)
-              .whole("expected_members", s.expected)
+              .whole("max_datagram_bytes", s.max_datagram_bytes)
+              .whole("expected_members", s.expected_members)
               .text(),
           addresses.text(),
           Line("failure_detector")
-              .time("ping_interval", s.probe_every)
+              .time("ping_interval", s.probe_interval)
               .time("ping_timeout", s.probe_timeout)
-              .whole("indirect_pings", s.indirect)
-              .time("gossip_interval", s.gossip_every)
-              .whole("gossip_fanout", s.gossip_to)
-              .real("retransmit_factor", s.news_factor)
-              .time("min_suspicion", s.suspicion_least)
+              .whole("indirect_pings", s.indirect_ping_count)
+              .time("gossip_interval", s.gossip_interval)
+              .whole("gossip_fanout", s.gossip_fanout)
+              .real("retransmit_factor", s.retransmit_factor)
+              .time("min_suspicion", s.min_suspicion_timeout)
               .real("suspicion_factor", s.suspicion_factor)
-              .real("max_suspicion_factor", s.suspicion_most)
-              .whole("confirmations", s.confirmations)
-              .whole("max_local_health", s.most_doubt)
-              .time("full_sync_interval", s.exchange_every)
-              .time("reconnect_interval", s.seek_every)
-              .time("quota_lease", s.share_lease)
+              .real("max_suspicion_factor", s.max_suspicion_multiple)
+              .whole("confirmations", s.max_confirmations)
+              .whole("max_local_health", s.max_health_score)
+              .time("full_sync_interval", s.full_sync_interval)
+              .time("reconnect_interval", s.reconnect_interval)
+              .time("quota_lease", s.quota_lease)
               .flag("lifeguard", s.lifeguard)
               .text()};
 }
@@ -1018,105 +1019,107 @@
 
 // ---- Membership's messages ----
 
-const char* name_of_member_status(peers::Liveness state) {
+const char* name_of_member_status(peers::MemberStatus state) {
   switch (state) {
-    case peers::Liveness::alive:
+    case peers::MemberStatus::alive:
       return "alive";
-    case peers::Liveness::suspect:
+    case peers::MemberStatus::suspect:
       return "suspect";
-    case peers::Liveness::dead:
+    case peers::MemberStatus::dead:
       return "dead";
-    case peers::Liveness::left:
+    case peers::MemberStatus::left:
       return "left";
-    case peers::Liveness::forgotten:
+    case peers::MemberStatus::forgotten:
       return "forgotten";
-    case peers::Liveness::disputed:
+    case peers::MemberStatus::disputed:
       return "disputed";
   }
   return "?";
 }
-const char* name_of_message_kind(peers::Kind kind) {
+const char* name_of_message_kind(peers::MessageKind kind) {
   switch (kind) {
-    case peers::Kind::ping:
+    case peers::MessageKind::ping:
       return "ping";
-    case peers::Kind::ack:
+    case peers::MessageKind::ack:
       return "ack";
-    case peers::Kind::nack:
+    case peers::MessageKind::nack:
       return "nack";
-    case peers::Kind::ask:
+    case peers::MessageKind::ping_req:
       return "ping_req";
-    case peers::Kind::gossip:
+    case peers::MessageKind::gossip:
       return "gossip";
-    case peers::Kind::whole:
+    case peers::MessageKind::full_sync:
       return "full_sync";
-    case peers::Kind::whole_answer:
+    case peers::MessageKind::full_sync_reply:
       return "full_sync_reply";
-    case peers::Kind::carry:
+    case peers::MessageKind::user_message:
       return "user_message";
   }
   return "?";
 }
-const char* name_of_decode_error(peers::Refusal reason) {
+const char* name_of_decode_error(peers::DecodeError reason) {
   switch (reason) {
-    case peers::Refusal::malformed:
+    case peers::DecodeError::malformed:
       return "malformed";
-    case peers::Refusal::oversized:
+    case peers::DecodeError::oversized:
       return "oversized";
-    case peers::Refusal::corrupt:
+    case peers::DecodeError::checksum_mismatch:
       return "corrupt";
-    case peers::Refusal::other_cluster:
+    case peers::DecodeError::wrong_cluster:
       return "other_cluster";
-    case peers::Refusal::other_version:
+    case peers::DecodeError::wrong_version:
       return "other_version";
-    case peers::Refusal::bad_field:
+    case peers::DecodeError::invalid_field:
       return "bad_field";
   }
   return "?";
 }
 
-void describe(Line& line, const peers::News& update) {
+void describe(Line& line, const peers::MemberUpdate& update) {
   line.bytes("member", update.name)
       .bytes("address", update.address)
-      .whole("disk", update.disk)
+      .whole("disk", update.disk_id)
       .whole("incarnation", update.incarnation)
       .whole("zone", update.zone)
-      .word("status", name_of_member_status(update.state))
-      .bytes("reported_by", update.by);
+      .word("status", name_of_member_status(update.status))
+      .bytes("reported_by", update.reported_by);
 }
 
-peers::News member_update(const std::string& name, peers::Liveness state, std::uint64_t number) {
-  peers::News update;
+peers::MemberUpdate member_update(const std::string& name, peers::MemberStatus state, std::uint64_t number) {
+  peers::MemberUpdate update;
   update.name = name;
   update.address = "10.0.0." + std::to_string(number % 250) + ":7000";
-  update.disk = 0x1122334455667788U + number;
-  update.incarnation = (number << peers::kLifeBits) + 3;
+  update.disk_id = 0x1122334455667788U + number;
+  update.incarnation = (number << peers::kRefutationBits) + 3;
   update.zone = static_cast<int>(number);
-  update.state = state;
-  update.by = state == peers::Liveness::suspect || state == peers::Liveness::dead ? "by-" + name : "";
+  update.status = state;
+  update.reported_by =
+      state == peers::MemberStatus::suspect || state == peers::MemberStatus::dead ? "by-" + name : "";
   return update;
 }
 
-peers::Message membership_message(peers::Kind kind) {
+peers::Message membership_message(peers::MessageKind kind) {
   peers::Message message;
   message.kind = kind;
-  message.number = 300 + static_cast<std::uint64_t>(kind);
+  message.sequence = 300 + static_cast<std::uint64_t>(kind);
   message.to = "b";
-  message.from = member_update("a", peers::Liveness::alive, 1);
+  message.from = member_update("a", peers::MemberStatus::alive, 1);
   message.digest = 0xfedcba9876543210U;
-  if (kind == peers::Kind::ask || kind == peers::Kind::ack) message.target = "c";
-  if (kind == peers::Kind::ask) message.target_address = "10.0.0.3:7000";
-  for (std::uint64_t at = 0; at < peers::kLivenesses; ++at)
-    message.news.push_back(member_update("m" + std::to_string(at), static_cast<peers::Liveness>(at), at + 2));
-  message.counts = 0x0102030405060708U;
-  message.names = 0x1020304050607080U;
-  message.sure = true;
-  if (kind == peers::Kind::carry) message.payload = std::string("pay\0load", 8);
+  if (kind == peers::MessageKind::ping_req || kind == peers::MessageKind::ack) message.target = "c";
+  if (kind == peers::MessageKind::ping_req) message.target_address = "10.0.0.3:7000";
+  for (std::uint64_t at = 0; at < peers::kMemberStatusCount; ++at)
+    message.updates.push_back(
+        member_update("m" + std::to_string(at), static_cast<peers::MemberStatus>(at), at + 2));
+  message.counted_disk = 0x0102030405060708U;
+  message.member_names_hash = 0x1020304050607080U;
+  message.confirmed = true;
+  if (kind == peers::MessageKind::user_message) message.payload = std::string("pay\0load", 8);
   return message;
 }
 
 std::string membership_read(const std::string& bytes, const std::string& cluster, std::size_t most) {
   const auto decoded = peers::decode(bytes, cluster, most);
-  if (const auto* error = std::get_if<peers::Refusal>(&decoded))
+  if (const auto* error = std::get_if<peers::DecodeError>(&decoded))
     return Line("error")
         .word("reason", name_of_decode_error(*error))
         .bytes("told_as", peers::name_of(*error))
@@ -1124,18 +1127,18 @@
   const auto& message = std::get<peers::Message>(decoded);
   Line line("message");
   line.word("kind", name_of_message_kind(message.kind))
-      .whole("number", message.number)
+      .whole("number", message.sequence)
       .bytes("to", message.to);
   describe(line, message.from);
   line.whole("digest", message.digest)
       .bytes("target", message.target)
       .bytes("target_address", message.target_address)
-      .whole("counted_disk", message.counts)
-      .whole("names_digest", message.names)
-      .flag("confirmed", message.sure)
+      .whole("counted_disk", message.counted_disk)
+      .whole("names_digest", message.member_names_hash)
+      .flag("confirmed", message.confirmed)
       .bytes("payload", message.payload)
-      .whole("updates", message.news.size());
-  for (const peers::News& update : message.news) describe(line, update);
+      .whole("updates", message.updates.size());
+  for (const peers::MemberUpdate& update : message.updates) describe(line, update);
   return line.text();
 }
 
@@ -1146,21 +1149,21 @@
     record.add(golden::quoted(bytes));
     record.add("  " + membership_read(bytes, "west", 4096));
   };
-  for (std::size_t kind = 0; kind < peers::kKinds; ++kind)
-    add(membership_message(static_cast<peers::Kind>(kind)));
-  for (std::size_t state = 0; state < peers::kLivenesses; ++state)
-    record.add(std::string(name_of_member_status(static_cast<peers::Liveness>(state))) + " told as " +
-               std::string(peers::name_of(static_cast<peers::Liveness>(state))));
+  for (std::size_t kind = 0; kind < peers::kMessageKindCount; ++kind)
+    add(membership_message(static_cast<peers::MessageKind>(kind)));
+  for (std::size_t state = 0; state < peers::kMemberStatusCount; ++state)
+    record.add(std::string(name_of_member_status(static_cast<peers::MemberStatus>(state))) + " told as " +
+               std::string(peers::name_of(static_cast<peers::MemberStatus>(state))));
   add({});
   // What no reader takes.
   const auto faulty = [&](const std::function<void(peers::Message&)>& change,
-                          peers::Kind kind = peers::Kind::ping) {
+                          peers::MessageKind kind = peers::MessageKind::ping) {
     peers::Message message = membership_message(kind);
     change(message);
     add(message);
   };
-  add(membership_message(peers::Kind::ping), "east");
-  faulty([](peers::Message& m) { m.kind = static_cast<peers::Kind>(8); });
+  add(membership_message(peers::MessageKind::ping), "east");
+  faulty([](peers::Message& m) { m.kind = static_cast<peers::MessageKind>(8); });
   faulty([](peers::Message& m) { m.to = "b b"; });
   faulty([](peers::Message& m) { m.to = std::string(65, 'b'); });
   faulty([](peers::Message& m) { m.from.name.clear(); });
@@ -1168,37 +1171,37 @@
   faulty([](peers::Message& m) { m.from.address = "host:1"; });
   faulty([](peers::Message& m) { m.from.zone = 4096; });
   faulty([](peers::Message& m) { m.from.zone = 4095; });
-  faulty([](peers::Message& m) { m.from.state = static_cast<peers::Liveness>(6); });
-  faulty([](peers::Message& m) { m.from.by = "x/y"; });
+  faulty([](peers::Message& m) { m.from.status = static_cast<peers::MemberStatus>(6); });
+  faulty([](peers::Message& m) { m.from.reported_by = "x/y"; });
   faulty([](peers::Message& m) { m.target = "c c"; });
   faulty([](peers::Message& m) { m.target_address = "c"; });
-  faulty([](peers::Message& m) { m.news[3].name.clear(); });
+  faulty([](peers::Message& m) { m.updates[3].name.clear(); });
   faulty([](peers::Message& m) { m.payload = "x"; });
-  faulty([](peers::Message& m) { m.payload.clear(); }, peers::Kind::carry);
-  faulty([](peers::Message& m) { m.target.clear(); }, peers::Kind::ask);
-  faulty([](peers::Message& m) { m.target_address.clear(); }, peers::Kind::ask);
-  peers::Message small = membership_message(peers::Kind::ask);
-  small.news.resize(1);
+  faulty([](peers::Message& m) { m.payload.clear(); }, peers::MessageKind::user_message);
+  faulty([](peers::Message& m) { m.target.clear(); }, peers::MessageKind::ping_req);
+  faulty([](peers::Message& m) { m.target_address.clear(); }, peers::MessageKind::ping_req);
+  peers::Message small = membership_message(peers::MessageKind::ping_req);
+  small.updates.resize(1);
   const std::string bytes = peers::encode(small, "west");
   record.add(Line("sizes")
-                 .whole("update", peers::size_of(small.news[0]))
-                 .whole("head", peers::head_size(small, "west"))
+                 .whole("update", peers::encoded_size(small.updates[0]))
+                 .whole("head", peers::header_size(small, "west"))
                  .whole("bytes", bytes.size())
                  .text());
   record.add("oversized: " + membership_read(bytes, "west", bytes.size() - 1));
   record.add("just fits: " + membership_read(bytes, "west", bytes.size()));
   for (const char* name : {"", "a", "a-b_c.D9", "a b", "a/b", "\xc3\xa4"})
-    record.add(Line("name").bytes("text", name).flag("valid", peers::good_name(name)).text());
+    record.add(Line("name").bytes("text", name).flag("valid", peers::is_valid_name(name)).text());
   for (const char* address :
        {"", "1.2.3.4:5", "1.2.3.4:0", "1.2.3.4:65536", "1.2.3:4", "1.2.3.4", "01.2.3.4:5", "1.2.3.4:5 "})
-    record.add(Line("address").bytes("text", address).flag("valid", peers::good_address(address)).text());
+    record.add(Line("address").bytes("text", address).flag("valid", peers::is_valid_address(address)).text());
   record.check();
 }
 
 TEST(GoldenCodec, DamagedMembershipMessages) {
   GoldenRecord record("codec_membership_damaged");
-  peers::Message message = membership_message(peers::Kind::ask);
-  message.news.resize(2);
+  peers::Message message = membership_message(peers::MessageKind::ping_req);
+  message.updates.resize(2);
   record_damage(record, "ping_req", peers::encode(message, "west"),
                 [](const std::string& bytes) { return membership_read(bytes, "west", 4096); });
   record.check();
--- a/tests/golden/membership_golden_test.cpp
+++ b/tests/golden/membership_golden_test.cpp
@@ -16,7 +16,7 @@
 using golden::GoldenRecord;
 using golden::TraceLine;
 using limits::QuotaLeases;
-using peers::Liveness;
+using peers::MemberStatus;
 
 template <typename Value>
 Value drawn(std::mt19937_64& random, std::initializer_list<Value> values) {
@@ -28,10 +28,10 @@
   MembershipPlay(const std::string& record_name, std::size_t count, std::uint64_t seed)
       : record_(record_name), random_(seed) {
     world_ = PeersWorld::settled(count, seed, [count](peers::Settings& settings) {
-      settings.share_lease = 6s;
-      settings.expected = count;
+      settings.quota_lease = 6s;
+      settings.expected_members = count;
       settings.max_members = 12;
-      settings.exchange_every = peers::Time{2s};
+      settings.full_sync_interval = peers::Time{2s};
       settings.zone = settings.name < "n3" ? 1 : 2;
     });
     world_->drift = 0.004;
@@ -85,12 +85,12 @@
         break;
       case 7:
         if (!runs(whom)) break;
-        world_->feed(whom, peers::StopAsked{});
+        world_->feed(whom, peers::ShutdownRequested{});
         world_->run(50ms);
         world_->kill(whom);
         break;
       case 8:
-        if (runs(by)) world_->feed(by, peers::Forget{PeersWorld::name(whom)});
+        if (runs(by)) world_->feed(by, peers::ForgetMember{PeersWorld::name(whom)});
         break;
       case 9:
         if (runs(whom)) world_->stop(whom);
@@ -104,9 +104,10 @@
         }
     }
     if (runs(by)) {
-      world_->feed(by, peers::Carry{PeersWorld::name(whom), std::string(random_() % 1500, 'x')});
-      world_->feed(by,
-                   peers::Refused{static_cast<peers::Refusal>(random_() % peers::kRefusals), "10.9.9.9:1"});
+      world_->feed(by, peers::SendUserMessage{PeersWorld::name(whom), std::string(random_() % 1500, 'x')});
+      world_->feed(
+          by, peers::MessageRejected{static_cast<peers::DecodeError>(random_() % peers::kDecodeErrorCount),
+                                     "10.9.9.9:1"});
     }
   }
 
@@ -118,9 +119,9 @@
     world_->kill(place);
     world_->node(place).stopped = false;
     world_->node(place).state = std::make_unique<peers::State>(
-        settings, peers::Identity{99, std::uint64_t{1} << peers::kLifeBits, true, {}}, random_(),
+        settings, peers::Identity{99, std::uint64_t{1} << peers::kRefutationBits, true, {}}, random_(),
         world_->local(place));
-    world_->feed(place, peers::Due{});
+    world_->feed(place, peers::TimerExpired{});
   }
 
   void add_states() {
@@ -128,11 +129,11 @@
       if (!world_->node(i).state) continue;
       const peers::State& state = *world_->node(i).state;
       const peers::Time now = world_->local(i);
-      record_.add(PeersWorld::name(i) + " " + golden::state_of(state.shares(), now));
+      record_.add(PeersWorld::name(i) + " " + golden::state_of(state.quota(), now));
       record_.add("  report=" + golden::quoted(peers::report(state, now)));
       TraceLine figures("  figures");
-      for (const peers::Figure& figure : peers::figures(state, now))
-        figures.verbatim(figure.name, std::to_string(figure.value) + (figure.count ? "+" : ""));
+      for (const peers::Metric& figure : peers::metrics(state, now))
+        figures.verbatim(figure.name, std::to_string(figure.value) + (figure.is_counter ? "+" : ""));
       record_.add(figures.text());
     }
   }
@@ -161,16 +162,16 @@
 }
 
 /// Within the newest two lives, so that not all is old after a while.
-peers::News drawn_update(std::mt19937_64& random, std::uint64_t newest_life = 3) {
-  peers::News update;
+peers::MemberUpdate drawn_update(std::mt19937_64& random, std::uint64_t newest_life = 3) {
+  peers::MemberUpdate update;
   update.name = PeersWorld::name(random() % 12);
   update.address = PeersWorld::address(random() % 9);
-  update.disk = 1 + random() % 2;
-  update.incarnation = ((newest_life - random() % 2) << peers::kLifeBits) + random() % 3;
+  update.disk_id = 1 + random() % 2;
+  update.incarnation = ((newest_life - random() % 2) << peers::kRefutationBits) + random() % 3;
   update.zone = static_cast<int>(random() % 2);
-  update.state = static_cast<Liveness>(random() % peers::kLivenesses);
-  if (update.state == Liveness::suspect || update.state == Liveness::dead)
-    update.by = PeersWorld::name(random() % 3);
+  update.status = static_cast<MemberStatus>(random() % peers::kMemberStatusCount);
+  if (update.status == MemberStatus::suspect || update.status == MemberStatus::dead)
+    update.reported_by = PeersWorld::name(random() % 3);
   return update;
 }
 
@@ -179,34 +180,36 @@
   std::mt19937_64 random(6);
   peers::View view("n0", 5);
   for (int step = 0; step < 1500; ++step) {
-    const peers::News update = drawn_update(random, 2 + static_cast<std::uint64_t>(step) / 80);
-    const bool full = view.full(update.name);
-    const peers::View::Taken taken = view.take(update, peers::Time{step * 1000});
+    const peers::MemberUpdate update = drawn_update(random, 2 + static_cast<std::uint64_t>(step) / 80);
+    const bool full = view.has_no_room_for(update.name);
+    const peers::View::Merged taken = view.merge(update, peers::Time{step * 1000});
     record.add(TraceLine("merge")
                    .verbatim("update", golden::text_of(update))
                    .field("table_full", full)
-                   .verbatim("result", golden::label_of(taken.fate))
-                   .field("first", taken.first)
+                   .verbatim("result", golden::label_of(taken.result))
+                   .field("first", taken.is_new)
                    .verbatim("replaced", taken.replaced ? golden::text_of(*taken.replaced) : "none")
-                   .verbatim("status_before", taken.before ? golden::label_of(*taken.before) : "none")
-                   .verbatim("address_before", taken.moved ? golden::text_of(*taken.moved) : "none")
+                   .verbatim("status_before",
+                             taken.previous_status ? golden::label_of(*taken.previous_status) : "none")
+                   .verbatim("address_before",
+                             taken.previous_address ? golden::text_of(*taken.previous_address) : "none")
                    .field("registered", view.registered())
-                   .field("reached", view.reached())
-                   .verbatim("partition_status", golden::label_of(view.standing()))
+                   .field("reached", view.reachable())
+                   .verbatim("partition_status", golden::label_of(view.partition_status()))
                    .field("digest", view.digest())
                    .field("revision", view.revision())
                    .text());
     const peers::Member* member = view.find(update.name);
     if (member == nullptr) continue;
     record.add(TraceLine("  member")
-                   .verbatim("update", golden::text_of(member->news))
-                   .field("since", member->since)
-                   .verbatim("suspected_by", golden::list_of(member->by))
-                   .field("deadline", member->deadline)
-                   .field("suspected_since", member->suspected)
-                   .verbatim("reachability", golden::label_of(member->way))
-                   .field("heard", member->heard)
-                   .field("reachability_since", member->way_since)
+                   .verbatim("update", golden::text_of(member->update))
+                   .field("since", member->status_since)
+                   .verbatim("suspected_by", golden::list_of(member->suspected_by))
+                   .field("deadline", member->suspicion_deadline)
+                   .field("suspected_since", member->suspected_since)
+                   .verbatim("reachability", golden::label_of(member->reachability))
+                   .field("heard", member->last_heard)
+                   .field("reachability_since", member->reachability_since)
                    .text());
   }
   record.check();
@@ -215,21 +218,23 @@
 TEST(MembershipGolden, BroadcastQueueGivesUpdates) {
   GoldenRecord record("membership_broadcast_queue");
   std::mt19937_64 random(7);
-  peers::NewsQueue queue;
+  peers::BroadcastQueue queue;
   for (int step = 0; step < 600; ++step) {
     if (random() % 2 == 0) {
-      const peers::News update = drawn_update(random);
-      queue.add(update);
+      const peers::MemberUpdate update = drawn_update(random);
+      queue.enqueue(update);
       record.add("add " + golden::text_of(update));
     } else {
       const std::size_t room = random() % 300, most = 1 + random() % 4;
-      const auto given = queue.give(room, most, [](const peers::News& news) { return peers::size_of(news); });
+      const auto given =
+          queue.take(room, most, [](const peers::MemberUpdate& news) { return peers::encoded_size(news); });
       record.add(TraceLine("take")
                      .field("room_bytes", room)
                      .field("transmissions", most)
-                     .verbatim("updates",
-                               golden::list_of(
-                                   given, [](const peers::News& update) { return golden::text_of(update); }))
+                     .verbatim("updates", golden::list_of(given,
+                                                          [](const peers::MemberUpdate& update) {
+                                                            return golden::text_of(update);
+                                                          }))
                      .text());
     }
     record.add(TraceLine("  queue").field("size", queue.size()).field("empty", queue.empty()).text());
--- a/tests/golden/membership_trace.cpp
+++ b/tests/golden/membership_trace.cpp
@@ -13,194 +13,195 @@
 
 using namespace dahliahall;
 
-std::string label_of(peers::Kind kind) {
+std::string label_of(peers::MessageKind kind) {
   switch (kind) {
-    case peers::Kind::ping:
+    case peers::MessageKind::ping:
       return "ping";
-    case peers::Kind::ack:
+    case peers::MessageKind::ack:
       return "ack";
-    case peers::Kind::nack:
+    case peers::MessageKind::nack:
       return "nack";
-    case peers::Kind::ask:
+    case peers::MessageKind::ping_req:
       return "ping_req";
-    case peers::Kind::gossip:
+    case peers::MessageKind::gossip:
       return "gossip";
-    case peers::Kind::whole:
+    case peers::MessageKind::full_sync:
       return "full_sync";
-    case peers::Kind::whole_answer:
+    case peers::MessageKind::full_sync_reply:
       return "full_sync_reply";
-    case peers::Kind::carry:
+    case peers::MessageKind::user_message:
       return "user_message";
   }
   return "?";
 }
 
-std::string label_of(peers::Refusal reason) {
+std::string label_of(peers::DecodeError reason) {
   switch (reason) {
-    case peers::Refusal::malformed:
+    case peers::DecodeError::malformed:
       return "malformed";
-    case peers::Refusal::oversized:
+    case peers::DecodeError::oversized:
       return "oversized";
-    case peers::Refusal::corrupt:
+    case peers::DecodeError::checksum_mismatch:
       return "corrupt";
-    case peers::Refusal::other_cluster:
+    case peers::DecodeError::wrong_cluster:
       return "other_cluster";
-    case peers::Refusal::other_version:
+    case peers::DecodeError::wrong_version:
       return "other_version";
-    case peers::Refusal::bad_field:
+    case peers::DecodeError::invalid_field:
       return "bad_field";
   }
   return "?";
 }
 
-std::string sorted_list_of(const std::vector<peers::News>& updates) {
+std::string sorted_list_of(const std::vector<peers::MemberUpdate>& updates) {
   std::vector<std::string> texts;
-  for (const peers::News& update : updates) texts.push_back(text_of(update));
+  for (const peers::MemberUpdate& update : updates) texts.push_back(text_of(update));
   std::sort(texts.begin(), texts.end());
   return list_of(texts, [](const std::string& text) { return text; });
 }
 
 struct DescribeInput {
-  std::string operator()(const peers::Heard& input) const {
+  std::string operator()(const peers::MessageReceived& input) const {
     return TraceLine("MessageReceived")
         .field("stream", input.stream)
         .verbatim("message", text_of(input.message))
         .text();
   }
-  std::string operator()(const peers::Refused& input) const {
+  std::string operator()(const peers::MessageRejected& input) const {
     return TraceLine("MessageRejected")
         .verbatim("reason", label_of(input.reason))
         .field("address", input.address)
         .text();
   }
-  std::string operator()(const peers::Due&) const { return "TimerExpired"; }
-  std::string operator()(const peers::StopAsked&) const { return "ShutdownRequested"; }
-  std::string operator()(const peers::Forget& input) const {
+  std::string operator()(const peers::TimerExpired&) const { return "TimerExpired"; }
+  std::string operator()(const peers::ShutdownRequested&) const { return "ShutdownRequested"; }
+  std::string operator()(const peers::ForgetMember& input) const {
     return TraceLine("ForgetMember").field("name", input.name).text();
   }
-  std::string operator()(const peers::Carry& input) const {
+  std::string operator()(const peers::SendUserMessage& input) const {
     return TraceLine("SendUserMessage").field("to", input.to).field("payload", input.payload).text();
   }
 };
 
 /// None for a log line.
 struct DescribeEffect {
-  std::optional<std::string> operator()(const peers::Send& effect) const {
+  std::optional<std::string> operator()(const peers::SendDatagram& effect) const {
     return TraceLine("SendDatagram")
         .field("address", effect.address)
         .verbatim("message", text_of(effect.message))
         .text();
   }
-  std::optional<std::string> operator()(const peers::Exchange& effect) const {
+  std::optional<std::string> operator()(const peers::SendFullSync& effect) const {
     return TraceLine("SendOverStream")
         .field("address", effect.address)
         .verbatim("message", text_of(effect.message))
         .text();
   }
-  std::optional<std::string> operator()(const peers::Answer& effect) const {
+  std::optional<std::string> operator()(const peers::FullSyncReply& effect) const {
     return TraceLine("ReplyOverStream")
         .field("stream", effect.stream)
         .verbatim("message", text_of(effect.message))
         .text();
   }
-  std::optional<std::string> operator()(const peers::Log&) const { return std::nullopt; }
-  std::optional<std::string> operator()(const peers::Keep&) const { return "PersistMembers"; }
-  std::optional<std::string> operator()(const peers::Carried& effect) const {
+  std::optional<std::string> operator()(const peers::LogLine&) const { return std::nullopt; }
+  std::optional<std::string> operator()(const peers::PersistState&) const { return "PersistMembers"; }
+  std::optional<std::string> operator()(const peers::UserMessageReceived& effect) const {
     return TraceLine("DeliverUserMessage").field("from", effect.from).field("payload", effect.payload).text();
   }
 };
 
 }  // namespace
 
-std::string label_of(peers::Liveness status) {
+std::string label_of(peers::MemberStatus status) {
   switch (status) {
-    case peers::Liveness::alive:
+    case peers::MemberStatus::alive:
       return "alive";
-    case peers::Liveness::suspect:
+    case peers::MemberStatus::suspect:
       return "suspect";
-    case peers::Liveness::dead:
+    case peers::MemberStatus::dead:
       return "dead";
-    case peers::Liveness::left:
+    case peers::MemberStatus::left:
       return "left";
-    case peers::Liveness::forgotten:
+    case peers::MemberStatus::forgotten:
       return "forgotten";
-    case peers::Liveness::disputed:
+    case peers::MemberStatus::disputed:
       return "disputed";
   }
   return "?";
 }
 
-std::string label_of(peers::Way reachability) {
+std::string label_of(peers::Reachability reachability) {
   switch (reachability) {
-    case peers::Way::unknown:
+    case peers::Reachability::unknown:
       return "unknown";
-    case peers::Way::direct:
+    case peers::Reachability::direct:
       return "direct";
-    case peers::Way::through:
+    case peers::Reachability::indirect:
       return "indirect";
-    case peers::Way::one_way:
+    case peers::Reachability::one_way:
       return "one_way";
-    case peers::Way::none:
+    case peers::Reachability::unreachable:
       return "unreachable";
   }
   return "?";
 }
 
-std::string label_of(peers::Standing partition_status) {
+std::string label_of(peers::PartitionStatus partition_status) {
   switch (partition_status) {
-    case peers::Standing::whole:
+    case peers::PartitionStatus::majority:
       return "majority";
-    case peers::Standing::part:
+    case peers::PartitionStatus::minority:
       return "minority";
-    case peers::Standing::alone:
+    case peers::PartitionStatus::isolated:
       return "isolated";
-    case peers::Standing::disputed:
+    case peers::PartitionStatus::disputed:
       return "disputed";
   }
   return "?";
 }
 
-std::string label_of(peers::View::Fate merge_result) {
+std::string label_of(peers::View::MergeResult merge_result) {
   switch (merge_result) {
-    case peers::View::Fate::old:
+    case peers::View::MergeResult::outdated:
       return "stale";
-    case peers::View::Fate::news:
+    case peers::View::MergeResult::changed:
       return "updated";
-    case peers::View::Fate::confirms:
+    case peers::View::MergeResult::confirmation:
       return "confirmed_suspicion";
   }
   return "?";
 }
 
-std::string text_of(const peers::News& update) {
+std::string text_of(const peers::MemberUpdate& update) {
   return TraceLine("{MemberUpdate")
              .field("name", update.name)
              .field("address", update.address)
-             .field("disk", update.disk)
+             .field("disk", update.disk_id)
              .field("incarnation", update.incarnation)
              .field("zone", update.zone)
-             .verbatim("status", label_of(update.state))
-             .field("reported_by", update.by)
+             .verbatim("status", label_of(update.status))
+             .field("reported_by", update.reported_by)
              .text() +
          "}";
 }
 
 std::string text_of(const peers::Message& message) {
-  const bool is_full_sync = message.kind == peers::Kind::whole || message.kind == peers::Kind::whole_answer;
+  const bool is_full_sync =
+      message.kind == peers::MessageKind::full_sync || message.kind == peers::MessageKind::full_sync_reply;
   return TraceLine("{Message")
              .verbatim("kind", label_of(message.kind))
-             .field("number", message.number)
+             .field("number", message.sequence)
              .field("to", message.to)
              .verbatim("from", text_of(message.from))
              .field("digest", message.digest)
              .field("target", message.target)
              .field("target_address", message.target_address)
-             .verbatim("updates", is_full_sync
-                                      ? sorted_list_of(message.news)
-                                      : list_of(message.news, [](const auto& item) { return text_of(item); }))
-             .field("counted_disk", message.counts)
-             .field("names_digest", message.names)
-             .field("confirmed", message.sure)
+             .verbatim("updates", is_full_sync ? sorted_list_of(message.updates)
+                                               : list_of(message.updates,
+                                                         [](const auto& item) { return text_of(item); }))
+             .field("counted_disk", message.counted_disk)
+             .field("names_digest", message.member_names_hash)
+             .field("confirmed", message.confirmed)
              .field("payload", message.payload)
              .text() +
          "}";
@@ -249,9 +250,9 @@
   bool persists = false;
   for (const peers::Effect& effect : effects) {
     if (const auto text = std::visit(DescribeEffect{}, effect)) record.add("  " + *text);
-    persists = persists || std::holds_alternative<peers::Keep>(effect);
+    persists = persists || std::holds_alternative<peers::PersistState>(effect);
   }
-  if (persists) record.add("  persisted=" + sorted_list_of(state.kept()));
+  if (persists) record.add("  persisted=" + sorted_list_of(state.persistent_state()));
 }
 
 }  // namespace golden
--- a/tests/golden/membership_trace.h
+++ b/tests/golden/membership_trace.h
@@ -12,12 +12,12 @@
 
 namespace golden {
 
-std::string label_of(dahliahall::peers::Liveness status);
-std::string label_of(dahliahall::peers::Way reachability);
-std::string label_of(dahliahall::peers::Standing partition_status);
-std::string label_of(dahliahall::peers::View::Fate merge_result);
+std::string label_of(dahliahall::peers::MemberStatus status);
+std::string label_of(dahliahall::peers::Reachability reachability);
+std::string label_of(dahliahall::peers::PartitionStatus partition_status);
+std::string label_of(dahliahall::peers::View::MergeResult merge_result);
 
-std::string text_of(const dahliahall::peers::News& update);
+std::string text_of(const dahliahall::peers::MemberUpdate& update);
 /// Updates of a full sync stand in the order of their text: their own is that of a hash table.
 std::string text_of(const dahliahall::peers::Message& message);
 std::string text_of(const dahliahall::peers::Input& input);
--- a/tests/golden/proxy_golden_test.cpp
+++ b/tests/golden/proxy_golden_test.cpp
@@ -407,8 +407,8 @@
   ClusterScenario(VirtualStage& stage, std::uint64_t seed) : stage_(stage), engine_(seed) {}
 
   void ready() {
-    peers::Identity identity{7 + engine_() % 5, peers::kLife, false, {}};
-    identity.known = {member("n2"), member("n3")};
+    peers::Identity identity{7 + engine_() % 5, peers::kEpochStep, false, {}};
+    identity.known_members = {member("n2"), member("n3")};
     stage_.feed(edge::PeersReady{identity});
   }
   void run_for(int steps) {
@@ -435,14 +435,14 @@
   }
   void apply(agreed::Index index, const agreed::Entry& entry) { own(agreed::Applied{index, entry}); }
   void carry(const std::string& from, const agreed::Message& message) {
-    peers::Message envelope = peer_message(from, peers::Kind::carry);
+    peers::Message envelope = peer_message(from, peers::MessageKind::user_message);
     envelope.payload = agreed::encode(message, kLease);
-    stage_.feed(edge::PeersInput{peers::Heard{envelope, 0}});
+    stage_.feed(edge::PeersInput{peers::MessageReceived{envelope, 0}});
   }
   void carry_bytes(const std::string& from, const std::string& bytes) {
-    peers::Message envelope = peer_message(from, peers::Kind::carry);
+    peers::Message envelope = peer_message(from, peers::MessageKind::user_message);
     envelope.payload = bytes;
-    stage_.feed(edge::PeersInput{peers::Heard{envelope, 0}});
+    stage_.feed(edge::PeersInput{peers::MessageReceived{envelope, 0}});
   }
   void own(const agreed::Input& input) {
     edge::PolicyOut out;
@@ -457,56 +457,57 @@
   static constexpr Time kLease{5'000'000};
 
   std::string one() { return engine_() % 2 == 0 ? "n2" : "n3"; }
-  static peers::News member(const std::string& name) {
+  static peers::MemberUpdate member(const std::string& name) {
     return {name,
             name == "n2" ? "127.0.0.1:19" : "127.0.0.1:29",
             name == "n2" ? 12U : 13U,
-            peers::kLife,
+            peers::kEpochStep,
             1,
-            peers::Liveness::alive,
+            peers::MemberStatus::alive,
             {}};
   }
-  peers::Message peer_message(const std::string& from, peers::Kind kind) {
+  peers::Message peer_message(const std::string& from, peers::MessageKind kind) {
     peers::Message message;
     message.kind = kind;
-    message.number = ++number_;
+    message.sequence = ++number_;
     message.to = "n1";
     message.from = member(from);
     return message;
   }
   void hear(const std::string& from) {
-    peers::Message message = peer_message(from, peers::Kind::ping);
+    peers::Message message = peer_message(from, peers::MessageKind::ping);
     switch (engine_() % 6) {
       case 0:
-        message.kind = peers::Kind::whole;
-        message.news = {member("n2"), member("n3")};
-        stage_.feed(edge::PeersInput{peers::Heard{message, number_}});
+        message.kind = peers::MessageKind::full_sync;
+        message.updates = {member("n2"), member("n3")};
+        stage_.feed(edge::PeersInput{peers::MessageReceived{message, number_}});
         return;
       case 1: {
-        message.kind = peers::Kind::gossip;
-        peers::News suspected = member(from == "n2" ? "n3" : "n2");
-        suspected.state = engine_() % 2 == 0 ? peers::Liveness::suspect : peers::Liveness::alive;
-        suspected.by = from;
-        message.news = {suspected};
+        message.kind = peers::MessageKind::gossip;
+        peers::MemberUpdate suspected = member(from == "n2" ? "n3" : "n2");
+        suspected.status = engine_() % 2 == 0 ? peers::MemberStatus::suspect : peers::MemberStatus::alive;
+        suspected.reported_by = from;
+        message.updates = {suspected};
         break;
       }
       case 2:
-        message.kind = peers::Kind::ask;
+        message.kind = peers::MessageKind::ping_req;
         message.target = from == "n2" ? "n3" : "n2";
         message.target_address = member(message.target).address;
         break;
       case 3:
-        message.kind = peers::Kind::ack;
-        message.number = engine_() % 40;
-        message.sure = true;
+        message.kind = peers::MessageKind::ack;
+        message.sequence = engine_() % 40;
+        message.confirmed = true;
         break;
       case 4:
-        stage_.feed(edge::PeersInput{peers::Refused{peers::Refusal::corrupt, "127.0.0.1:99"}});
+        stage_.feed(
+            edge::PeersInput{peers::MessageRejected{peers::DecodeError::checksum_mismatch, "127.0.0.1:99"}});
         return;
       default:
         break;
     }
-    stage_.feed(edge::PeersInput{peers::Heard{message, 0}});
+    stage_.feed(edge::PeersInput{peers::MessageReceived{message, 0}});
   }
 
   VirtualStage& stage_;
--- a/tests/golden/proxy_trace.cpp
+++ b/tests/golden/proxy_trace.cpp
@@ -19,116 +19,118 @@
 
 // ---- Membership ----
 
-const char* label_of(peers::Liveness status) {
+const char* label_of(peers::MemberStatus status) {
   switch (status) {
-    case peers::Liveness::alive:
+    case peers::MemberStatus::alive:
       return "alive";
-    case peers::Liveness::suspect:
+    case peers::MemberStatus::suspect:
       return "suspect";
-    case peers::Liveness::dead:
+    case peers::MemberStatus::dead:
       return "dead";
-    case peers::Liveness::left:
+    case peers::MemberStatus::left:
       return "left";
-    case peers::Liveness::forgotten:
+    case peers::MemberStatus::forgotten:
       return "forgotten";
-    case peers::Liveness::disputed:
+    case peers::MemberStatus::disputed:
       return "disputed";
   }
   return "?";
 }
 
-const char* label_of(peers::Kind kind) {
+const char* label_of(peers::MessageKind kind) {
   switch (kind) {
-    case peers::Kind::ping:
+    case peers::MessageKind::ping:
       return "ping";
-    case peers::Kind::ack:
+    case peers::MessageKind::ack:
       return "ack";
-    case peers::Kind::nack:
+    case peers::MessageKind::nack:
       return "nack";
-    case peers::Kind::ask:
+    case peers::MessageKind::ping_req:
       return "ping_req";
-    case peers::Kind::gossip:
+    case peers::MessageKind::gossip:
       return "gossip";
-    case peers::Kind::whole:
+    case peers::MessageKind::full_sync:
       return "full_sync";
-    case peers::Kind::whole_answer:
+    case peers::MessageKind::full_sync_reply:
       return "full_sync_response";
-    case peers::Kind::carry:
+    case peers::MessageKind::user_message:
       return "user_message";
   }
   return "?";
 }
 
-const char* label_of(peers::Refusal reason) {
+const char* label_of(peers::DecodeError reason) {
   switch (reason) {
-    case peers::Refusal::malformed:
+    case peers::DecodeError::malformed:
       return "malformed";
-    case peers::Refusal::oversized:
+    case peers::DecodeError::oversized:
       return "oversized";
-    case peers::Refusal::corrupt:
+    case peers::DecodeError::checksum_mismatch:
       return "corrupt";
-    case peers::Refusal::other_cluster:
+    case peers::DecodeError::wrong_cluster:
       return "other_cluster";
-    case peers::Refusal::other_version:
+    case peers::DecodeError::wrong_version:
       return "other_version";
-    case peers::Refusal::bad_field:
+    case peers::DecodeError::invalid_field:
       return "bad_field";
   }
   return "?";
 }
 
-std::string item_text(const peers::News& update) {
+std::string item_text(const peers::MemberUpdate& update) {
   return TraceLine("member")
       .add("name", update.name)
       .add("address", update.address)
-      .add("disk", update.disk)
+      .add("disk", update.disk_id)
       .add("incarnation", update.incarnation)
       .add("zone", update.zone)
-      .add("status", label_of(update.state))
-      .add("by", update.by)
+      .add("status", label_of(update.status))
+      .add("by", update.reported_by)
       .text();
 }
 
 std::string item_text(const peers::Message& message) {
   TraceLine line("message");
   line.add("kind", label_of(message.kind))
-      .add("number", message.number)
+      .add("number", message.sequence)
       .add("to", message.to)
       .add_inner("from", item_text(message.from))
       .add("digest", message.digest)
       .add("target", message.target)
       .add("target_address", message.target_address);
-  for (const peers::News& update : message.news) line.add_inner("update", item_text(update));
-  return line.add("counted_disk", message.counts)
-      .add("counted_names", message.names)
-      .add("confirmed", message.sure)
+  for (const peers::MemberUpdate& update : message.updates) line.add_inner("update", item_text(update));
+  return line.add("counted_disk", message.counted_disk)
+      .add("counted_names", message.member_names_hash)
+      .add("confirmed", message.confirmed)
       .add("payload", message.payload)
       .text();
 }
 
-std::string item_text(const peers::Heard& in) {
+std::string item_text(const peers::MessageReceived& in) {
   return TraceLine("message_received")
       .add_inner("message", item_text(in.message))
       .add("stream", in.stream)
       .text();
 }
-std::string item_text(const peers::Refused& in) {
+std::string item_text(const peers::MessageRejected& in) {
   return TraceLine("message_rejected").add("reason", label_of(in.reason)).add("address", in.address).text();
 }
-std::string item_text(const peers::Due&) { return "timer_expired"; }
-std::string item_text(const peers::StopAsked&) { return "shutdown_requested"; }
-std::string item_text(const peers::Forget& in) { return TraceLine("forget").add("name", in.name).text(); }
-std::string item_text(const peers::Carry& in) {
+std::string item_text(const peers::TimerExpired&) { return "timer_expired"; }
+std::string item_text(const peers::ShutdownRequested&) { return "shutdown_requested"; }
+std::string item_text(const peers::ForgetMember& in) {
+  return TraceLine("forget").add("name", in.name).text();
+}
+std::string item_text(const peers::SendUserMessage& in) {
   return TraceLine("user_message").add("to", in.to).add("payload", in.payload).text();
 }
 
-std::string item_text(const peers::Send& e) {
+std::string item_text(const peers::SendDatagram& e) {
   return TraceLine("send").add("address", e.address).add_inner("message", item_text(e.message)).text();
 }
-std::string item_text(const peers::Exchange& e) {
+std::string item_text(const peers::SendFullSync& e) {
   return TraceLine("full_sync").add("address", e.address).add_inner("message", item_text(e.message)).text();
 }
-std::string item_text(const peers::Answer& e) {
+std::string item_text(const peers::FullSyncReply& e) {
   return TraceLine("stream_response")
       .add("stream", e.stream)
       .add_inner("message", item_text(e.message))
@@ -373,10 +375,11 @@
 }
 std::string input_text(const edge::PeersReady& in) {
   TraceLine line("membership_ready");
-  line.add("disk", in.identity.disk)
+  line.add("disk", in.identity.disk_id)
       .add("incarnation", in.identity.incarnation)
-      .add("empty_disk", in.identity.empty_disk);
-  for (const peers::News& update : in.identity.known) line.add_inner("known", item_text(update));
+      .add("empty_disk", in.identity.is_new_disk);
+  for (const peers::MemberUpdate& update : in.identity.known_members)
+    line.add_inner("known", item_text(update));
   return line.text();
 }
 std::string input_text(const edge::PeersInput& in) {
@@ -427,7 +430,7 @@
 std::string effect_text(const edge::PeersKeep& e) {
   TraceLine line("persist_members");
   line.add_inner("self", item_text(e.self));
-  for (const peers::News& update : e.members) line.add_inner("member", item_text(update));
+  for (const peers::MemberUpdate& update : e.members) line.add_inner("member", item_text(update));
   return line.text();
 }
 std::string effect_text(const edge::PeersStop&) { return "membership_stop"; }
--- a/tests/golden/stored_files_golden_test.cpp
+++ b/tests/golden/stored_files_golden_test.cpp
@@ -163,55 +163,56 @@
 
 // ---- Membership's store ----
 
-peers::News member_update(const std::string& name, peers::Liveness state, std::uint64_t value) {
-  peers::News update;
+peers::MemberUpdate member_update(const std::string& name, peers::MemberStatus state, std::uint64_t value) {
+  peers::MemberUpdate update;
   update.name = name;
   update.address = "10.0.0." + number(value) + ":7000";
-  update.disk = 0xa1b2c3d4e5f60718U + value;
-  update.incarnation = (value << peers::kLifeBits) + 2;
+  update.disk_id = 0xa1b2c3d4e5f60718U + value;
+  update.incarnation = (value << peers::kRefutationBits) + 2;
   update.zone = static_cast<int>(value % 3);
-  update.state = state;
-  update.by = state == peers::Liveness::dead ? "n4" : "";
+  update.status = state;
+  update.reported_by = state == peers::MemberStatus::dead ? "n4" : "";
   return update;
 }
 
-const char* name_of_member_status(peers::Liveness state) {
+const char* name_of_member_status(peers::MemberStatus state) {
   switch (state) {
-    case peers::Liveness::alive:
+    case peers::MemberStatus::alive:
       return "alive";
-    case peers::Liveness::suspect:
+    case peers::MemberStatus::suspect:
       return "suspect";
-    case peers::Liveness::dead:
+    case peers::MemberStatus::dead:
       return "dead";
-    case peers::Liveness::left:
+    case peers::MemberStatus::left:
       return "left";
-    case peers::Liveness::forgotten:
+    case peers::MemberStatus::forgotten:
       return "forgotten";
-    case peers::Liveness::disputed:
+    case peers::MemberStatus::disputed:
       return "disputed";
   }
   return "?";
 }
 
 void add_identity(GoldenRecord& record, const peers::Identity& identity) {
-  record.add("identity disk=" + number(identity.disk) + " incarnation=" + number(identity.incarnation) +
-             " empty_disk=" + (identity.empty_disk ? "yes" : "no"));
-  for (const peers::News& update : identity.known)
+  record.add("identity disk=" + number(identity.disk_id) + " incarnation=" + number(identity.incarnation) +
+             " empty_disk=" + (identity.is_new_disk ? "yes" : "no"));
+  for (const peers::MemberUpdate& update : identity.known_members)
     record.add("  member name=" + golden::quoted(update.name) + " address=" + golden::quoted(update.address) +
-               " disk=" + number(update.disk) + " incarnation=" + number(update.incarnation) +
-               " zone=" + std::to_string(update.zone) + " status=" + name_of_member_status(update.state) +
-               " reported_by=" + golden::quoted(update.by));
+               " disk=" + number(update.disk_id) + " incarnation=" + number(update.incarnation) +
+               " zone=" + std::to_string(update.zone) + " status=" + name_of_member_status(update.status) +
+               " reported_by=" + golden::quoted(update.reported_by));
 }
 
 TEST_F(GoldenStoredFile, MembershipStore) {
   std::vector<std::string> log;
   const auto add_to_log = [&log](const std::string& line) { log.push_back(line); };
-  const peers::News self = member_update("n1", peers::Liveness::alive, 1);
+  const peers::MemberUpdate self = member_update("n1", peers::MemberStatus::alive, 1);
   {
     net::PeerStore store(folder_, "n1", "west", add_to_log);
-    std::vector<peers::News> members;
-    for (std::uint64_t state = 0; state < peers::kLivenesses; ++state)
-      members.push_back(member_update("m" + number(state), static_cast<peers::Liveness>(state), state + 2));
+    std::vector<peers::MemberUpdate> members;
+    for (std::uint64_t state = 0; state < peers::kMemberStatusCount; ++state)
+      members.push_back(
+          member_update("m" + number(state), static_cast<peers::MemberStatus>(state), state + 2));
     store.keep(self, std::move(members));
     expect_stored("membership_store", written("peers-n1"));
   }
@@ -221,8 +222,8 @@
     net::PeerStore store(folder_, "n1", "west", add_to_log);
     std::string why;
     ASSERT_TRUE(store.lock(why)) << why;
-    peers::News fresh = self;
-    fresh.disk = fresh.incarnation = 0;
+    peers::MemberUpdate fresh = self;
+    fresh.disk_id = fresh.incarnation = 0;
     const auto identity = store.open(fresh, why);
     ASSERT_TRUE(identity) << why;
     add_identity(record, *identity);
@@ -240,8 +241,8 @@
     std::string why;
     const auto identity = store.open(self, why);
     ASSERT_TRUE(identity) << why;
-    EXPECT_TRUE(identity->empty_disk) << at;
-    EXPECT_TRUE(identity->known.empty()) << at;
+    EXPECT_TRUE(identity->is_new_disk) << at;
+    EXPECT_TRUE(identity->known_members.empty()) << at;
     record.add("unusable at byte " + number(at) + " incarnation=" + number(identity->incarnation));
   }
   record.check();
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -7,9 +7,9 @@
 namespace dahliahall::test {
 namespace {
 
-using peers::Liveness;
-using peers::Standing;
-using peers::Way;
+using peers::MemberStatus;
+using peers::PartitionStatus;
+using peers::Reachability;
 
 std::string logs_of(PeersWorld& world) {
   std::string all;
@@ -20,21 +20,22 @@
 
 TEST(Peers, FiveThatKnowOneSeedFindEachOther) {
   PeersWorld world(5);
-  EXPECT_TRUE(world.until([&] { return world.agreed() && world.node(4).state->view().reached() == 5; }, 5s))
+  EXPECT_TRUE(world.until([&] { return world.agreed() && world.node(4).state->view().reachable() == 5; }, 5s))
       << logs_of(world);
-  EXPECT_EQ(world.node(3).state->view().standing(), Standing::whole);
+  EXPECT_EQ(world.node(3).state->view().partition_status(), PartitionStatus::majority);
 }
 
 TEST(Peers, AKilledOneIsKnownToAllAndStaysRegistered) {
   const auto world = PeersWorld::settled(5);
   world->run(2s);
   world->kill(2);
-  EXPECT_TRUE(world->until([&] { return world->all_believe(2, Liveness::dead); }, 5s)) << logs_of(*world);
+  EXPECT_TRUE(world->until([&] { return world->all_believe(2, MemberStatus::dead); }, 5s)) << logs_of(*world);
   EXPECT_EQ(world->node(0).state->view().registered(), 5U);
-  EXPECT_EQ(world->node(0).state->view().reached(), 4U);
+  EXPECT_EQ(world->node(0).state->view().reachable(), 4U);
   world->start(2, false);
-  EXPECT_TRUE(world->until([&] { return world->all_believe(2, Liveness::alive); }, 5s)) << logs_of(*world);
-  EXPECT_EQ(world->seen(0, 2)->news.disk, 3U) << "the same disk: the same member";
+  EXPECT_TRUE(world->until([&] { return world->all_believe(2, MemberStatus::alive); }, 5s))
+      << logs_of(*world);
+  EXPECT_EQ(world->seen(0, 2)->update.disk_id, 3U) << "the same disk: the same member";
 }
 
 TEST(Peers, ARefutationThatMissesOneMemberIsAskedFor) {
@@ -42,23 +43,24 @@
   // suspicion and that the refutation had missed, while the 299 others held the suspect for alive.
   const auto world = PeersWorld::settled(100);
   world->run(2s);
-  peers::News suspicion = world->node(1).state->self();
-  suspicion.state = Liveness::suspect;
-  suspicion.by = PeersWorld::name(2);
+  peers::MemberUpdate suspicion = world->node(1).state->self();
+  suspicion.status = MemberStatus::suspect;
+  suspicion.reported_by = PeersWorld::name(2);
   peers::Message told;
-  told.kind = peers::Kind::gossip;
+  told.kind = peers::MessageKind::gossip;
   told.from = world->node(2).state->self();
   told.digest = world->node(2).state->view().digest();
-  told.news = {suspicion};
-  world->feed(0, peers::Heard{told, 0});
+  told.updates = {suspicion};
+  world->feed(0, peers::MessageReceived{told, 0});
   // From now on node 0 hears of node 1 only what node 1 answers it.
   world->passes = [&](std::size_t from, std::size_t to, peers::Message& message) {
     if (to != 0) return true;
-    std::erase_if(message.news, [](const peers::News& news) { return news.name == PeersWorld::name(1); });
-    return from != 1 || message.kind == peers::Kind::ack;
+    std::erase_if(message.updates,
+                  [](const peers::MemberUpdate& news) { return news.name == PeersWorld::name(1); });
+    return from != 1 || message.kind == peers::MessageKind::ack;
   };
   world->run(3s);
-  EXPECT_TRUE(world->believes(0, 1, Liveness::alive)) << logs_of(*world);
+  EXPECT_TRUE(world->believes(0, 1, MemberStatus::alive)) << logs_of(*world);
   world->run(7s);
   EXPECT_EQ(world->deaths_declared(), 0U) << logs_of(*world);
 }
@@ -68,7 +70,7 @@
   const auto world = PeersWorld::settled(60);
   world->run(2s);
   world->kill(7);
-  const auto took = world->until([&] { return world->all_believe(7, Liveness::dead); }, 5s, 10ms);
+  const auto took = world->until([&] { return world->all_believe(7, MemberStatus::dead); }, 5s, 10ms);
   ASSERT_TRUE(took) << logs_of(*world);
   EXPECT_LE(*took, 3s);
   EXPECT_LE(world->to_nobody, 59U * 20U) << "messages to the dead one";
@@ -83,7 +85,7 @@
   const std::uint64_t disk = world->node(1).disk;
   EXPECT_TRUE(world->until(
       [&] {
-        return world->believes(0, 1, Liveness::alive) && world->seen(0, 1)->news.disk == disk &&
+        return world->believes(0, 1, MemberStatus::alive) && world->seen(0, 1)->update.disk_id == disk &&
                world->agreed();
       },
       6s))
@@ -101,19 +103,21 @@
   settings.address = PeersWorld::address(4);
   world->node(4).state =
       std::make_unique<peers::State>(settings, peers::Identity{99, 1U << 20U, true, {}}, 7, world->now());
-  world->feed(4, peers::Due{});
+  world->feed(4, peers::TimerExpired{});
   const auto disputed = [&](std::size_t i) {
-    return world->node(i).state->view().standing() == Standing::disputed;
+    return world->node(i).state->view().partition_status() == PartitionStatus::disputed;
   };
   EXPECT_TRUE(world->until(
-      [&] { return disputed(1) && disputed(4) && world->believes(0, 1, Liveness::disputed); }, 20s))
+      [&] { return disputed(1) && disputed(4) && world->believes(0, 1, MemberStatus::disputed); }, 20s))
       << logs_of(*world);
   // Once one is stopped and the other started again, it is a member as before.
   world->kill(4);
   world->kill(1);
   world->start(1, false);
   EXPECT_TRUE(world->until(
-      [&] { return world->all_believe(1, Liveness::alive) || !world->believes(0, 1, Liveness::disputed); },
+      [&] {
+        return world->all_believe(1, MemberStatus::alive) || !world->believes(0, 1, MemberStatus::disputed);
+      },
       10s))
       << logs_of(*world);
 }
@@ -124,15 +128,15 @@
   world->cut = [](std::size_t a, std::size_t b) { return (a < 2) != (b < 2); };
   EXPECT_TRUE(world->until(
       [&] {
-        return world->node(0).state->view().standing() == Standing::part &&
-               world->node(4).state->view().standing() == Standing::whole;
+        return world->node(0).state->view().partition_status() == PartitionStatus::minority &&
+               world->node(4).state->view().partition_status() == PartitionStatus::majority;
       },
       6s))
       << logs_of(*world);
   EXPECT_EQ(world->node(0).state->view().registered(), 5U);
   world->cut = nullptr;
   EXPECT_TRUE(
-      world->until([&] { return world->agreed() && world->node(0).state->view().reached() == 5; }, 8s))
+      world->until([&] { return world->agreed() && world->node(0).state->view().reachable() == 5; }, 8s))
       << logs_of(*world);
 }
 
@@ -141,7 +145,8 @@
   world->run(2s);
   world->cut = [](std::size_t a, std::size_t b) { return (a < 2) != (b < 2); };
   world->run(6s);
-  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(world->node(i).state->view().standing(), Standing::part) << i;
+  for (std::size_t i = 0; i < 4; ++i)
+    EXPECT_EQ(world->node(i).state->view().partition_status(), PartitionStatus::minority) << i;
 }
 
 TEST(Peers, AOneWayCutAndABridgeAreToldFromADeath) {
@@ -149,17 +154,21 @@
   world->run(4s);
   world->cut = [](std::size_t a, std::size_t b) { return a == 0 && b == 1; };
   EXPECT_TRUE(world->until(
-      [&] { return world->seen(0, 1)->way == Way::one_way || world->seen(0, 1)->way == Way::through; }, 10s));
+      [&] {
+        return world->seen(0, 1)->reachability == Reachability::one_way ||
+               world->seen(0, 1)->reachability == Reachability::indirect;
+      },
+      10s));
   world->run(10s);
-  EXPECT_TRUE(world->believes(0, 1, Liveness::alive)) << logs_of(*world);
-  EXPECT_EQ(world->seen(0, 1)->way, Way::one_way);
+  EXPECT_TRUE(world->believes(0, 1, MemberStatus::alive)) << logs_of(*world);
+  EXPECT_EQ(world->seen(0, 1)->reachability, Reachability::one_way);
   world->cut = [](std::size_t a, std::size_t b) {
     return a + b == 1;
   };  // 0 and 1, both ways: 2 is the bridge
   world->run(15s);
-  EXPECT_TRUE(world->believes(0, 1, Liveness::alive)) << logs_of(*world);
-  EXPECT_EQ(world->seen(0, 1)->way, Way::through);
-  EXPECT_EQ(world->seen(1, 0)->way, Way::through);
+  EXPECT_TRUE(world->believes(0, 1, MemberStatus::alive)) << logs_of(*world);
+  EXPECT_EQ(world->seen(0, 1)->reachability, Reachability::indirect);
+  EXPECT_EQ(world->seen(1, 0)->reachability, Reachability::indirect);
 }
 
 TEST(Peers, OneThatStoodStillDoubtsItselfAndKillsNobody) {
@@ -167,35 +176,36 @@
   world->run(2s);
   world->stop(3);
   world->run(5s);
-  EXPECT_TRUE(world->all_believe(3, Liveness::dead)) << logs_of(*world);
+  EXPECT_TRUE(world->all_believe(3, MemberStatus::dead)) << logs_of(*world);
   const std::uint64_t before = world->deaths_declared();
   world->resume(3);
   EXPECT_NE(world->node(3).log.find("peers stood still"), std::string::npos);
-  EXPECT_EQ(world->node(3).state->doubt(), world->node(3).state->settings().most_doubt);
-  EXPECT_TRUE(world->until([&] { return world->all_believe(3, Liveness::alive) && world->agreed(); }, 10s))
+  EXPECT_EQ(world->node(3).state->local_health(), world->node(3).state->settings().max_health_score);
+  EXPECT_TRUE(
+      world->until([&] { return world->all_believe(3, MemberStatus::alive) && world->agreed(); }, 10s))
       << logs_of(*world);
   world->run(20s);
   EXPECT_EQ(world->deaths_declared(), before) << logs_of(*world);
-  EXPECT_EQ(world->node(3).state->counts().suspected, 0U) << logs_of(*world);
+  EXPECT_EQ(world->node(3).state->counters().suspected, 0U) << logs_of(*world);
 }
 
 TEST(Peers, OneThatLeavesInOrderIsNotRegisteredAnyMore) {
   const auto world = PeersWorld::settled(5);
   world->run(2s);
-  world->feed(2, peers::StopAsked{});
-  EXPECT_TRUE(world->until([&] { return world->all_believe(2, Liveness::left); }, 1s)) << logs_of(*world);
+  world->feed(2, peers::ShutdownRequested{});
+  EXPECT_TRUE(world->until([&] { return world->all_believe(2, MemberStatus::left); }, 1s)) << logs_of(*world);
   EXPECT_EQ(world->node(0).state->view().registered(), 4U);
 }
 
 TEST(Peers, AnOperatorsWordForgetsADeadOneAndNoOther) {
   const auto world = PeersWorld::settled(4);
   world->run(2s);
-  world->feed(0, peers::Forget{"n3"});
-  EXPECT_TRUE(world->believes(0, 3, Liveness::alive)) << "it lives";
+  world->feed(0, peers::ForgetMember{"n3"});
+  EXPECT_TRUE(world->believes(0, 3, MemberStatus::alive)) << "it lives";
   world->kill(3);
   world->run(6s);
-  world->feed(0, peers::Forget{"n3"});
-  EXPECT_TRUE(world->until([&] { return world->all_believe(3, Liveness::forgotten); }, 2s))
+  world->feed(0, peers::ForgetMember{"n3"});
+  EXPECT_TRUE(world->until([&] { return world->all_believe(3, MemberStatus::forgotten); }, 2s))
       << logs_of(*world);
   EXPECT_EQ(world->node(1).state->view().registered(), 3U);
 }
@@ -217,7 +227,7 @@
   for (std::size_t i = 0; i < kMembers; i += 3) world->kill(i);
   const auto known = [&] {
     for (std::size_t i = 0; i < kMembers; i += 3) {
-      if (!world->all_believe(i, Liveness::dead)) return false;
+      if (!world->all_believe(i, MemberStatus::dead)) return false;
     }
     return true;
   };
--- a/tests/peers_world.h
+++ b/tests/peers_world.h
@@ -24,7 +24,7 @@
   struct Node {
     std::unique_ptr<peers::State> state;  // none: the process does not run
     std::uint64_t disk = 0, life = 0;
-    std::vector<peers::News> kept;
+    std::vector<peers::MemberUpdate> kept;
     bool stopped = false;  // SIGSTOP: what comes waits
     std::vector<peers::Input> waiting;
     std::string log;
@@ -44,9 +44,9 @@
                                              std::function<void(peers::Settings&)> edit = {}) {
     auto world = std::make_unique<PeersWorld>(0, seed, std::move(edit));
     world->nodes_.resize(count);
-    std::vector<peers::News> all;
+    std::vector<peers::MemberUpdate> all;
     for (std::size_t i = 0; i < count; ++i)
-      all.push_back({name(i), address(i), i + 1, 1U << 20U, 0, peers::Liveness::alive, {}});
+      all.push_back({name(i), address(i), i + 1, 1U << 20U, 0, peers::MemberStatus::alive, {}});
     for (std::size_t i = 0; i < count; ++i) {
       world->nodes_[i].disk = i + 1;
       world->nodes_[i].kept = all;
@@ -79,17 +79,17 @@
         std::move(settings), peers::Identity{node.disk, node.life << 20U, empty_disk, node.kept}, random_(),
         now_);
     node.stopped = false;
-    feed(i, peers::Due{});
+    feed(i, peers::TimerExpired{});
   }
   void kill(std::size_t i) {
-    if (nodes_[i].state) nodes_[i].kept = nodes_[i].state->kept();
+    if (nodes_[i].state) nodes_[i].kept = nodes_[i].state->persistent_state();
     nodes_[i].state.reset();
   }
   void stop(std::size_t i) { nodes_[i].stopped = true; }
   void resume(std::size_t i) {
     Node& node = nodes_[i];
     node.stopped = false;
-    feed(i, peers::Due{});
+    feed(i, peers::TimerExpired{});
     for (peers::Input& input : std::exchange(node.waiting, {})) feed(i, input);
   }
 
@@ -107,7 +107,7 @@
       if (!event.input) {
         if (event.at != node.armed) continue;  // armed anew meanwhile
         node.armed = Time{-1};
-        if (!node.stopped) feed(event.node, peers::Due{});
+        if (!node.stopped) feed(event.node, peers::TimerExpired{});
       } else if (node.stopped) {
         if (node.waiting.size() < 200) node.waiting.push_back(std::move(*event.input));
       } else {
@@ -123,16 +123,16 @@
 
   void feed(std::size_t i, const peers::Input& input) {
     Node& node = nodes_[i];
-    std::vector<peers::Effect> effects = node.state->take(local(i), input);
+    std::vector<peers::Effect> effects = node.state->handle(local(i), input);
     if (observer) observer(i, local(i), input, effects);
     for (peers::Effect& effect : effects) {
-      if (auto* s = std::get_if<peers::Send>(&effect)) {
+      if (auto* s = std::get_if<peers::SendDatagram>(&effect)) {
         transmit(i, s->address, std::move(s->message), false);
-      } else if (auto* x = std::get_if<peers::Exchange>(&effect)) {
+      } else if (auto* x = std::get_if<peers::SendFullSync>(&effect)) {
         transmit(i, x->address, std::move(x->message), true);
-      } else if (auto* a = std::get_if<peers::Answer>(&effect)) {
+      } else if (auto* a = std::get_if<peers::FullSyncReply>(&effect)) {
         transmit(i, address(a->stream - 1), std::move(a->message), true);
-      } else if (auto* l = std::get_if<peers::Log>(&effect)) {
+      } else if (auto* l = std::get_if<peers::LogLine>(&effect)) {
         if (logs) node.log += std::to_string(now_.count() / 1000) + " " + l->line + "\n";
       }
     }
@@ -154,12 +154,12 @@
   [[nodiscard]] const peers::Member* seen(std::size_t by, std::size_t whom) const {
     return nodes_[by].state->view().find(name(whom));
   }
-  [[nodiscard]] bool believes(std::size_t by, std::size_t whom, peers::Liveness state) const {
+  [[nodiscard]] bool believes(std::size_t by, std::size_t whom, peers::MemberStatus state) const {
     const peers::Member* member = seen(by, whom);
-    return member != nullptr && member->news.state == state;
+    return member != nullptr && member->update.status == state;
   }
   /// Whether all that run, and are not stopped, believe this of that one.
-  [[nodiscard]] bool all_believe(std::size_t whom, peers::Liveness state) const {
+  [[nodiscard]] bool all_believe(std::size_t whom, peers::MemberStatus state) const {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (i != whom && nodes_[i].state && !nodes_[i].stopped && !believes(i, whom, state)) return false;
     }
@@ -180,7 +180,7 @@
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (!nodes_[i].state) continue;
       for (std::size_t by = 0; by < nodes_.size(); ++by) {
-        if (nodes_[by].state && believes(by, i, peers::Liveness::dead)) {
+        if (nodes_[by].state && believes(by, i, peers::MemberStatus::dead)) {
           ++wrong;
           break;
         }
@@ -190,7 +190,7 @@
   }
   [[nodiscard]] std::uint64_t deaths_declared() const {
     std::uint64_t all = 0;
-    for (const Node& node : nodes_) all += node.state ? node.state->counts().died : 0;
+    for (const Node& node : nodes_) all += node.state ? node.state->counters().declared_dead : 0;
     return all;
   }
 
@@ -233,7 +233,7 @@
     if (!stream && loss > 0 && std::uniform_real_distribution<>(0, 1)(random_) < loss) return;
     Time delay{std::uniform_int_distribution<int>(300, 3000)(random_)};
     if (more_delay) delay += more_delay(from, target);
-    peers::Heard heard{std::move(message), stream ? from + 1 : 0};
+    peers::MessageReceived heard{std::move(message), stream ? from + 1 : 0};
     events_.push({now_ + delay, order_++, target, std::move(heard)});
   }
   static std::size_t index(const std::string& address) {
--- a/tests/shares_test.cpp
+++ b/tests/shares_test.cpp
@@ -12,14 +12,14 @@
 
 using limits::QuotaLeases;
 using Time = QuotaLeases::Time;
-using peers::Liveness;
+using peers::MemberStatus;
 
 constexpr auto kLease = 6s;
 
 std::unique_ptr<PeersWorld> sharing(std::size_t count, std::uint64_t seed = 1) {
   auto world = PeersWorld::settled(count, seed, [count](peers::Settings& settings) {
-    settings.share_lease = kLease;
-    settings.expected = count;
+    settings.quota_lease = kLease;
+    settings.expected_members = count;
     settings.max_members = 64;
   });
   world->drift = 0.004;
@@ -31,7 +31,7 @@
   double sum = 0;
   for (std::size_t i = 0; i < world.size(); ++i) {
     if (world.node(i).state && !world.node(i).stopped)
-      sum += world.node(i).state->shares().share(world.local(i)).of_cluster;
+      sum += world.node(i).state->quota().share(world.local(i)).of_cluster;
   }
   return sum;
 }
@@ -39,7 +39,7 @@
 bool all_hold(PeersWorld& world, double part) {
   for (std::size_t i = 0; i < world.size(); ++i) {
     if (!world.node(i).state) continue;
-    const QuotaLeases::QuotaShare held = world.node(i).state->shares().share(world.local(i));
+    const QuotaLeases::QuotaShare held = world.node(i).state->quota().share(world.local(i));
     if (!held.has_lease || std::abs(held.of_cluster - part) > 1e-9) return false;
   }
   return true;
@@ -56,8 +56,8 @@
 TEST(Shares, OneThatLeftInOrderHandsItsShareOnAtOnce) {
   const auto world = sharing(5);
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 5); }, 20s));
-  world->feed(4, peers::StopAsked{});
-  EXPECT_LT(world->node(4).state->shares().share(world->local(4)).of_cluster, 0.01)
+  world->feed(4, peers::ShutdownRequested{});
+  EXPECT_LT(world->node(4).state->quota().share(world->local(4)).of_cluster, 0.01)
       << "before anybody hears of it";
   world->kill(4);
   EXPECT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 4); }, 2s));
@@ -67,8 +67,8 @@
   const auto world = sharing(5);
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 5); }, 20s));
   world->kill(4);
-  ASSERT_TRUE(world->until([&] { return world->believes(0, 4, Liveness::dead); }, 10s));
-  world->feed(0, peers::Forget{"n4"});
+  ASSERT_TRUE(world->until([&] { return world->believes(0, 4, MemberStatus::dead); }, 10s));
+  world->feed(0, peers::ForgetMember{"n4"});
   world->run(kLease - 100ms);
   EXPECT_TRUE(all_hold(*world, 0.9 / 5)) << "not before";
   EXPECT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 4); }, 10s));
@@ -79,8 +79,8 @@
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 5); }, 20s));
   world->cut = [](std::size_t a, std::size_t b) { return (a < 2) != (b < 2); };
   world->run(kLease);
-  EXPECT_FALSE(world->node(0).state->shares().share(world->local(0)).has_lease);
-  EXPECT_TRUE(world->node(4).state->shares().share(world->local(4)).has_lease);
+  EXPECT_FALSE(world->node(0).state->quota().share(world->local(0)).has_lease);
+  EXPECT_TRUE(world->node(4).state->quota().share(world->local(4)).has_lease);
   world->cut = nullptr;
   EXPECT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 5); }, 30s));
 }
@@ -91,11 +91,11 @@
   world->cut = [](std::size_t a, std::size_t b) { return (a < 2) != (b < 2); };
   ASSERT_TRUE(world->until(
       [&] {
-        return world->believes(0, 4, Liveness::dead) && world->believes(0, 3, Liveness::dead) &&
-               world->believes(0, 2, Liveness::dead);
+        return world->believes(0, 4, MemberStatus::dead) && world->believes(0, 3, MemberStatus::dead) &&
+               world->believes(0, 2, MemberStatus::dead);
       },
       20s));
-  for (const char* name : {"n2", "n3", "n4"}) world->feed(0, peers::Forget{name});
+  for (const char* name : {"n2", "n3", "n4"}) world->feed(0, peers::ForgetMember{name});
   for (int i = 0; i < 200; ++i) {
     world->run(200ms);
     ASSERT_LE(used(*world), 1.0) << world->now().count();
@@ -108,10 +108,10 @@
   const auto world = sharing(3);
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 3); }, 20s));
   world->cut = [](std::size_t a, std::size_t b) { return a == 0 && b != 0; };  // it hears, and is not heard
-  ASSERT_TRUE(world->until([&] { return world->believes(2, 0, Liveness::dead); }, 20s));
-  EXPECT_GT(world->node(0).state->counts().refuted, 0U);
-  world->feed(2, peers::Forget{"n0"});
-  ASSERT_TRUE(world->until([&] { return world->believes(1, 0, Liveness::forgotten); }, 5s));
+  ASSERT_TRUE(world->until([&] { return world->believes(2, 0, MemberStatus::dead); }, 20s));
+  EXPECT_GT(world->node(0).state->counters().refutations, 0U);
+  world->feed(2, peers::ForgetMember{"n0"});
+  ASSERT_TRUE(world->until([&] { return world->believes(1, 0, MemberStatus::forgotten); }, 5s));
   world->run(1s);
   world->cut = [](std::size_t a, std::size_t b) { return (a == 2) != (b == 2); };  // 0 and 1 meet again
   for (int i = 0; i < 200; ++i) {
@@ -131,7 +131,7 @@
     world->run(100ms);
     ASSERT_LE(used(*world), 1.0 + 1e-9) << i;
   }
-  EXPECT_TRUE(world->node(1).state->shares().share(world->local(1)).has_lease)
+  EXPECT_TRUE(world->node(1).state->quota().share(world->local(1)).has_lease)
       << "the lease has run out since";
 }
 
@@ -157,7 +157,7 @@
   const auto world = sharing(5);
   world->drift = 0;
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 5); }, 20s));
-  world->feed(4, peers::StopAsked{});
+  world->feed(4, peers::ShutdownRequested{});
   world->run(50ms);
   world->kill(4);
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 4); }, 10s));
@@ -166,14 +166,15 @@
   peers::Settings settings = world->node(3).state->settings();
   settings.address = PeersWorld::address(4);
   world->node(4).state = std::make_unique<peers::State>(
-      settings, peers::Identity{99, std::uint64_t{9} << peers::kLifeBits, true, {}}, 7, world->local(4));
-  world->feed(4, peers::Due{});
+      settings, peers::Identity{99, std::uint64_t{9} << peers::kRefutationBits, true, {}}, 7,
+      world->local(4));
+  world->feed(4, peers::TimerExpired{});
   world->run(kLease - 1s);
   world->cut = [](std::size_t a, std::size_t b) { return a == 3 || b == 3; };
   ASSERT_TRUE(world->until(
       [&] {
-        return world->seen(0, 3)->news.disk == 99 && world->seen(1, 3)->news.disk == 99 &&
-               world->seen(2, 3)->news.disk == 99;
+        return world->seen(0, 3)->update.disk_id == 99 && world->seen(1, 3)->update.disk_id == 99 &&
+               world->seen(2, 3)->update.disk_id == 99;
       },
       3s))
       << world->node(0).log;
@@ -186,7 +187,7 @@
     ASSERT_LE(used(*world), 1.0 + 1e-9) << i;
   }
   EXPECT_TRUE(
-      world->until([&] { return world->node(4).state->shares().share(world->local(4)).has_lease; }, 30s))
+      world->until([&] { return world->node(4).state->quota().share(world->local(4)).has_lease; }, 30s))
       << "the old one's lease has run out: the new one is counted";
 }
 
@@ -194,7 +195,7 @@
   const auto world = sharing(8);
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 8); }, 20s));
   for (std::size_t i = 4; i < 8; ++i) {
-    world->feed(i, peers::StopAsked{});
+    world->feed(i, peers::ShutdownRequested{});
     world->run(50ms);
     world->kill(i);
   }
@@ -247,7 +248,7 @@
           break;
         case 5:
           if (node.state && !node.stopped && random() % 2 == 0) {
-            world->feed(whom, peers::StopAsked{});
+            world->feed(whom, peers::ShutdownRequested{});
             world->run(50ms);
             world->kill(whom);
             story += "leave " + std::to_string(whom) + "\n";
@@ -255,7 +256,7 @@
           break;
         case 6:
           if (world->node(by).state && !world->node(by).stopped)
-            world->feed(by, peers::Forget{PeersWorld::name(whom)});
+            world->feed(by, peers::ForgetMember{PeersWorld::name(whom)});
           story += std::to_string(by) + " forgets " + std::to_string(whom) + "\n";
           break;
         case 7:
