--- a/src/agreed/raft_core.cpp
+++ b/src/agreed/raft_core.cpp
@@ -16,7 +16,7 @@
 std::string text_of(const raft_buffer& buffer) { return {static_cast<const char*>(buffer.base), buffer.len}; }
 
 std::string address_of(const std::string& name, std::uint64_t id) { return name + "#" + std::to_string(id); }
-std::string name_in(const std::string& address) { return address.substr(0, address.rfind('#')); }
+std::string name_in_address(const std::string& address) { return address.substr(0, address.rfind('#')); }
 
 void write_servers(const raft_configuration& from, Servers& to) {
   for (unsigned i = 0; i < from.n; ++i) {
@@ -43,7 +43,7 @@
   io.impl = this;
   io.init = [](raft_io*, raft_id, const char*) { return 0; };
   io.close = [](raft_io* i, raft_io_close_cb done) {
-    of(i).later_.emplace_back([i, done] {
+    log_of(i).deferred_callbacks_.emplace_back([i, done] {
       if (done != nullptr) done(i);
     });
   };
@@ -51,8 +51,8 @@
                raft_entry** entries,
                std::size_t* count) { return self(i).load(term, vote, snapshot, start, entries, count); };
   io.start = [](raft_io* i, unsigned, raft_io_tick_cb on_tick, raft_io_recv_cb on_heard) {
-    self(i).ticks = on_tick;
-    self(i).hears = on_heard;
+    self(i).tick_callback = on_tick;
+    self(i).receive_callback = on_heard;
     return 0;
   };
   io.bootstrap = [](raft_io* i, const raft_configuration* first) { return self(i).bootstrap(*first); };
@@ -60,19 +60,19 @@
   io.set_term = [](raft_io* i, raft_term term) {
     pb::Record record;
     record.set_term(term);
-    of(i).term_ = term;
-    of(i).vote_ = 0;
-    return of(i).write({record.SerializeAsString()}) ? 0 : RAFT_IOERR;
+    log_of(i).term_ = term;
+    log_of(i).vote_ = 0;
+    return log_of(i).write({record.SerializeAsString()}) ? 0 : RAFT_IOERR;
   };
   io.set_vote = [](raft_io* i, raft_id vote) {
     pb::Record record;
     record.set_vote(vote);
-    of(i).vote_ = vote;
-    return of(i).write({record.SerializeAsString()}) ? 0 : RAFT_IOERR;
+    log_of(i).vote_ = vote;
+    return log_of(i).write({record.SerializeAsString()}) ? 0 : RAFT_IOERR;
   };
   io.send = [](raft_io* i, raft_io_send* request, const raft_message* message, raft_io_send_cb done) {
     self(i).send(*message);
-    of(i).later_.emplace_back([request, done] {
+    log_of(i).deferred_callbacks_.emplace_back([request, done] {
       if (done != nullptr) done(request, 0);
     });
     return 0;
@@ -81,30 +81,31 @@
                  raft_io_append_cb done) {
     const int status = self(i).append(entries, count);
     if (status != 0) return status;
-    of(i).later_.emplace_back([request, done] { done(request, 0); });
+    log_of(i).deferred_callbacks_.emplace_back([request, done] { done(request, 0); });
     return 0;
   };
   io.truncate = [](raft_io* i, raft_index from) { return self(i).truncate(from); };
   io.snapshot_put = [](raft_io* i, unsigned trailing, raft_io_snapshot_put* request,
                        const raft_snapshot* snapshot, raft_io_snapshot_put_cb done) {
-    const int status = self(i).put_snapshot(trailing, *snapshot);
-    of(i).later_.emplace_back([request, done, status] { done(request, status); });
+    const int status = self(i).store_snapshot(trailing, *snapshot);
+    log_of(i).deferred_callbacks_.emplace_back([request, done, status] { done(request, status); });
     return 0;
   };
   io.snapshot_get = [](raft_io* i, raft_io_snapshot_get* request, raft_io_snapshot_get_cb done) {
     Raft* me = &self(i);
-    of(i).later_.emplace_back([me, request, done] {
+    log_of(i).deferred_callbacks_.emplace_back([me, request, done] {
       raft_snapshot* snapshot = me->make_snapshot();
       done(request, snapshot, snapshot == nullptr ? RAFT_NOTFOUND : 0);
     });
     return 0;
   };
-  io.time = [](raft_io* i) { return static_cast<raft_time>(of(i).now_.count() / 1000); };
+  io.time = [](raft_io* i) { return static_cast<raft_time>(log_of(i).now_.count() / 1000); };
   io.random = [](raft_io* i, int least, int most) {
-    return least + static_cast<int>(of(i).random_() % static_cast<std::uint64_t>(std::max(1, most - least)));
+    return least +
+           static_cast<int>(log_of(i).random_() % static_cast<std::uint64_t>(std::max(1, most - least)));
   };
   io.async_work = [](raft_io* i, raft_io_async_work* request, raft_io_async_work_cb done) {
-    of(i).later_.emplace_back([request, done] { done(request, request->work(request)); });
+    log_of(i).deferred_callbacks_.emplace_back([request, done] { done(request, request->work(request)); });
     return 0;
   };
   fsm.version = 1;
@@ -115,7 +116,7 @@
   };
   fsm.snapshot = [](raft_fsm* f, raft_buffer** buffers, unsigned* count) {
     pb::Whole whole;
-    agreed::write(static_cast<Raft*>(f->data)->log.register_.whole(), whole);
+    agreed::write_snapshot(static_cast<Raft*>(f->data)->log.register_.snapshot(), whole);
     *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
     if (*buffers == nullptr) return RAFT_NOMEM;
     (*buffers)[0] = buffer_of(whole.SerializeAsString());
@@ -143,7 +144,7 @@
   for (std::size_t at = 0; at < *count; ++at) (*entries)[at] = entry_of(log.entries_[at]);
   return 0;
 }
-raft_entry RaftLog::Raft::entry_of(const Kept& kept) {
+raft_entry RaftLog::Raft::entry_of(const StoredEntry& kept) {
   raft_entry entry{};
   entry.term = kept.term;
   entry.type = static_cast<unsigned short>(kept.type);
@@ -179,7 +180,7 @@
   record.set_truncate(from);
   return log.write({record.SerializeAsString()}) ? 0 : RAFT_IOERR;
 }
-int RaftLog::Raft::put_snapshot(unsigned trailing, const raft_snapshot& from) {
+int RaftLog::Raft::store_snapshot(unsigned trailing, const raft_snapshot& from) {
   pb::Snapshot snapshot;
   snapshot.set_index(from.index);
   snapshot.set_term(from.term);
@@ -224,24 +225,24 @@
 
 int RaftLog::Raft::apply(const raft_buffer& buffer) {
   const auto entry = decode_entry(text_of(buffer));
-  const Index index = core.last_applied + 1;
+  const Index index = raft.last_applied + 1;
   // An entry that can't be read was written by another version: nothing is made of it anywhere.
   if (!entry) {
-    log.register_.pass(index);
+    log.register_.advance_to(index);
     return 0;
   }
   log.register_.apply(index, *entry);
-  if (log.out_ != nullptr) log.out_->inputs.emplace_back(Applied{index, *entry});
-  log.told_ = index;
+  if (log.output_ != nullptr) log.output_->inputs.emplace_back(EntryApplied{index, *entry});
+  log.reported_index_ = index;
   return 0;
 }
 int RaftLog::Raft::restore(const std::string& data) {
   pb::Whole from;
-  const auto whole = from.ParseFromString(data) ? agreed::read(from) : std::nullopt;
+  const auto whole = from.ParseFromString(data) ? agreed::read_snapshot(from) : std::nullopt;
   if (!whole) return RAFT_CORRUPT;
-  log.register_ = Register(*whole);
-  log.told_ = whole->index;
-  if (log.out_ != nullptr) log.out_->inputs.emplace_back(Restored{*whole});
+  log.register_ = PolicyStateMachine(*whole);
+  log.reported_index_ = whole->index;
+  if (log.output_ != nullptr) log.output_->inputs.emplace_back(SnapshotRestored{*whole});
   return 0;
 }
 
@@ -265,7 +266,7 @@
       // Guards against libraft 0.15: its no to a pre-vote tells the term that was asked for, not its own. One
       // with the longer log and the lower term then asks for the same term for ever, and nobody leads (found
       // by a drawn schedule).
-      if (m.pre_vote == raft_tribool_true && !m.vote_granted) w.set_term(std::max(m.term, core.current_term));
+      if (m.pre_vote == raft_tribool_true && !m.vote_granted) w.set_term(std::max(m.term, raft.current_term));
       break;
     }
     case RAFT_IO_APPEND_ENTRIES: {
@@ -287,9 +288,9 @@
       // which the leader may know nothing. Where an entry of a leader before stands there, the new one takes
       // its own entry of that number for replicated (found by a drawn schedule), and may commit what no
       // majority has.
-      if (m.rejected != 0) rejected_ = true;
+      if (m.rejected != 0) append_rejected_ = true;
       const raft_index last =
-          m.rejected != 0 ? m.last_log_index : std::min(m.last_log_index, confirmed(m.term));
+          m.rejected != 0 ? m.last_log_index : std::min(m.last_log_index, verified_index(m.term));
       w.set_term(m.term), w.set_rejected(m.rejected), w.set_last_index(last);
       break;
     }
@@ -310,11 +311,12 @@
     default:
       return;
   }
-  if (log.out_ != nullptr)
-    log.out_->send.emplace_back(name_in(message.server_address), encode(to, log.settings_.lease));
+  if (log.output_ != nullptr)
+    log.output_->messages.emplace_back(name_in_address(message.server_address),
+                                       encode(to, log.settings_.lease));
 }
 
-void RaftLog::Raft::hear(const pb::LogMessage& from) {
+void RaftLog::Raft::receive(const pb::LogMessage& from) {
   raft_message message{};
   message.server_id = from.from();
   message.server_address = from.address().c_str();
@@ -393,25 +395,25 @@
       return;
   }
   raft_term term = 0;
-  checking_ = 0;
-  rejected_ = false;
+  verifying_index_ = 0;
+  append_rejected_ = false;
   if (from.has_append()) {
     term = from.append().term();
-    checking_ = from.append().before_index() + static_cast<raft_index>(from.append().entries_size());
+    verifying_index_ = from.append().before_index() + static_cast<raft_index>(from.append().entries_size());
   } else if (from.has_install()) {
     term = from.install().term();
-    checking_ = from.install().last_index();
+    verifying_index_ = from.install().last_index();
   }
-  if (term > checked_term_) checked_term_ = term, checked_ = 0;
-  const bool counts = term != 0 && term == checked_term_;
-  if (!counts) checking_ = 0;
-  hears(&io, &message);
-  if (!rejected_) checked_ = std::max(checked_, checking_);
-  checking_ = 0;
+  if (term > verified_term_) verified_term_ = term, verified_index_ = 0;
+  const bool counts = term != 0 && term == verified_term_;
+  if (!counts) verifying_index_ = 0;
+  receive_callback(&io, &message);
+  if (!append_rejected_) verified_index_ = std::max(verified_index_, verifying_index_);
+  verifying_index_ = 0;
 }
 
-raft_index RaftLog::Raft::confirmed(raft_term term) const {
-  return term == checked_term_ ? std::max(checked_, checking_) : 0;
+raft_index RaftLog::Raft::verified_index(raft_term term) const {
+  return term == verified_term_ ? std::max(verified_index_, verifying_index_) : 0;
 }
 
 }  // namespace dahliahall::agreed
--- a/src/agreed/raft_core.h
+++ b/src/agreed/raft_core.h
@@ -22,7 +22,7 @@
 /// A server's address in the log is its name and its id: guards against two under one name in one list while
 /// one takes the other's place.
 std::string address_of(const std::string& name, std::uint64_t id);
-std::string name_in(const std::string& address);
+std::string name_in_address(const std::string& address);
 
 using Servers = google::protobuf::RepeatedPtrField<pb::Server>;
 void write_servers(const raft_configuration& from, Servers& to);
@@ -33,7 +33,7 @@
   explicit Raft(RaftLog& owner);
 
   static Raft& self(raft_io* i) { return *static_cast<Raft*>(i->impl); }
-  static RaftLog& of(raft_io* i) { return self(i).log; }
+  static RaftLog& log_of(raft_io* i) { return self(i).log; }
 
   // Of the table.
   int load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* start, raft_entry** entries,
@@ -41,31 +41,31 @@
   int bootstrap(const raft_configuration& first);
   int append(const raft_entry* entries, unsigned count);
   int truncate(raft_index from);
-  int put_snapshot(unsigned trailing, const raft_snapshot& from);
+  int store_snapshot(unsigned trailing, const raft_snapshot& from);
   [[nodiscard]] raft_snapshot* make_snapshot() const;
   int apply(const raft_buffer& buffer);
   int restore(const std::string& data);
   void send(const raft_message& message);
   /// None of it is raft's before all of it is checked.
-  void hear(const pb::LogMessage& from);
+  void receive(const pb::LogMessage& from);
 
   RaftLog& log;
   raft_io io{};
   raft_fsm fsm{};
-  struct raft core {};
-  raft_io_tick_cb ticks = nullptr;
-  raft_io_recv_cb hears = nullptr;
+  struct raft raft {};
+  raft_io_tick_cb tick_callback = nullptr;
+  raft_io_recv_cb receive_callback = nullptr;
 
  private:
-  static raft_entry entry_of(const Kept& kept);
+  static raft_entry entry_of(const StoredEntry& kept);
   /// The highest index that this server may say it has in common with the leader of that term.
-  [[nodiscard]] raft_index confirmed(raft_term term) const;
+  [[nodiscard]] raft_index verified_index(raft_term term) const;
 
   // Of the leader of `checked_term_`: entries up to here were compared with its, by messages that were not
   // rejected.
-  raft_term checked_term_ = 0;
-  raft_index checked_ = 0, checking_ = 0;  // checking_: by the message that is in work
-  bool rejected_ = false;
+  raft_term verified_term_ = 0;
+  raft_index verified_index_ = 0, verifying_index_ = 0;  // checking_: by the message that is in work
+  bool append_rejected_ = false;
 };
 
 }  // namespace dahliahall::agreed
--- a/src/agreed/raft_log.h
+++ b/src/agreed/raft_log.h
@@ -27,19 +27,19 @@
  public:
   struct Settings {
     std::string name;
-    std::vector<std::string> first;  ///< names of the voters that begin the log
-    Time lease{5'000'000};           ///< goes with each message: see decode()
+    std::vector<std::string> initial_voters;  ///< names of the voters that begin the log
+    Time lease{5'000'000};                    ///< goes with each message: see decode()
     unsigned heartbeat_ms = 100;
     unsigned election_ms = 1000;
-    unsigned snapshot_every = 1024;  ///< entries
-    unsigned trailing = 128;         ///< entries kept behind a snapshot, for those a little behind
+    unsigned snapshot_threshold_entries = 1024;  ///< entries
+    unsigned trailing_entries = 128;  ///< entries kept behind a snapshot, for those a little behind
     std::uint64_t seed = 1;
   };
   /// What came of a call.
-  struct Out {
-    std::vector<std::pair<std::string, std::string>> send;  ///< to that member, these bytes
-    std::vector<Input> inputs;                              ///< for the reducer, in order
-    std::vector<std::string> log;
+  struct Output {
+    std::vector<std::pair<std::string, std::string>> messages;  ///< to that member, these bytes
+    std::vector<Input> inputs;                                  ///< for the reducer, in order
+    std::vector<std::string> log_lines;
   };
 
   RaftLog(Settings settings, storage::Journal& journal, Time now);
@@ -49,91 +49,91 @@
 
   /// Reads what the disk has and begins. False: nothing may be told from here (why() says what is wrong); the
   /// proxy takes no part in the log.
-  bool open(Out& out);
-  void tick(Time now, Out& out);
-  void heard(Time now, const ForLog& message, Out& out);
-  void heard(Time now, const std::string& from, const ForBirth& message, Out& out);
+  bool open(Output& out);
+  void tick(Time now, Output& out);
+  void on_message(Time now, const RaftMessage& message, Output& out);
+  void on_message(Time now, const std::string& from, const BootstrapMessage& message, Output& out);
   /// At the leader; elsewhere it is lost.
-  void append(Time now, const Entry& entry, Out& out);
+  void append(Time now, const Entry& entry, Output& out);
   /// To the disk of one that is no voter.
-  void learn(Time now, const Learn& what, Out& out);
+  void persist_learned(Time now, const PersistLearned& what, Output& out);
   /// Whether its vote went to no later term; never true where it has no vote, or its disk has failed.
-  [[nodiscard]] bool confirms(Term term) const;
+  [[nodiscard]] bool can_confirm_leadership(Term term) const;
 
   /// Takes the place of another as a voter, or is added, or goes: at the leader. One change at a time; what
   /// it came to is logged. `id`: of the new one, as its /v1/policy tells.
-  bool add_voter(const std::string& name, std::uint64_t id, Out& out);
-  bool remove_voter(const std::string& name, Out& out);
+  bool add_voter(const std::string& name, std::uint64_t id, Output& out);
+  bool remove_voter(const std::string& name, Output& out);
 
   [[nodiscard]] std::uint64_t id() const { return id_; }
-  [[nodiscard]] bool runs() const;
-  [[nodiscard]] bool leads() const;
+  [[nodiscard]] bool is_running() const;
+  [[nodiscard]] bool is_leader() const;
   [[nodiscard]] Term term() const;
   /// Names of the voters and their ids.
   [[nodiscard]] std::map<std::string, std::uint64_t> voters() const;
-  [[nodiscard]] const std::string& why() const { return why_; }
+  [[nodiscard]] const std::string& error() const { return error_; }
   [[nodiscard]] std::size_t entries() const { return entries_.size(); }
 
  private:
   struct Raft;
   friend struct Raft;
   class Call;
-  struct Kept {
+  struct StoredEntry {
     std::uint64_t term = 0;
     unsigned type = 0;
     std::string data;
   };
 
-  static std::string record_of(Index index, const Kept& entry);
+  static std::string record_of(Index index, const StoredEntry& entry);
   bool read_records(const std::vector<std::string>& records);
   bool write(const std::vector<std::string>& records);
   bool compact();
-  bool keeps(bool done);
-  int prepare();
-  bool begin(Out& out);
-  void run_later();
+  bool on_write_finished(bool done);
+  int initialize_raft();
+  bool start(Output& out);
+  void run_deferred_callbacks();
   void close();
   [[nodiscard]] std::set<std::string> voter_names() const;
-  bool bootstrap(const pb::Born& born, Out& out);
-  void ask_birth(Out& out);
-  void settle(Out& out);
-  void watch_role(Out& out);
-  void watch_change(Out& out);
+  bool bootstrap(const pb::Born& born, Output& out);
+  void send_bootstrap_requests(Output& out);
+  void report_progress(Output& out);
+  void report_role(Output& out);
+  void advance_voter_change(Output& out);
   [[nodiscard]] std::vector<std::string> all_records() const;
 
   Settings settings_;
   storage::Journal& journal_;
   Time now_;
   std::mt19937_64 random_;
-  std::string why_;
+  std::string error_;
 
   // As on the disk.
-  std::uint64_t mark_ = 0, term_ = 0, vote_ = 0;
+  std::uint64_t disk_id_ = 0, term_ = 0, vote_ = 0;
   std::uint64_t first_index_ = 1;  // of entries_
-  std::deque<Kept> entries_;
+  std::deque<StoredEntry> entries_;
   std::string snapshot_;  // a pb::Snapshot; empty: none
-  std::optional<Whole> learnt_;
+  std::optional<Snapshot> learned_;
   std::uint64_t id_ = 0;
 
-  Register register_;  // what raft has applied: for snapshots
-  Index told_ = 0;
+  PolicyStateMachine register_;  // what raft has applied: for snapshots
+  Index reported_index_ = 0;
   std::unique_ptr<Raft> raft_;
-  std::deque<std::function<void()>> later_;  // raft's own callbacks
-  Out* out_ = nullptr;                       // of the call that runs
+  std::deque<std::function<void()>> deferred_callbacks_;  // raft's own callbacks
+  Output* output_ = nullptr;                              // of the call that runs
   std::map<std::string, std::uint64_t>
-      unborn_;  // first voters that said that they have no log either, with their ids
-  Time next_birth_{0}, last_tick_{0};
+      voters_without_log_;  // first voters that said that they have no log either, with their ids
+  Time next_bootstrap_request_{0}, last_tick_{0};
   bool was_leader_ = false;
-  Term led_term_ = 0;
+  Term reported_leader_term_ = 0;
   std::string leader_;
-  bool role_told_ = false;
-  struct Wanted {  // voters to be added or removed, one step after the other
+  bool role_reported_ = false;
+  struct VoterChange {  // voters to be added or removed, one step after the other
     std::uint64_t id = 0;
     std::string address;
-    bool remove = false;
-    bool out = false;
+    bool is_removal = false;
+    bool in_progress = false;
   };
-  std::deque<Wanted> wanted_;
+  std::deque<VoterChange> voter_changes_;
 };
 
 }  // namespace dahliahall::agreed
--- a/src/agreed/reducer.h
+++ b/src/agreed/reducer.h
@@ -22,87 +22,90 @@
 
 // ---- Inputs ----
 
-struct Heard {
+struct MessageReceived {
   std::string from;
   Message message;
 };
-struct Due {};
+struct TimerExpired {};
 /// Committed, and on this proxy's disk. No entry: the log has come that far without one of this kind.
-struct Applied {
+struct EntryApplied {
   Index index = 0;
   std::optional<Entry> entry;
 };
 /// As it was on the disk, or of one that was too far ahead for single entries.
-struct Restored {
-  Whole whole;
+struct SnapshotRestored {
+  Snapshot whole;
 };
 /// This proxy leads the log, and has applied all that was committed before.
-struct Led {
+struct BecameLeader {
   Term term = 0;
   std::set<std::string> voters;
 };
 /// It does not. `leader`: empty where none is known.
-struct Followed {
+struct BecameFollower {
   std::string leader;
-  bool voter = false;  ///< the log gives it its entries
+  bool is_voter = false;  ///< the log gives it its entries
 };
 /// The voters have changed, while this proxy leads.
-struct Voters {
+struct VotersChanged {
   std::set<std::string> names;
 };
 /// The registered members, and whether each is reached.
-struct Members {
-  std::map<std::string, bool> reached;
+struct MembersChanged {
+  std::map<std::string, bool> reachable;
 };
 /// Operators' calls.
-struct Put {
+struct ProposeCall {
   std::uint64_t call = 0;
   std::string key;
-  Epoch base = 0;
+  Epoch base_epoch = 0;
   std::string policy;
 };
-struct AbortCalled {
+struct AbortCall {
   std::uint64_t call = 0;
 };
-using Input = std::variant<Heard, Due, Applied, Restored, Led, Followed, Voters, Members, Put, AbortCalled>;
+using Input = std::variant<MessageReceived, TimerExpired, EntryApplied, SnapshotRestored, BecameLeader,
+                           BecameFollower, VotersChanged, MembersChanged, ProposeCall, AbortCall>;
 
 // ---- Effects ----
 
-struct Send {
+struct SendMessage {
   std::string to;
   Message message;
 };
 /// To the log, at its leader. It may be lost with the leadership.
-struct Append {
+struct AppendEntry {
   Entry entry;
 };
 /// To this proxy's own log, where it is a voter's: answer `from` unless a vote went to a later term.
-struct AskTerm {
+struct CheckTerm {
   std::string from;
-  Confirm confirm;
+  LeadershipCheck check;
 };
 /// To this proxy's disk, where it is no voter: Applied or Restored follow once it is durable.
-struct Learn {
-  std::variant<Pulled, Whole> what;
+struct PersistLearned {
+  std::variant<CatchUpResponse, Snapshot> learned;
 };
 /// From now on requests are decided under this epoch and policy; none: they are refused.
-struct Decide {
+struct EpochChanged {
   std::optional<Epoch> epoch;
   std::string policy;
 };
 /// The final answer to an operator's call: an HTTP status and a body.
-struct Answer {
+struct AdminReply {
   std::uint64_t call = 0;
   int status = 503;
   std::string body;
 };
-struct Log {
+struct LogLine {
   std::string line;
 };
-using Effect = std::variant<Send, Append, AskTerm, Learn, Decide, Answer, Log>;
+using Effect =
+    std::variant<SendMessage, AppendEntry, CheckTerm, PersistLearned, EpochChanged, AdminReply, LogLine>;
 
-struct Counts {
-  std::uint64_t asks = 0, grants = 0, lapses = 0, broken = 0, changes = 0, aborts = 0;
+struct Counters {
+  std::uint64_t lease_requests = 0, lease_grants = 0, lease_expiries = 0, lost_leases = 0, epoch_changes = 0,
+                aborts = 0;
 };
 
 class State {
@@ -110,91 +113,93 @@
   /// `first`: as Lease says. `seed`: whom to pull from.
   State(Settings settings, std::uint64_t first, std::uint64_t seed, Time now);
 
-  std::vector<Effect> take(Time now, const Input& input);
+  std::vector<Effect> handle(Time now, const Input& input);
   /// When Due is wanted; the newest counts.
   [[nodiscard]] Time next_due() const;
 
   /// What it may decide under at that time; none: refuse.
-  [[nodiscard]] std::optional<Epoch> decides(Time now) const;
-  [[nodiscard]] const Register& at() const { return register_; }
-  [[nodiscard]] const Lease& lease() const { return lease_; }
-  [[nodiscard]] const std::optional<Steward>& steward() const { return steward_; }
+  [[nodiscard]] std::optional<Epoch> decision_epoch(Time now) const;
+  [[nodiscard]] const PolicyStateMachine& policy_state() const { return state_machine_; }
+  [[nodiscard]] const EpochLease& lease() const { return lease_; }
+  [[nodiscard]] const std::optional<LeaseManager>& lease_manager() const { return lease_manager_; }
   [[nodiscard]] const std::string& leader() const { return leader_; }
-  [[nodiscard]] const Counts& counts() const { return counts_; }
+  [[nodiscard]] const Counters& counters() const { return counters_; }
   [[nodiscard]] const std::map<std::string, bool>& members() const { return members_; }
   [[nodiscard]] const Settings& settings() const { return settings_; }
   /// As Steward::print says.
-  [[nodiscard]] std::string print(const std::map<std::string, std::uint64_t>& newest) const;
+  [[nodiscard]] std::string debug_state(const std::map<std::string, std::uint64_t>& newest) const;
 
  private:
-  struct Call {
+  struct PendingCall {
     std::string key;
-    Epoch base = 0;
+    Epoch base_epoch = 0;
     std::string policy;
-    Time until{0};
+    Time deadline{0};
   };
 
-  void on(const Heard& in);
-  void on(const Due&) {}
-  void on(const Applied& in);
-  void on(const Restored& in);
-  void on(const Led& in);
-  void on(const Followed& in);
-  void on(const Voters& in) {
-    if (steward_) steward_->set_voters(in.names);
+  void on(const MessageReceived& in);
+  void on(const TimerExpired&) {}
+  void on(const EntryApplied& in);
+  void on(const SnapshotRestored& in);
+  void on(const BecameLeader& in);
+  void on(const BecameFollower& in);
+  void on(const VotersChanged& in) {
+    if (lease_manager_) lease_manager_->set_voters(in.names);
   }
-  void on(const Members& in) { members_ = in.reached; }
-  void on(const Put& in);
-  void on(const AbortCalled& in);
-
-  void hear(const std::string& from, const Ask& m);
-  void hear(const std::string& from, const Grant& m);
-  void hear(const std::string& from, const Confirm& m) { effects_.emplace_back(AskTerm{from, m}); }
-  void hear(const std::string& from, const Confirmed& m);
-  void hear(const std::string& from, const Look& m);
-  void hear(const std::string& from, const Prepared& m);
-  void hear(const std::string& from, const Yield& m);
-  void hear(const std::string& from, const Yielded& m);
-  void hear(const std::string& from, const Propose& m);
-  void hear(const std::string& from, const AbortWanted& m);
-  void hear(const std::string& from, const Pull& m);
-  void hear(const std::string& from, const Pulled& m);
-  void hear(const std::string& from, const Whole& m);
-
-  void run_due();
-  void moved(Index before);
-  void answer_calls();
-  void ask();
-  void pull();
-  void tell_decision();
+  void on(const MembersChanged& in) { members_ = in.reachable; }
+  void on(const ProposeCall& in);
+  void on(const AbortCall& in);
+
+  void on_message(const std::string& from, const LeaseRequest& message);
+  void on_message(const std::string& from, const LeaseGrant& message);
+  void on_message(const std::string& from, const LeadershipCheck& message) {
+    effects_.emplace_back(CheckTerm{from, message});
+  }
+  void on_message(const std::string& from, const LeadershipCheckReply& message);
+  void on_message(const std::string& from, const LogPosition& message);
+  void on_message(const std::string& from, const PrepareReply& message);
+  void on_message(const std::string& from, const LeaseRevocation& message);
+  void on_message(const std::string& from, const LeaseRevocationAck& message);
+  void on_message(const std::string& from, const ProposeRequest& message);
+  void on_message(const std::string& from, const AbortRequest& message);
+  void on_message(const std::string& from, const CatchUpRequest& message);
+  void on_message(const std::string& from, const CatchUpResponse& message);
+  void on_message(const std::string& from, const Snapshot& message);
+
+  void run_timers();
+  void on_log_advanced(Index before);
+  void answer_finished_calls();
+  void request_lease();
+  void request_catch_up();
+  void report_decision();
   template <typename Does>
-  void lead(Does&& does);
+  void with_lease_manager(Does&& does);
   void send(const std::string& to, Message message);
-  [[nodiscard]] std::string whom_to_ask();
-  [[nodiscard]] bool eager() const;
-  void log(std::string line) { effects_.emplace_back(Log{std::move(line)}); }
+  [[nodiscard]] std::string next_catch_up_source();
+  [[nodiscard]] bool is_urgent() const;
+  void log(std::string line) { effects_.emplace_back(LogLine{std::move(line)}); }
 
   Settings settings_;
   Time now_;
-  Register register_;
-  Lease lease_;
-  std::optional<Steward> steward_;
+  PolicyStateMachine state_machine_;
+  EpochLease lease_;
+  std::optional<LeaseManager> lease_manager_;
   std::string leader_;  // empty: not known
-  bool voter_ = false;
-  Index newest_ = 0;  // the log is known to have come this far
+  bool is_voter_ = false;
+  Index newest_index_ = 0;  // the log is known to have come this far
   std::map<std::string, bool> members_;
   std::deque<std::pair<Index, Entry>> recent_;  // for those who pull
   Index recent_from_ = 0;                       // all entries behind it are there
-  Index checked_ = 0;                           // the change that `unfit_` is about
-  std::optional<std::string> unfit_;
-  std::map<std::uint64_t, Call> calls_;
-  Time next_ask_, next_pull_, next_call_{0};
-  std::uint64_t pull_turn_, ask_turn_ = 0, unheard_ = 0;
-  std::optional<Epoch> told_;
+  Index checked_change_ = 0;                    // the change that `unfit_` is about
+  std::optional<std::string> unsupported_reason_;
+  std::map<std::uint64_t, PendingCall> pending_calls_;
+  Time next_lease_request_, next_catch_up_, next_call_{0};
+  std::uint64_t catch_up_turn_, lease_request_turn_ = 0, unheard_ = 0;
+  std::optional<Epoch> reported_decision_;
   bool ever_told_ = false;
-  bool broken_ = false;  // it decides without a lease
-  Counts counts_;
-  std::deque<Heard> to_self_;
+  bool lost_leases_ = false;  // it decides without a lease
+  Counters counters_;
+  std::deque<MessageReceived> self_messages_;
   std::vector<Effect> effects_;
 };
 
--- a/src/agreed/register.cpp
+++ b/src/agreed/register.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-Register::Register(Whole whole)
+PolicyStateMachine::PolicyStateMachine(Snapshot whole)
     : index_(whole.index),
       epoch_(whole.epoch),
       key_(std::move(whole.key)),
@@ -19,24 +19,24 @@
   if (!whole.change.empty()) change_ = std::move(whole.change.front());
 }
 
-Whole Register::whole() const {
-  Whole whole{index_, epoch_, key_, policy_, {}, {outcomes_.begin(), outcomes_.end()}};
-  if (change_) whole.change.push_back(*change_);
-  return whole;
+Snapshot PolicyStateMachine::snapshot() const {
+  Snapshot snapshot{index_, epoch_, key_, policy_, {}, {outcomes_.begin(), outcomes_.end()}};
+  if (change_) snapshot.change.push_back(*change_);
+  return snapshot;
 }
 
-void Register::apply(Index index, const Entry& entry) {
+void PolicyStateMachine::apply(Index index, const Entry& entry) {
   if (index <= index_) return;
   index_ = index;
   const bool its = change_ && change_->id == entry.change;
   switch (entry.step) {
     case Step::propose:
       // Guards against a call that was repeated, or forwarded twice: one key is one change.
-      if (knows(entry.key)) return;
-      if (change_ || entry.base != epoch_) {
-        outcomes_.push_back({entry.key, Fate::refused, epoch_,
+      if (knows_change(entry.key)) return;
+      if (change_ || entry.base_epoch != epoch_) {
+        outcomes_.push_back({entry.key, ChangeResult::rejected, epoch_,
                              change_ ? "another change is under way: " + change_->key
-                                     : "builds on " + std::to_string(entry.base)});
+                                     : "builds on " + std::to_string(entry.base_epoch)});
         break;
       }
       change_ = Change{index, epoch_ + 1, entry.key, entry.policy, false};
@@ -49,30 +49,30 @@
       epoch_ = change_->epoch;
       key_ = change_->key;
       policy_ = change_->policy;
-      end(Fate::active, "");
+      finish_change(ChangeResult::active, "");
       break;
     case Step::abort:
       // Guards what all have prepared: once committed, a change is not taken back.
       if (!its || change_->committed) return;
-      end(Fate::aborted, entry.reason);
+      finish_change(ChangeResult::aborted, entry.reason);
       break;
   }
   // Guards the memory against callers without end: what became of old changes is dropped.
   if (outcomes_.size() > kOutcomes) outcomes_.pop_front();
 }
 
-void Register::end(Fate fate, std::string reason) {
+void PolicyStateMachine::finish_change(ChangeResult fate, std::string reason) {
   outcomes_.push_back({change_->key, fate, epoch_, std::move(reason)});
   change_.reset();
 }
 
-const Outcome* Register::outcome(const std::string& key) const {
-  const auto found =
-      std::find_if(outcomes_.begin(), outcomes_.end(), [&key](const Outcome& o) { return o.key == key; });
+const ChangeOutcome* PolicyStateMachine::outcome(const std::string& key) const {
+  const auto found = std::find_if(outcomes_.begin(), outcomes_.end(),
+                                  [&key](const ChangeOutcome& o) { return o.key == key; });
   return found == outcomes_.end() ? nullptr : &*found;
 }
 
-bool Register::knows(const std::string& key) const {
+bool PolicyStateMachine::knows_change(const std::string& key) const {
   return (change_ && change_->key == key) || outcome(key) != nullptr;
 }
 
--- a/src/agreed/register.h
+++ b/src/agreed/register.h
@@ -13,15 +13,15 @@
 
 namespace dahliahall::agreed {
 
-class Register {
+class PolicyStateMachine {
  public:
-  Register() = default;
-  explicit Register(Whole whole);
+  PolicyStateMachine() = default;
+  explicit PolicyStateMachine(Snapshot whole);
 
   /// Entries in the order of the log; what is not above index() is passed over.
   void apply(Index index, const Entry& entry);
   /// The log has come that far without an entry of this kind.
-  void pass(Index index) { index_ = std::max(index_, index); }
+  void advance_to(Index index) { index_ = std::max(index_, index); }
 
   [[nodiscard]] Index index() const { return index_; }
   [[nodiscard]] Epoch epoch() const { return epoch_; }
@@ -29,18 +29,18 @@
   [[nodiscard]] const std::string& policy() const { return policy_; }
   [[nodiscard]] const std::optional<Change>& change() const { return change_; }
   /// What became of the change with that key; none: it is under way, was never heard of, or is too long ago.
-  [[nodiscard]] const Outcome* outcome(const std::string& key) const;
-  [[nodiscard]] bool knows(const std::string& key) const;
-  [[nodiscard]] Whole whole() const;
+  [[nodiscard]] const ChangeOutcome* outcome(const std::string& key) const;
+  [[nodiscard]] bool knows_change(const std::string& key) const;
+  [[nodiscard]] Snapshot snapshot() const;
 
  private:
-  void end(Fate fate, std::string reason);
+  void finish_change(ChangeResult fate, std::string reason);
 
   Index index_ = 0;
   Epoch epoch_ = 0;
   std::string key_, policy_;
   std::optional<Change> change_;
-  std::deque<Outcome> outcomes_;  // newest last
+  std::deque<ChangeOutcome> outcomes_;  // newest last
 };
 
 }  // namespace dahliahall::agreed
--- a/src/agreed/types.h
+++ b/src/agreed/types.h
@@ -29,13 +29,13 @@
   activate,  ///< nobody decides under the epoch before any more
   abort
 };
-constexpr std::size_t kSteps = 4;
+constexpr std::size_t kStepCount = 4;
 
 struct Entry {
   Step step = Step::propose;
-  Index change = 0;  ///< of all but propose
-  std::string key;   ///< of propose: the operator's own name of the change
-  Epoch base = 0;    ///< of propose: the epoch that it builds on
+  Index change = 0;      ///< of all but propose
+  std::string key;       ///< of propose: the operator's own name of the change
+  Epoch base_epoch = 0;  ///< of propose: the epoch that it builds on
   std::string policy;
   std::string reason;  ///< of abort: which member, what and why
   auto operator<=>(const Entry&) const = default;
@@ -49,101 +49,102 @@
   auto operator<=>(const Change&) const = default;
 };
 
-enum class Fate : std::uint8_t {
+enum class ChangeResult : std::uint8_t {
   active,
   aborted,
-  refused  ///< it built on another epoch than the active one, or another change was under way
+  rejected  ///< it built on another epoch than the active one, or another change was under way
 };
-constexpr std::size_t kFates = 3;
+constexpr std::size_t kChangeResultCount = 3;
 /// What became of a change, for good.
-struct Outcome {
+struct ChangeOutcome {
   std::string key;
-  Fate fate = Fate::active;
+  ChangeResult result = ChangeResult::active;
   Epoch epoch = 0;  ///< the active one, once that was decided
   std::string reason;
-  auto operator<=>(const Outcome&) const = default;
+  auto operator<=>(const ChangeOutcome&) const = default;
 };
 
 // ---- Messages ----
 
 /// A lease on the active epoch is wanted. The member counts it from when this went.
-struct Ask {
+struct LeaseRequest {
   std::uint64_t number = 0;
-  auto operator<=>(const Ask&) const = default;
+  auto operator<=>(const LeaseRequest&) const = default;
 };
-struct Grant {
-  std::uint64_t number = 0;  ///< of the Ask
+struct LeaseGrant {
+  std::uint64_t request_number = 0;  ///< of the Ask
   Epoch epoch = 0;
-  Time span{0};
+  Time duration{0};
   Index index = 0;  ///< the log has come this far
-  auto operator<=>(const Grant&) const = default;
+  auto operator<=>(const LeaseGrant&) const = default;
 };
 /// To a voter's log: has it given its vote to a later term? Answered only where it has not.
-struct Confirm {
+struct LeadershipCheck {
   Term term = 0;
   std::uint64_t round = 0;
-  auto operator<=>(const Confirm&) const = default;
+  auto operator<=>(const LeadershipCheck&) const = default;
 };
-struct Confirmed {
+struct LeadershipCheckReply {
   Term term = 0;
   std::uint64_t round = 0;
-  auto operator<=>(const Confirmed&) const = default;
+  auto operator<=>(const LeadershipCheckReply&) const = default;
 };
 /// The log has come this far; and who leads it.
-struct Look {
+struct LogPosition {
   Index index = 0;
   std::string leader;  ///< empty: not known
-  auto operator<=>(const Look&) const = default;
+  auto operator<=>(const LogPosition&) const = default;
 };
-struct Prepared {
+struct PrepareReply {
   Index change = 0;
-  bool good = false;
+  bool ready = false;
   std::string reason;
-  auto operator<=>(const Prepared&) const = default;
+  auto operator<=>(const PrepareReply&) const = default;
 };
 /// No more decisions under that epoch. `term`: of the leadership that asks.
-struct Yield {
+struct LeaseRevocation {
   Term term = 0;
   Epoch epoch = 0;
-  auto operator<=>(const Yield&) const = default;
+  auto operator<=>(const LeaseRevocation&) const = default;
 };
-struct Yielded {
+struct LeaseRevocationAck {
   Term term = 0;
   Epoch epoch = 0;
-  auto operator<=>(const Yielded&) const = default;
+  auto operator<=>(const LeaseRevocationAck&) const = default;
 };
 /// An operator's call, on its way to the leader.
-struct Propose {
+struct ProposeRequest {
   std::string key;
-  Epoch base = 0;
+  Epoch base_epoch = 0;
   std::string policy;
-  auto operator<=>(const Propose&) const = default;
+  auto operator<=>(const ProposeRequest&) const = default;
 };
-struct AbortWanted {
+struct AbortRequest {
   Index change = 0;
-  auto operator<=>(const AbortWanted&) const = default;
+  auto operator<=>(const AbortRequest&) const = default;
 };
 /// What stands in the log behind that place is wanted, from whoever has it.
-struct Pull {
-  Index after = 0;
-  auto operator<=>(const Pull&) const = default;
+struct CatchUpRequest {
+  Index after_index = 0;
+  auto operator<=>(const CatchUpRequest&) const = default;
 };
-struct Pulled {
-  Index after = 0;
-  Index upto = 0;
+struct CatchUpResponse {
+  Index after_index = 0;
+  Index up_to_index = 0;
   std::vector<std::pair<Index, Entry>> entries;  ///< all up to there
-  auto operator<=>(const Pulled&) const = default;
+  auto operator<=>(const CatchUpResponse&) const = default;
 };
 /// All that the log has come to: for one that is too far behind for Pulled.
-struct Whole {
+struct Snapshot {
   Index index = 0;
   Epoch epoch = 0;
   std::string key, policy;
   std::vector<Change> change;  ///< none or one
-  std::vector<Outcome> outcomes;
-  auto operator<=>(const Whole&) const = default;
+  std::vector<ChangeOutcome> outcomes;
+  auto operator<=>(const Snapshot&) const = default;
 };
-using Message = std::variant<Ask, Grant, Confirm, Confirmed, Look, Prepared, Yield, Yielded, Propose,
-                             AbortWanted, Pull, Pulled, Whole>;
+using Message = std::variant<LeaseRequest, LeaseGrant, LeadershipCheck, LeadershipCheckReply, LogPosition,
+                             PrepareReply, LeaseRevocation, LeaseRevocationAck, ProposeRequest, AbortRequest,
+                             CatchUpRequest, CatchUpResponse, Snapshot>;
 
 }  // namespace dahliahall::agreed
--- a/src/agreed/wire.cpp
+++ b/src/agreed/wire.cpp
@@ -18,13 +18,13 @@
   to.set_step(static_cast<unsigned>(entry.step));
   to.set_change(entry.change);
   to.set_key(entry.key);
-  to.set_base(entry.base);
+  to.set_base(entry.base_epoch);
   to.set_policy(entry.policy);
   to.set_reason(entry.reason);
 }
 
 std::optional<Entry> read(const pb::Entry& from) {
-  if (from.step() >= kSteps || !fits(from.key()) || !fits(from.policy()) || !fits(from.reason()))
+  if (from.step() >= kStepCount || !fits(from.key()) || !fits(from.policy()) || !fits(from.reason()))
     return std::nullopt;
   return Entry{
       static_cast<Step>(from.step()), from.change(), from.key(), from.base(), from.policy(), from.reason()};
@@ -34,51 +34,52 @@
 struct Writer {
   pb::Carried& to;
 
-  void operator()(const Ask& m) const { to.mutable_ask()->set_number(m.number); }
-  void operator()(const Grant& m) const {
+  void operator()(const LeaseRequest& m) const { to.mutable_ask()->set_number(m.number); }
+  void operator()(const LeaseGrant& m) const {
     auto& w = *to.mutable_grant();
-    w.set_number(m.number), w.set_epoch(m.epoch), w.set_span_us(m.span.count()), w.set_index(m.index);
+    w.set_number(m.request_number), w.set_epoch(m.epoch), w.set_span_us(m.duration.count()),
+        w.set_index(m.index);
   }
-  void operator()(const Confirm& m) const {
+  void operator()(const LeadershipCheck& m) const {
     to.mutable_confirm()->set_term(m.term), to.mutable_confirm()->set_round(m.round);
   }
-  void operator()(const Confirmed& m) const {
+  void operator()(const LeadershipCheckReply& m) const {
     to.mutable_confirmed()->set_term(m.term), to.mutable_confirmed()->set_round(m.round);
   }
-  void operator()(const Look& m) const {
+  void operator()(const LogPosition& m) const {
     to.mutable_look()->set_index(m.index), to.mutable_look()->set_leader(m.leader);
   }
-  void operator()(const Prepared& m) const {
+  void operator()(const PrepareReply& m) const {
     auto& w = *to.mutable_prepared();
-    w.set_change(m.change), w.set_good(m.good), w.set_reason(m.reason);
+    w.set_change(m.change), w.set_good(m.ready), w.set_reason(m.reason);
   }
-  void operator()(const Yield& m) const {
+  void operator()(const LeaseRevocation& m) const {
     to.mutable_yield()->set_term(m.term), to.mutable_yield()->set_epoch(m.epoch);
   }
-  void operator()(const Yielded& m) const {
+  void operator()(const LeaseRevocationAck& m) const {
     to.mutable_yielded()->set_term(m.term), to.mutable_yielded()->set_epoch(m.epoch);
   }
-  void operator()(const Propose& m) const {
+  void operator()(const ProposeRequest& m) const {
     auto& w = *to.mutable_propose();
-    w.set_key(m.key), w.set_base(m.base), w.set_policy(m.policy);
+    w.set_key(m.key), w.set_base(m.base_epoch), w.set_policy(m.policy);
   }
-  void operator()(const AbortWanted& m) const { to.mutable_abort()->set_change(m.change); }
-  void operator()(const Pull& m) const { to.mutable_pull()->set_after(m.after); }
-  void operator()(const Pulled& m) const {
+  void operator()(const AbortRequest& m) const { to.mutable_abort()->set_change(m.change); }
+  void operator()(const CatchUpRequest& m) const { to.mutable_pull()->set_after(m.after_index); }
+  void operator()(const CatchUpResponse& m) const {
     auto& w = *to.mutable_pulled();
-    w.set_after(m.after), w.set_upto(m.upto);
+    w.set_after(m.after_index), w.set_upto(m.up_to_index);
     for (const auto& [index, entry] : m.entries) {
       auto& placed = *w.add_entries();
       placed.set_index(index);
       write(entry, *placed.mutable_entry());
     }
   }
-  void operator()(const Whole& m) const { agreed::write(m, *to.mutable_whole()); }
+  void operator()(const Snapshot& m) const { agreed::write_snapshot(m, *to.mutable_whole()); }
 };
 
 std::optional<Message> read(const pb::Pulled& from) {
   if (from.entries_size() > kMostEntries || from.upto() < from.after()) return std::nullopt;
-  Pulled pulled{from.after(), from.upto(), {}};
+  CatchUpResponse pulled{from.after(), from.upto(), {}};
   Index last = from.after();
   for (const pb::Placed& placed : from.entries()) {
     const auto entry = read(placed.entry());
@@ -93,35 +94,35 @@
   using Kind = pb::Carried;
   switch (c.kind_case()) {
     case Kind::kAsk:
-      return Ask{c.ask().number()};
+      return LeaseRequest{c.ask().number()};
     case Kind::kGrant:
       if (c.grant().span_us() <= 0) return std::nullopt;
-      return Grant{c.grant().number(), c.grant().epoch(), Time{c.grant().span_us()}, c.grant().index()};
+      return LeaseGrant{c.grant().number(), c.grant().epoch(), Time{c.grant().span_us()}, c.grant().index()};
     case Kind::kConfirm:
-      return Confirm{c.confirm().term(), c.confirm().round()};
+      return LeadershipCheck{c.confirm().term(), c.confirm().round()};
     case Kind::kConfirmed:
-      return Confirmed{c.confirmed().term(), c.confirmed().round()};
+      return LeadershipCheckReply{c.confirmed().term(), c.confirmed().round()};
     case Kind::kLook:
       if (!fits(c.look().leader())) return std::nullopt;
-      return Look{c.look().index(), c.look().leader()};
+      return LogPosition{c.look().index(), c.look().leader()};
     case Kind::kPrepared:
       if (!fits(c.prepared().reason())) return std::nullopt;
-      return Prepared{c.prepared().change(), c.prepared().good(), c.prepared().reason()};
+      return PrepareReply{c.prepared().change(), c.prepared().good(), c.prepared().reason()};
     case Kind::kYield:
-      return Yield{c.yield().term(), c.yield().epoch()};
+      return LeaseRevocation{c.yield().term(), c.yield().epoch()};
     case Kind::kYielded:
-      return Yielded{c.yielded().term(), c.yielded().epoch()};
+      return LeaseRevocationAck{c.yielded().term(), c.yielded().epoch()};
     case Kind::kPropose:
       if (!fits(c.propose().key()) || !fits(c.propose().policy())) return std::nullopt;
-      return Propose{c.propose().key(), c.propose().base(), c.propose().policy()};
+      return ProposeRequest{c.propose().key(), c.propose().base(), c.propose().policy()};
     case Kind::kAbort:
-      return AbortWanted{c.abort().change()};
+      return AbortRequest{c.abort().change()};
     case Kind::kPull:
-      return Pull{c.pull().after()};
+      return CatchUpRequest{c.pull().after()};
     case Kind::kPulled:
       return read(c.pulled());
     case Kind::kWhole: {
-      auto whole = agreed::read(c.whole());
+      auto whole = agreed::read_snapshot(c.whole());
       if (!whole) return std::nullopt;
       return std::move(*whole);
     }
@@ -140,7 +141,7 @@
 
 }  // namespace
 
-void write(const Whole& whole, pb::Whole& to) {
+void write_snapshot(const Snapshot& whole, pb::Whole& to) {
   to.set_index(whole.index);
   to.set_epoch(whole.epoch);
   to.set_key(whole.key);
@@ -150,24 +151,24 @@
     w.set_id(change.id), w.set_epoch(change.epoch), w.set_committed(change.committed);
     w.set_key(change.key), w.set_policy(change.policy);
   }
-  for (const Outcome& outcome : whole.outcomes) {
+  for (const ChangeOutcome& outcome : whole.outcomes) {
     auto& w = *to.add_outcomes();
-    w.set_key(outcome.key), w.set_fate(static_cast<unsigned>(outcome.fate));
+    w.set_key(outcome.key), w.set_fate(static_cast<unsigned>(outcome.result));
     w.set_epoch(outcome.epoch), w.set_reason(outcome.reason);
   }
 }
 
-std::optional<Whole> read(const pb::Whole& from) {
+std::optional<Snapshot> read_snapshot(const pb::Whole& from) {
   if (!fits(from.key()) || !fits(from.policy()) || from.outcomes_size() > kMostOutcomes) return std::nullopt;
-  Whole whole{from.index(), from.epoch(), from.key(), from.policy(), {}, {}};
+  Snapshot whole{from.index(), from.epoch(), from.key(), from.policy(), {}, {}};
   if (from.has_change()) {
     const pb::Change& c = from.change();
     if (!fits(c.key()) || !fits(c.policy())) return std::nullopt;
     whole.change.push_back({c.id(), c.epoch(), c.key(), c.policy(), c.committed()});
   }
   for (const pb::Outcome& o : from.outcomes()) {
-    if (o.fate() >= kFates || !fits(o.key()) || !fits(o.reason())) return std::nullopt;
-    whole.outcomes.push_back({o.key(), static_cast<Fate>(o.fate()), o.epoch(), o.reason()});
+    if (o.fate() >= kChangeResultCount || !fits(o.key()) || !fits(o.reason())) return std::nullopt;
+    whole.outcomes.push_back({o.key(), static_cast<ChangeResult>(o.fate()), o.epoch(), o.reason()});
   }
   return whole;
 }
@@ -188,7 +189,7 @@
   return text_of(carried, lease);
 }
 
-std::optional<Carried> decode(std::string_view bytes, Time lease, bool* unlike) {
+std::optional<UserMessage> decode(std::string_view bytes, Time lease, bool* unlike) {
   pb::Carried carried;
   if (!carried.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
   // Guards against two whose leases are not alike: each would take the other's for run out too early.
@@ -196,8 +197,8 @@
     if (unlike != nullptr) *unlike = true;
     return std::nullopt;
   }
-  if (carried.kind_case() == pb::Carried::kLog) return ForLog{carried.log().SerializeAsString()};
-  if (carried.kind_case() == pb::Carried::kBorn) return ForBirth{carried.born().SerializeAsString()};
+  if (carried.kind_case() == pb::Carried::kLog) return RaftMessage{carried.log().SerializeAsString()};
+  if (carried.kind_case() == pb::Carried::kBorn) return BootstrapMessage{carried.born().SerializeAsString()};
   auto message = read_message(carried);
   if (!message) return std::nullopt;
   return std::move(*message);
--- a/src/agreed/wire.h
+++ b/src/agreed/wire.h
@@ -19,13 +19,13 @@
 }  // namespace pb
 
 /// What the log's own servers tell each other goes on as the bytes that came.
-struct ForLog {
+struct RaftMessage {
   std::string bytes;  ///< of a pb::LogMessage
 };
-struct ForBirth {
+struct BootstrapMessage {
   std::string bytes;  ///< of a pb::Born
 };
-using Carried = std::variant<Message, ForLog, ForBirth>;
+using UserMessage = std::variant<Message, RaftMessage, BootstrapMessage>;
 
 /// `lease`: the sender's, as set.
 std::string encode(const Message& message, Time lease);
@@ -34,12 +34,12 @@
 /// None where it is malformed, holds a value out of its range, or comes from one whose leases are other than
 /// `lease`
 /// (`unlike` tells that).
-std::optional<Carried> decode(std::string_view bytes, Time lease, bool* unlike = nullptr);
+std::optional<UserMessage> decode(std::string_view bytes, Time lease, bool* unlike = nullptr);
 
 std::string encode(const Entry& entry);
 std::optional<Entry> decode_entry(std::string_view bytes);
-void write(const Whole& whole, pb::Whole& to);
+void write_snapshot(const Snapshot& whole, pb::Whole& to);
 /// None where a value is out of its range.
-std::optional<Whole> read(const pb::Whole& from);
+std::optional<Snapshot> read_snapshot(const pb::Whole& from);
 
 }  // namespace dahliahall::agreed
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -121,7 +121,7 @@
   if (root.find("policy") != nullptr) {
     if (!config.peers) root.fail("policy", "needs the section peers");
     config.policy = read_policy(root.object("policy"), config.name);
-    config.peers->most_carried = 4 * config.policy->settings.most_policy;
+    config.peers->most_carried = 4 * config.policy->settings.max_policy_bytes;
   }
   rapidjson::StringBuffer text;
   rapidjson::Writer<rapidjson::StringBuffer> writer(text);
--- a/src/config/policy_config.cpp
+++ b/src/config/policy_config.cpp
@@ -34,8 +34,8 @@
   s.lease = section.time("lease", s.lease);
   if (s.lease < kLeastLease || s.lease > kMostLease)
     section.fail("lease", "should be 1000000 to 300000000 microseconds");
-  s.renew = s.lease / 4;
-  s.serve_cut_off = section.find("cut_off") != nullptr && section.word("cut_off", kCutOff) == 1;
+  s.renew_interval = s.lease / 4;
+  s.serve_when_partitioned = section.find("cut_off") != nullptr && section.word("cut_off", kCutOff) == 1;
   policy.trace = section.boolean("trace", false);
   return policy;
 }
--- a/src/config/policy_config.h
+++ b/src/config/policy_config.h
@@ -17,8 +17,8 @@
   bool trace = false;  ///< a log line for each decision
   bool operator==(const Policy& other) const {
     return settings.voters == other.settings.voters && settings.lease == other.settings.lease &&
-           settings.serve_cut_off == other.settings.serve_cut_off && folder == other.folder &&
-           trace == other.trace;
+           settings.serve_when_partitioned == other.settings.serve_when_partitioned &&
+           folder == other.folder && trace == other.trace;
   }
 };
 
--- a/src/edge/agreeing.cpp
+++ b/src/edge/agreeing.cpp
@@ -18,7 +18,7 @@
   if (!config.policy) return;
   settings_ = config.policy->settings;
   trace_ = config.policy->trace;
-  settings_->check = [this](const std::string& policy) -> std::optional<std::string> {
+  settings_->check_policy = [this](const std::string& policy) -> std::optional<std::string> {
     try {
       read_policy_terms(policy, start_);
     } catch (const FieldError& problem) {
@@ -33,12 +33,12 @@
   state_.emplace(*settings_, identity.incarnation << kNumbersOfALife, seed_ ^ identity.disk_id, context_.now);
   look_at_peers();
   for (const agreed::Input& input : std::exchange(early_, {})) take(input);
-  take(agreed::Due{});
+  take(agreed::TimerExpired{});
 }
 
 void Agreeing::take(const agreed::Input& input) {
   if (!state_) return;
-  for (agreed::Effect& effect : state_->take(context_.now, input))
+  for (agreed::Effect& effect : state_->handle(context_.now, input))
     std::visit([this](auto& e) { pass_on(e); }, effect);
 }
 
@@ -69,12 +69,12 @@
     return;
   }
   if (auto* message = std::get_if<agreed::Message>(&*decoded)) {
-    take(agreed::Heard{carried.from, std::move(*message)});
-  } else if (auto* log = std::get_if<agreed::ForLog>(&*decoded)) {
+    take(agreed::MessageReceived{carried.from, std::move(*message)});
+  } else if (auto* log = std::get_if<agreed::RaftMessage>(&*decoded)) {
     context_.effects.emplace_back(PolicyEffect{std::move(*log)});
   } else {
     context_.effects.emplace_back(
-        PolicyEffect{BirthFrom{carried.from, std::get<agreed::ForBirth>(*decoded)}});
+        PolicyEffect{BirthFrom{carried.from, std::get<agreed::BootstrapMessage>(*decoded)}});
   }
 }
 
@@ -82,11 +82,11 @@
   // Guards the request path against work that grows with the members.
   if (!state_ || seen_ == peering_.revision()) return;
   seen_ = peering_.revision();
-  take(agreed::Members{peering_.members()});
+  take(agreed::MembersChanged{peering_.members()});
 }
 
 void Agreeing::run_due() {
-  if (state_ && state_->next_due() <= context_.now) take(agreed::Due{});
+  if (state_ && state_->next_due() <= context_.now) take(agreed::TimerExpired{});
 }
 
 std::optional<Time> Agreeing::next_due() const {
@@ -94,14 +94,16 @@
   return state_->next_due();
 }
 
-void Agreeing::pass_on(agreed::Send& e) { peering_.carry(e.to, agreed::encode(e.message, settings_->lease)); }
+void Agreeing::pass_on(agreed::SendMessage& e) {
+  peering_.carry(e.to, agreed::encode(e.message, settings_->lease));
+}
 
-void Agreeing::pass_on(agreed::Decide& e) {
+void Agreeing::pass_on(agreed::EpochChanged& e) {
   if (deciding_ && deciding_ != e.epoch) {
     before_ = deciding_;
     // Guards the next epoch against a standstill: the one before ended when its lease did, not when that was
     // seen.
-    const Time until = state_->lease().until();
+    const Time until = state_->lease().expires_at();
     ended_at_ = until > Time{0} ? std::min(context_.now, until) : context_.now;
   }
   deciding_ = e.epoch;
@@ -119,7 +121,7 @@
 
 std::optional<agreed::Epoch> Agreeing::epoch() const {
   if (!state_ || !deciding_) return std::nullopt;
-  const auto now = state_->decides(context_.now);
+  const auto now = state_->decision_epoch(context_.now);
   return now == deciding_ ? now : std::nullopt;
 }
 
@@ -128,7 +130,7 @@
   // Its lease may have run out since anything was told.
   const bool untold = deciding_ == taken_under;
   if (!untold && before_ != taken_under) return false;
-  return context_.now - (untold ? state_->lease().until() : ended_at_) < kAttemptsAfterEpoch;
+  return context_.now - (untold ? state_->lease().expires_at() : ended_at_) < kAttemptsAfterEpoch;
 }
 
 std::optional<PolicyTerms> Agreeing::changed_terms() { return std::exchange(changed_, std::nullopt); }
@@ -150,7 +152,8 @@
     root.need("policy").Accept(writer);
     const std::int64_t base = root.integer("base");
     if (base < 0) root.fail("base", "should be 0 or more");
-    take(agreed::Put{connection, root.text("key"), static_cast<agreed::Epoch>(base), text.GetString()});
+    take(agreed::ProposeCall{connection, root.text("key"), static_cast<agreed::Epoch>(base),
+                             text.GetString()});
   } catch (const FieldError& problem) {
     answers_.emplace_back(connection, 400, std::string(problem.what()) + "\n");
   }
@@ -158,7 +161,7 @@
 
 void Agreeing::abort(ConnectionId connection) {
   if (state_) {
-    take(agreed::AbortCalled{connection});
+    take(agreed::AbortCall{connection});
   } else {
     answers_.emplace_back(connection, 404, "no policy is configured\n");
   }
@@ -174,7 +177,7 @@
 
 std::optional<std::string> Agreeing::report() const {
   if (!state_) return std::nullopt;
-  const agreed::Register& at = state_->at();
+  const agreed::PolicyStateMachine& at = state_->policy_state();
   rapidjson::StringBuffer text;
   rapidjson::Writer<rapidjson::StringBuffer> json(text);
   const auto put_text = [&json](const char* key, const std::string& value) {
@@ -199,13 +202,14 @@
     json.Key("epoch"), json.Uint64(at.change()->epoch);
     json.EndObject();
   }
-  if (state_->steward()) {
+  if (state_->lease_manager()) {
     json.Key("prepared"), json.StartArray();
-    for (const std::string& name : state_->steward()->ready())
+    for (const std::string& name : state_->lease_manager()->ready_members())
       json.String(name.data(), static_cast<rapidjson::SizeType>(name.size()));
     json.EndArray();
     json.Key("waits_for"), json.StartArray();
-    for (const std::string& who : state_->steward()->waits(at, state_->members(), context_.now))
+    for (const std::string& who :
+         state_->lease_manager()->blocking_members(at, state_->members(), context_.now))
       json.String(who.data(), static_cast<rapidjson::SizeType>(who.size()));
     json.EndArray();
   }
@@ -224,17 +228,17 @@
         .append(kind)
         .append("\n");
   };
-  const agreed::Counts& c = state_->counts();
-  tell("epoch", state_->at().epoch(), "|g");
+  const agreed::Counters& c = state_->counters();
+  tell("epoch", state_->policy_state().epoch(), "|g");
   tell("decides", epoch() ? 1 : 0, "|g");
-  tell("leads", state_->steward() ? 1 : 0, "|g");
-  tell("log_index", state_->at().index(), "|g");
-  tell("asks", c.asks, "|c");
-  tell("grants", c.grants, "|c");
-  tell("lapses", c.lapses, "|c");
+  tell("leads", state_->lease_manager() ? 1 : 0, "|g");
+  tell("log_index", state_->policy_state().index(), "|g");
+  tell("asks", c.lease_requests, "|c");
+  tell("grants", c.lease_grants, "|c");
+  tell("lapses", c.lease_expiries, "|c");
   tell("refused", refused_here_, "|c");
-  tell("broken_promises", c.broken, "|c");
-  tell("changes", c.changes, "|c");
+  tell("broken_promises", c.lost_leases, "|c");
+  tell("changes", c.epoch_changes, "|c");
   tell("aborts", c.aborts, "|c");
   return text;
 }
--- a/src/edge/agreeing.h
+++ b/src/edge/agreeing.h
@@ -57,13 +57,13 @@
   [[nodiscard]] std::string figures() const;
 
  private:
-  void pass_on(agreed::Send& e);
-  void pass_on(agreed::Append& e) { context_.effects.emplace_back(PolicyEffect{std::move(e)}); }
-  void pass_on(agreed::AskTerm& e) { context_.effects.emplace_back(PolicyEffect{std::move(e)}); }
-  void pass_on(agreed::Learn& e) { context_.effects.emplace_back(PolicyEffect{std::move(e)}); }
-  void pass_on(agreed::Decide& e);
-  void pass_on(agreed::Answer& e) { answers_.emplace_back(e.call, e.status, e.body + "\n"); }
-  void pass_on(agreed::Log& e) { context_.log(std::move(e.line)); }
+  void pass_on(agreed::SendMessage& e);
+  void pass_on(agreed::AppendEntry& e) { context_.effects.emplace_back(PolicyEffect{std::move(e)}); }
+  void pass_on(agreed::CheckTerm& e) { context_.effects.emplace_back(PolicyEffect{std::move(e)}); }
+  void pass_on(agreed::PersistLearned& e) { context_.effects.emplace_back(PolicyEffect{std::move(e)}); }
+  void pass_on(agreed::EpochChanged& e);
+  void pass_on(agreed::AdminReply& e) { answers_.emplace_back(e.call, e.status, e.body + "\n"); }
+  void pass_on(agreed::LogLine& e) { context_.log(std::move(e.line)); }
 
   Context& context_;
   Peering& peering_;
--- a/src/edge/reducer.h
+++ b/src/edge/reducer.h
@@ -165,7 +165,7 @@
 struct PeersStop {};
 struct BirthFrom {
   std::string from;
-  agreed::ForBirth message;
+  agreed::BootstrapMessage message;
 };
 /// An operator's word on a voter: `name=id` to be added, or a name to be removed.
 struct VoterWanted {
@@ -175,7 +175,9 @@
 };
 /// For the policy's log.
 struct PolicyEffect {
-  std::variant<agreed::Append, agreed::AskTerm, agreed::Learn, agreed::ForLog, BirthFrom, VoterWanted> effect;
+  std::variant<agreed::AppendEntry, agreed::CheckTerm, agreed::PersistLearned, agreed::RaftMessage, BirthFrom,
+               VoterWanted>
+      effect;
 };
 using Effect = std::variant<Write, Connect, Finish, Close, CloseWhenRead, ArmTimer, Log, Yield, Keep,
                             PeersEffect, PeersKeep, PeersStop, PolicyEffect>;
--- a/src/net/policy_log.cpp
+++ b/src/net/policy_log.cpp
@@ -74,25 +74,25 @@
 }
 
 void PolicyLog::perform(const edge::PolicyEffect& effect) {
-  if (const auto* append = std::get_if<agreed::Append>(&effect.effect)) {
+  if (const auto* append = std::get_if<agreed::AppendEntry>(&effect.effect)) {
     push([entry = append->entry](auto& log, auto at, auto&, auto& out) { log.append(at, entry, out); });
-  } else if (const auto* ask = std::get_if<agreed::AskTerm>(&effect.effect)) {
+  } else if (const auto* ask = std::get_if<agreed::CheckTerm>(&effect.effect)) {
     push([asked = *ask, lease = config_.settings.lease, name = config_.settings.name](auto& log, auto,
                                                                                       auto& told, auto&) {
-      if (!log.confirms(asked.confirm.term)) return;
-      const agreed::Confirmed yes{asked.confirm.term, asked.confirm.round};
+      if (!log.can_confirm_leadership(asked.check.term)) return;
+      const agreed::LeadershipCheckReply yes{asked.check.term, asked.check.round};
       if (asked.from == name) {
-        told.inputs.emplace_back(agreed::Heard{name, yes});
+        told.inputs.emplace_back(agreed::MessageReceived{name, yes});
       } else {
         told.send.emplace_back(asked.from, agreed::encode(yes, lease));
       }
     });
-  } else if (const auto* learn = std::get_if<agreed::Learn>(&effect.effect)) {
-    push([what = *learn](auto& log, auto at, auto&, auto& out) { log.learn(at, what, out); });
-  } else if (const auto* message = std::get_if<agreed::ForLog>(&effect.effect)) {
-    push([m = *message](auto& log, auto at, auto&, auto& out) { log.heard(at, m, out); });
+  } else if (const auto* learn = std::get_if<agreed::PersistLearned>(&effect.effect)) {
+    push([what = *learn](auto& log, auto at, auto&, auto& out) { log.persist_learned(at, what, out); });
+  } else if (const auto* message = std::get_if<agreed::RaftMessage>(&effect.effect)) {
+    push([m = *message](auto& log, auto at, auto&, auto& out) { log.on_message(at, m, out); });
   } else if (const auto* birth = std::get_if<edge::BirthFrom>(&effect.effect)) {
-    push([b = *birth](auto& log, auto at, auto&, auto& out) { log.heard(at, b.from, b.message, out); });
+    push([b = *birth](auto& log, auto at, auto&, auto& out) { log.on_message(at, b.from, b.message, out); });
   } else if (const auto* wanted = std::get_if<edge::VoterWanted>(&effect.effect)) {
     push([w = *wanted](auto& log, auto, auto& told, auto& out) {
       const std::size_t sign = w.name.find('=');
@@ -127,15 +127,15 @@
   storage::Journal journal(folder, "policy-" + config_.settings.name, kMostRecord);
   agreed::RaftLog::Settings settings;
   settings.name = config_.settings.name;
-  settings.first = config_.settings.voters;
+  settings.initial_voters = config_.settings.voters;
   settings.lease = config_.settings.lease;
   settings.seed = seed_ ^ static_cast<std::uint64_t>(now().count()) ^ std::random_device{}();
   agreed::RaftLog log(settings, journal, now());
   std::map<std::string, std::uint64_t> voters;
-  const auto pass_on = [&](edge::PolicyOut told, agreed::RaftLog::Out& out) {
-    for (auto& s : out.send) told.send.push_back(std::move(s));
+  const auto pass_on = [&](edge::PolicyOut told, agreed::RaftLog::Output& out) {
+    for (auto& s : out.messages) told.send.push_back(std::move(s));
     for (auto& i : out.inputs) told.inputs.push_back(std::move(i));
-    for (auto& l : out.log) told.log.push_back(std::move(l));
+    for (auto& l : out.log_lines) told.log.push_back(std::move(l));
     auto are = log.voters();
     const bool changed = are != voters;
     voters = std::move(are);
@@ -146,10 +146,10 @@
     tell(std::move(told));
   };
   {
-    agreed::RaftLog::Out out;
+    agreed::RaftLog::Output out;
     log.open(out);
-    out.log.push_back("policy log ready id=" + std::to_string(log.id()) +
-                      " has_log=" + (log.runs() ? "1" : "0"));
+    out.log_lines.push_back("policy log ready id=" + std::to_string(log.id()) +
+                            " has_log=" + (log.is_running() ? "1" : "0"));
     pass_on({}, out);
   }
   while (true) {
@@ -161,7 +161,7 @@
       work.swap(work_);
     }
     edge::PolicyOut told;
-    agreed::RaftLog::Out out;
+    agreed::RaftLog::Output out;
     for (const Work& w : work) w(log, now(), told, out);
     log.tick(now(), out);
     pass_on(std::move(told), out);
--- a/src/net/policy_log.h
+++ b/src/net/policy_log.h
@@ -30,7 +30,8 @@
   void perform(const edge::PolicyEffect& effect);
 
  private:
-  using Work = std::function<void(agreed::RaftLog&, agreed::Time, edge::PolicyOut&, agreed::RaftLog::Out&)>;
+  using Work =
+      std::function<void(agreed::RaftLog&, agreed::Time, edge::PolicyOut&, agreed::RaftLog::Output&)>;
 
   void run();
   void tell(edge::PolicyOut out);
--- a/tests/agreed_model.h
+++ b/tests/agreed_model.h
@@ -139,10 +139,10 @@
     s.name = name(i);
     for (std::size_t v = 0; v < kNodes; ++v) s.voters.push_back(name(v));
     s.lease = Time{broken_.short_lease_leader && i == 1 ? 2 : 12};
-    s.renew = Time{4};
-    s.eager = Time{3};
-    s.drift = 0.25;  // clocks of 3 to 5 where time goes 4
-    s.prepare_within = Time{60};
+    s.renew_interval = Time{4};
+    s.urgent_interval = Time{3};
+    s.max_clock_drift = 0.25;  // clocks of 3 to 5 where time goes 4
+    s.prepare_timeout = Time{60};
     return s;
   }
   agreed::State fresh(std::size_t i, int life, Time clock) const {
@@ -155,7 +155,8 @@
     for (std::size_t i = 0; i < kNodes; ++i) w.nodes.push_back({fresh(i, 1, Time{1000}), Time{1000}});
     std::map<std::string, bool> reached;
     for (std::size_t i = 0; i < kNodes; ++i) reached[name(i)] = true;
-    for (std::size_t i = 0; i < kNodes; ++i) w.nodes[i].state.take(Time{1000}, agreed::Members{reached});
+    for (std::size_t i = 0; i < kNodes; ++i)
+      w.nodes[i].state.handle(Time{1000}, agreed::MembersChanged{reached});
     Course course(*this, w, {});
     course.elect(0, 1, true);
     for (int round = 0; round < 8; ++round) Course(*this, w, {}).run();  // past the leases of leaders before
@@ -186,7 +187,7 @@
       }
       if (!model_.bounds_.crash_anywhere) inputs_ = 0;
       for (std::size_t i = 0; i < kNodes; ++i) {
-        if (!(plan_.still && plan_.cut == i)) feed(i, agreed::Due{});
+        if (!(plan_.still && plan_.cut == i)) feed(i, agreed::TimerExpired{});
       }
       crashes_in_ = inputs_;
       pass_letters();
@@ -195,9 +196,9 @@
       pass_letters();
       // One that leads no more hears so from voters of a later term.
       for (std::size_t i = 0; i < kNodes; ++i) {
-        if (i != w_.leader && hears(i) && hears(w_.leader) && w_.nodes[i].state.steward()) {
+        if (i != w_.leader && hears(i) && hears(w_.leader) && w_.nodes[i].state.lease_manager()) {
           w_.nodes[i].term = w_.newest;
-          feed(i, agreed::Followed{name(w_.leader), w_.nodes[i].voter});
+          feed(i, agreed::BecameFollower{name(w_.leader), w_.nodes[i].voter});
         }
       }
     }
@@ -216,26 +217,27 @@
       apply(i);
       std::set<std::string> voters;
       for (std::size_t v = 0; v < kNodes; ++v) voters.insert(name(v));
-      feed(i, agreed::Led{term, voters});
-      feed(with, agreed::Followed{name(i), true});
+      feed(i, agreed::BecameLeader{term, voters});
+      feed(with, agreed::BecameFollower{name(i), true});
       letters_.clear();
     }
     void apply(std::size_t i) {
       while (w_.nodes[i].applied < w_.log.size()) {
         const std::size_t at = w_.nodes[i].applied++;
-        feed(i, agreed::Applied{at + 1, w_.log[at]});
+        feed(i, agreed::EntryApplied{at + 1, w_.log[at]});
       }
     }
     void deliver(const Letter& letter) {
       Node& node = w_.nodes[letter.to];
       agreed::Message message = letter.message;
-      if (auto* yielded = std::get_if<agreed::Yielded>(&message);
-          yielded != nullptr && model_.broken_.any_term_yields && node.state.steward())
-        yielded->term = node.state.steward()->term();
-      feed(letter.to, agreed::Heard{name(letter.from), message});
-      if (model_.broken_.no_wait_for_leases && node.state.steward()) {
+      if (auto* yielded = std::get_if<agreed::LeaseRevocationAck>(&message);
+          yielded != nullptr && model_.broken_.any_term_yields && node.state.lease_manager())
+        yielded->term = node.state.lease_manager()->term();
+      feed(letter.to, agreed::MessageReceived{name(letter.from), message});
+      if (model_.broken_.no_wait_for_leases && node.state.lease_manager()) {
         for (std::size_t i = 0; i < kNodes; ++i)
-          feed(letter.to, agreed::Heard{name(i), agreed::Yielded{node.state.steward()->term(), 0}});
+          feed(letter.to, agreed::MessageReceived{
+                              name(i), agreed::LeaseRevocationAck{node.state.lease_manager()->term(), 0}});
       }
     }
     void pass_letters() {
@@ -261,7 +263,7 @@
     /// What the leader appended, once one more voter that has not voted for a later term has it.
     void commit() {
       const Node& leader = w_.nodes[w_.leader];
-      if (w_.limbo.empty() || leader.term != w_.newest || !leader.state.steward()) return;
+      if (w_.limbo.empty() || leader.term != w_.newest || !leader.state.lease_manager()) return;
       for (std::size_t i = 0; i < kNodes; ++i) {
         if (i == w_.leader || !hears(i) || !hears(w_.leader) || !w_.nodes[i].voter) continue;
         if (w_.nodes[i].term > leader.term) continue;
@@ -279,18 +281,18 @@
         return;
       }
       Node& node = w_.nodes[i];
-      for (agreed::Effect& effect : node.state.take(node.clock, input)) {
-        if (auto* send = std::get_if<agreed::Send>(&effect)) {
+      for (agreed::Effect& effect : node.state.handle(node.clock, input)) {
+        if (auto* send = std::get_if<agreed::SendMessage>(&effect)) {
           post(i, number(send->to), std::move(send->message));
-        } else if (auto* append = std::get_if<agreed::Append>(&effect)) {
+        } else if (auto* append = std::get_if<agreed::AppendEntry>(&effect)) {
           // Of a deposed leader: no majority takes it.
           if (w_.newest == node.term && w_.leader == i) w_.limbo.push_back(append->entry);
-        } else if (auto* asked = std::get_if<agreed::AskTerm>(&effect)) {
-          const bool good = node.voter && node.term <= asked->confirm.term;
+        } else if (auto* asked = std::get_if<agreed::CheckTerm>(&effect)) {
+          const bool good = node.voter && node.term <= asked->check.term;
           if (!good && !model_.broken_.unconfirmed_grants) continue;
-          const agreed::Confirmed yes{asked->confirm.term, asked->confirm.round};
+          const agreed::LeadershipCheckReply yes{asked->check.term, asked->check.round};
           if (number(asked->from) == i) {
-            feed(i, agreed::Heard{name(i), yes});
+            feed(i, agreed::MessageReceived{name(i), yes});
           } else {
             post(i, number(asked->from), yes);
           }
@@ -298,23 +300,24 @@
       }
     }
     void post(std::size_t from, std::size_t to, agreed::Message message) {
-      if (model_.broken_.unconfirmed_grants && std::holds_alternative<agreed::Confirm>(message)) {
+      if (model_.broken_.unconfirmed_grants && std::holds_alternative<agreed::LeadershipCheck>(message)) {
         // Nobody is asked: the leader takes it for confirmed.
-        const auto& c = std::get<agreed::Confirm>(message);
-        feed(from, agreed::Heard{name(to), agreed::Confirmed{c.term, c.round}});
+        const auto& c = std::get<agreed::LeadershipCheck>(message);
+        feed(from, agreed::MessageReceived{name(to), agreed::LeadershipCheckReply{c.term, c.round}});
         return;
       }
       // The log spreads by itself here.
-      if (std::holds_alternative<agreed::Pull>(message) || std::holds_alternative<agreed::Prepared>(message))
+      if (std::holds_alternative<agreed::CatchUpRequest>(message) ||
+          std::holds_alternative<agreed::PrepareReply>(message))
         return;
       letters_.push_back({from, to, std::move(message)});
     }
     void restart(std::size_t i) {
       Node& node = w_.nodes[i];
       ++node.life;
-      const agreed::Whole kept = node.state.at().whole();
+      const agreed::Snapshot kept = node.state.policy_state().snapshot();
       const std::map<std::string, bool> members = node.state.members();
-      const std::uint64_t used = node.state.lease().newest();
+      const std::uint64_t used = node.state.lease().newest_request();
       node.state = model_.fresh(i, node.life, node.clock);
       if (model_.broken_.numbers_start_anew)
         node.state = agreed::State(model_.settings(i), used - kNumbersAgain, i, node.clock);
@@ -326,10 +329,10 @@
       } else {
         if (model_.broken_.vote_before_write && node.term > 0 && w_.leader != i) --node.term;
         node.applied = kept.index;
-        feed(i, agreed::Restored{kept});
-        feed(i, agreed::Followed{"", node.voter});
+        feed(i, agreed::SnapshotRestored{kept});
+        feed(i, agreed::BecameFollower{"", node.voter});
       }
-      feed(i, agreed::Members{members});
+      feed(i, agreed::MembersChanged{members});
     }
 
     const AgreedModel& model_;
@@ -431,7 +434,7 @@
       Course(*this, w, {}).run();
       bool done = true;
       for (const Node& node : w.nodes)
-        done = done && node.state.at().epoch() == 1 && node.state.decides(node.clock) == 1;
+        done = done && node.state.policy_state().epoch() == 1 && node.state.decision_epoch(node.clock) == 1;
       if (done) return true;
     }
     return false;
@@ -442,7 +445,7 @@
     if (!result.what.empty() || !keys_.insert(key_of(world)).second) return;
     std::optional<agreed::Epoch> epoch;
     for (const Node& node : world.nodes) {
-      const auto decides = node.state.decides(node.clock);
+      const auto decides = node.state.decision_epoch(node.clock);
       if (!decides) continue;
       if (epoch && *epoch != *decides)
         result.what = "epochs " + std::to_string(std::min(*epoch, *decides)) + " and " +
@@ -458,7 +461,7 @@
   /// Alike for states that differ only in the members' names, where the clocks go alike.
   std::size_t key_of(const World& w) const {
     std::map<std::string, std::uint64_t> newest;
-    for (std::size_t i = 0; i < kNodes; ++i) newest[name(i)] = w.nodes[i].state.lease().newest();
+    for (std::size_t i = 0; i < kNodes; ++i) newest[name(i)] = w.nodes[i].state.lease().newest_request();
     std::array<std::size_t, kNodes> order{0, 1, 2};
     std::size_t least = ~std::size_t{0};
     do {
@@ -470,8 +473,8 @@
       std::string text;
       for (std::size_t i = 0; i < kNodes; ++i) {
         const Node& n = w.nodes[order[i]];
-        text += n.state.print(newest) + " T" + std::to_string(n.term) + " A" + std::to_string(n.applied) +
-                (n.voter ? "v" : "") + "\n";
+        text += n.state.debug_state(newest) + " T" + std::to_string(n.term) + " A" +
+                std::to_string(n.applied) + (n.voter ? "v" : "") + "\n";
       }
       for (const agreed::Entry& e : w.limbo) text += "l" + std::to_string(static_cast<int>(e.step));
       text += std::to_string(w.log.size()) + name(w.leader) + std::to_string(w.newest);
@@ -487,16 +490,18 @@
   }
   static std::string print(const Letter& letter, const std::map<std::string, std::uint64_t>& newest) {
     std::string text = std::to_string(letter.message.index()) + ",";
-    if (const auto* m = std::get_if<agreed::Ask>(&letter.message))
+    if (const auto* m = std::get_if<agreed::LeaseRequest>(&letter.message))
       text += std::to_string(newest.at(name(letter.from)) - m->number);
-    if (const auto* m = std::get_if<agreed::Grant>(&letter.message))
-      text += std::to_string(newest.at(name(letter.to)) - m->number) + "," + std::to_string(m->epoch);
-    if (const auto* m = std::get_if<agreed::Confirm>(&letter.message))
+    if (const auto* m = std::get_if<agreed::LeaseGrant>(&letter.message))
+      text += std::to_string(newest.at(name(letter.to)) - m->request_number) + "," + std::to_string(m->epoch);
+    if (const auto* m = std::get_if<agreed::LeadershipCheck>(&letter.message))
       text += std::to_string(m->term) + "," + std::to_string(m->round);
-    if (const auto* m = std::get_if<agreed::Confirmed>(&letter.message))
+    if (const auto* m = std::get_if<agreed::LeadershipCheckReply>(&letter.message))
       text += std::to_string(m->term) + "," + std::to_string(m->round);
-    if (const auto* m = std::get_if<agreed::Yield>(&letter.message)) text += std::to_string(m->term);
-    if (const auto* m = std::get_if<agreed::Yielded>(&letter.message)) text += std::to_string(m->term);
+    if (const auto* m = std::get_if<agreed::LeaseRevocation>(&letter.message))
+      text += std::to_string(m->term);
+    if (const auto* m = std::get_if<agreed::LeaseRevocationAck>(&letter.message))
+      text += std::to_string(m->term);
     return text;
   }
 
--- a/tests/agreed_world.h
+++ b/tests/agreed_world.h
@@ -53,7 +53,7 @@
                        const agreed::State&)>
         input;
     /// What came of a call of the log.
-    std::function<void(std::size_t, const agreed::RaftLog::Out&)> log;
+    std::function<void(std::size_t, const agreed::RaftLog::Output&)> log;
   };
 
   AgreedWorld(std::size_t count, std::size_t voters, std::uint64_t seed = 1,
@@ -76,22 +76,22 @@
     agreed::Settings settings;
     settings.name = name(i);
     for (std::size_t v = 0; v < voters_; ++v) settings.voters.push_back(name(v));
-    settings.check = [i](const std::string& policy) -> std::optional<std::string> {
+    settings.check_policy = [i](const std::string& policy) -> std::optional<std::string> {
       if (policy == "unfit for n" + std::to_string(i)) return "key 'caches': is not known";
       return std::nullopt;
     };
     if (edit_) edit_(settings);
     agreed::RaftLog::Settings log;
     log.name = settings.name;
-    log.first = settings.voters;
+    log.initial_voters = settings.voters;
     log.lease = settings.lease;
-    log.snapshot_every = snapshot_every;
-    log.trailing = 8;
+    log.snapshot_threshold_entries = snapshot_every;
+    log.trailing_entries = 8;
     log.seed = random_();
     node.journal = std::make_unique<storage::Journal>(*node.folder, "log", 1U << 20U);
     node.log = std::make_unique<agreed::RaftLog>(log, *node.journal, local(i));
     node.state = std::make_unique<agreed::State>(settings, node.life << 32U, random_(), local(i));
-    agreed::RaftLog::Out out;
+    agreed::RaftLog::Output out;
     node.log->open(out);
     take_out(i, out);
     feed(i, members(i));
@@ -133,12 +133,12 @@
 
   void put(std::size_t i, std::uint64_t call, const std::string& key, agreed::Epoch base,
            const std::string& policy) {
-    feed(i, agreed::Put{call, key, base, policy});
+    feed(i, agreed::ProposeCall{call, key, base, policy});
   }
   void feed(std::size_t i, const agreed::Input& input) {
     Node& node = nodes_[i];
     if (!node.state) return;
-    std::vector<agreed::Effect> effects = node.state->take(local(i), input);
+    std::vector<agreed::Effect> effects = node.state->handle(local(i), input);
     if (observer_.input) observer_.input(i, local(i), input, effects, *node.state);
     for (agreed::Effect& effect : effects) carry_out(i, effect);
     if (node.state) watch(i);
@@ -154,13 +154,13 @@
   [[nodiscard]] bool runs(std::size_t i) const { return nodes_[i].state && !nodes_[i].stopped; }
   std::optional<std::size_t> leader() {
     for (std::size_t i = 0; i < size(); ++i) {
-      if (runs(i) && nodes_[i].state->steward()) return i;
+      if (runs(i) && nodes_[i].state->lease_manager()) return i;
     }
     return std::nullopt;
   }
   bool all_decide(agreed::Epoch epoch) {
     for (std::size_t i = 0; i < size(); ++i) {
-      if (runs(i) && nodes_[i].state->decides(local(i)) != epoch) return false;
+      if (runs(i) && nodes_[i].state->decision_epoch(local(i)) != epoch) return false;
     }
     return true;
   }
@@ -196,18 +196,18 @@
     });
   }
 
-  agreed::Members members(std::size_t i) const {
-    agreed::Members all;
+  agreed::MembersChanged members(std::size_t i) const {
+    agreed::MembersChanged all;
     for (std::size_t j = 0; j < size(); ++j)
-      all.reached[name(j)] = j == i || (runs(j) && !(cut && (cut(i, j) || cut(j, i))));
+      all.reachable[name(j)] = j == i || (runs(j) && !(cut && (cut(i, j) || cut(j, i))));
     return all;
   }
   void tick(std::size_t i, std::uint64_t life) {
-    agreed::RaftLog::Out out;
+    agreed::RaftLog::Output out;
     nodes_[i].log->tick(local(i), out);
     take_out(i, out);
     if (++nodes_[i].ticks % 10 == 0) feed(i, members(i));
-    feed(i, agreed::Due{});
+    feed(i, agreed::TimerExpired{});
     at_node(i, life, 50ms, [this, i, life] { tick(i, life); });
   }
   void arm(std::size_t i) {
@@ -220,48 +220,48 @@
     at_node(i, node.life, span, [this, i, due] {
       if (nodes_[i].armed != due) return;  // armed anew meanwhile
       nodes_[i].armed = Time{-1};
-      feed(i, agreed::Due{});
+      feed(i, agreed::TimerExpired{});
     });
   }
 
-  void take_out(std::size_t i, agreed::RaftLog::Out& out) {
+  void take_out(std::size_t i, agreed::RaftLog::Output& out) {
     if (observer_.log) observer_.log(i, out);
-    for (auto& [to, bytes] : out.send) transmit(i, to, std::move(bytes));
-    for (std::string& line : out.log) note(i, line);
+    for (auto& [to, bytes] : out.messages) transmit(i, to, std::move(bytes));
+    for (std::string& line : out.log_lines) note(i, line);
     for (const agreed::Input& input : out.inputs) feed(i, input);
   }
   void carry_out(std::size_t i, agreed::Effect& effect) {
     Node& node = nodes_[i];
-    agreed::RaftLog::Out out;
-    if (auto* send = std::get_if<agreed::Send>(&effect)) {
+    agreed::RaftLog::Output out;
+    if (auto* send = std::get_if<agreed::SendMessage>(&effect)) {
       transmit(i, send->to, agreed::encode(send->message, node.state->settings().lease));
-    } else if (auto* append = std::get_if<agreed::Append>(&effect)) {
+    } else if (auto* append = std::get_if<agreed::AppendEntry>(&effect)) {
       // As in the program, the log takes it a moment later.
       at_node(i, node.life, 100us, [this, i, entry = append->entry] {
-        agreed::RaftLog::Out later;
+        agreed::RaftLog::Output later;
         nodes_[i].log->append(local(i), entry, later);
         take_out(i, later);
       });
-    } else if (auto* ask = std::get_if<agreed::AskTerm>(&effect)) {
+    } else if (auto* ask = std::get_if<agreed::CheckTerm>(&effect)) {
       at_node(i, node.life, 100us, [this, i, asked = *ask] {
-        if (!nodes_[i].log->confirms(asked.confirm.term)) return;
-        const agreed::Confirmed yes{asked.confirm.term, asked.confirm.round};
+        if (!nodes_[i].log->can_confirm_leadership(asked.check.term)) return;
+        const agreed::LeadershipCheckReply yes{asked.check.term, asked.check.round};
         if (asked.from == name(i)) {
-          feed(i, agreed::Heard{asked.from, yes});
+          feed(i, agreed::MessageReceived{asked.from, yes});
         } else {
           transmit(i, asked.from, agreed::encode(yes, nodes_[i].state->settings().lease));
         }
       });
-    } else if (auto* learn = std::get_if<agreed::Learn>(&effect)) {
+    } else if (auto* learn = std::get_if<agreed::PersistLearned>(&effect)) {
       at_node(i, node.life, 100us, [this, i, what = *learn] {
-        agreed::RaftLog::Out later;
-        nodes_[i].log->learn(local(i), what, later);
+        agreed::RaftLog::Output later;
+        nodes_[i].log->persist_learned(local(i), what, later);
         take_out(i, later);
       });
-    } else if (auto* answer = std::get_if<agreed::Answer>(&effect)) {
+    } else if (auto* answer = std::get_if<agreed::AdminReply>(&effect)) {
       note(i, "answers " + std::to_string(answer->status) + " " + answer->body);
       answers.push_back({i, answer->call, answer->status, answer->body, now_});
-    } else if (auto* line = std::get_if<agreed::Log>(&effect)) {
+    } else if (auto* line = std::get_if<agreed::LogLine>(&effect)) {
       note(i, line->line);
     }
   }
@@ -280,24 +280,24 @@
   void heard(std::size_t from, std::size_t i, const std::string& bytes) {
     const auto carried = agreed::decode(bytes, nodes_[i].state->settings().lease);
     if (!carried) return;
-    agreed::RaftLog::Out out;
+    agreed::RaftLog::Output out;
     if (const auto* message = std::get_if<agreed::Message>(&*carried)) {
-      feed(i, agreed::Heard{name(from), *message});
-    } else if (const auto* log = std::get_if<agreed::ForLog>(&*carried)) {
-      nodes_[i].log->heard(local(i), *log, out);
+      feed(i, agreed::MessageReceived{name(from), *message});
+    } else if (const auto* log = std::get_if<agreed::RaftMessage>(&*carried)) {
+      nodes_[i].log->on_message(local(i), *log, out);
     } else {
-      nodes_[i].log->heard(local(i), name(from), std::get<agreed::ForBirth>(*carried), out);
+      nodes_[i].log->on_message(local(i), name(from), std::get<agreed::BootstrapMessage>(*carried), out);
     }
     take_out(i, out);
   }
   void watch(std::size_t i) {
     arm(i);
     if (!violation.empty()) return;
-    const auto mine = nodes_[i].state->decides(local(i));
+    const auto mine = nodes_[i].state->decision_epoch(local(i));
     if (!mine) return;
     for (std::size_t j = 0; j < size(); ++j) {
       if (j == i || !runs(j)) continue;
-      const auto other = nodes_[j].state->decides(local(j));
+      const auto other = nodes_[j].state->decision_epoch(local(j));
       if (other && *other != *mine)
         violation = name(i) + " decides " + std::to_string(*mine) + " and " + name(j) + " " +
                     std::to_string(*other) + " at " + std::to_string(now_.count());
--- a/tests/agreed_world_test.cpp
+++ b/tests/agreed_world_test.cpp
@@ -35,7 +35,7 @@
   world->run(1s);
   EXPECT_EQ(status_of(*world, 1), 200);
   EXPECT_EQ(world->violation, "");
-  for (std::size_t i = 0; i < 7; ++i) EXPECT_EQ(world->node(i).state->at().policy(), "p");
+  for (std::size_t i = 0; i < 7; ++i) EXPECT_EQ(world->node(i).state->policy_state().policy(), "p");
   world->put(2, 2, "l", 0, "q");
   world->run(2s);
   EXPECT_EQ(status_of(*world, 2), 409) << "it builds on epoch 0";
@@ -62,7 +62,7 @@
   AgreedWorld::Time without{0};  // that 1 decides nothing
   const auto took = world->until(
       [&] {
-        if (!world->node(1).state->decides(world->local(1))) without += 10ms;
+        if (!world->node(1).state->decision_epoch(world->local(1))) without += 10ms;
         return world->all_decide(1);
       },
       20s, 10ms);
@@ -81,7 +81,7 @@
   world->stop(4);
   world->put(0, 1, "k", 0, "p");
   ASSERT_TRUE(world->until([&] { return world->all_decide(1); }, 30s)) << world->story;
-  EXPECT_FALSE(world->node(4).state->decides(world->local(4)));
+  EXPECT_FALSE(world->node(4).state->decision_epoch(world->local(4)));
   world->resume(4);
   EXPECT_TRUE(world->until([&] { return world->all_decide(1); }, 10s)) << world->story;
   EXPECT_EQ(world->violation, "");
@@ -94,7 +94,7 @@
   world->put(1, 1, "k", 0, "p");
   world->put(6, 2, "l", 0, "q");
   ASSERT_TRUE(world->until([&] { return status_of(*world, 1) == 200; }, 30s)) << world->story;
-  EXPECT_FALSE(world->node(6).state->decides(world->local(6)));
+  EXPECT_FALSE(world->node(6).state->decision_epoch(world->local(6)));
   ASSERT_TRUE(world->until([&] { return status_of(*world, 2) != 0; }, 10s));
   EXPECT_EQ(status_of(*world, 2), 503) << "neither yes nor no";
   world->cut = nullptr;
@@ -115,7 +115,7 @@
     const bool over = world
                           ->until(
                               [&] {
-                                const auto& r = world->node((*leader + 1) % 5).state->at();
+                                const auto& r = world->node((*leader + 1) % 5).state->policy_state();
                                 return r.outcome("k") != nullptr && world->all_decide(r.epoch());
                               },
                               40s)
@@ -133,13 +133,13 @@
     for (std::size_t i = 0; i < 5; ++i) world->kill(i, true);
     for (std::size_t i = 0; i < 5; ++i) world->start(i);
     const auto ended = [&] {
-      const auto& r = world->node(0).state->at();
+      const auto& r = world->node(0).state->policy_state();
       return !r.change() && world->all_decide(r.epoch());
     };
     EXPECT_TRUE(world->until(ended, 60s)) << at << "\n" << world->story;
     EXPECT_EQ(world->violation, "") << at << "\n" << world->story;
     if (status_of(*world, 1) == 200) {
-      EXPECT_EQ(world->node(0).state->at().epoch(), 1U) << "an answered yes";
+      EXPECT_EQ(world->node(0).state->policy_state().epoch(), 1U) << "an answered yes";
     }
   }
 }
@@ -155,13 +155,13 @@
   world->start(lost);
   world->run(5s);
   EXPECT_NE(world->node(lost).log->id(), before);
-  EXPECT_FALSE(world->node(lost).log->runs()) << "its votes are gone with its disk";
-  EXPECT_FALSE(world->node(lost).log->confirms(1000));
+  EXPECT_FALSE(world->node(lost).log->is_running()) << "its votes are gone with its disk";
+  EXPECT_FALSE(world->node(lost).log->can_confirm_leadership(1000));
   EXPECT_TRUE(world->all_decide(0)) << "it learns and decides like any other";
-  agreed::RaftLog::Out out;
+  agreed::RaftLog::Output out;
   EXPECT_TRUE(world->node(*leader).log->add_voter(AgreedWorld::name(lost), world->node(lost).log->id(), out));
   const auto in = [&] {
-    return world->node(lost).log->runs() && world->node(lost).log->confirms(1000) &&
+    return world->node(lost).log->is_running() && world->node(lost).log->can_confirm_leadership(1000) &&
            world->node(*leader).log->voters().at(AgreedWorld::name(lost)) == world->node(lost).log->id();
   };
   EXPECT_TRUE(world->until(in, 30s)) << world->story;
@@ -188,7 +188,7 @@
   world->kill(3);
   for (std::uint64_t n = 0; n < 90; ++n) {
     world->put(0, 100 + n, "k" + std::to_string(n), n, "p" + std::to_string(n));
-    ASSERT_TRUE(world->until([&] { return world->node(0).state->at().epoch() == n + 1; }, 20s))
+    ASSERT_TRUE(world->until([&] { return world->node(0).state->policy_state().epoch() == n + 1; }, 20s))
         << n << world->story;
   }
   EXPECT_LT(world->node(0).log->entries(), 200U) << "compacted by snapshots";
@@ -213,7 +213,7 @@
       case 1:
       case 2: {
         if (!world->runs(whom)) break;
-        const agreed::Epoch base = world->node(whom).state->at().epoch();
+        const agreed::Epoch base = world->node(whom).state->policy_state().epoch();
         ++call;
         keys[call] = "k" + std::to_string(call);
         world->put(whom, call, keys[call], base,
@@ -268,25 +268,27 @@
     if (world->node(i).stopped) world->resume(i);
   }
   const auto ended = [&] {
-    const auto& r = world->node(0).state->at();
+    const auto& r = world->node(0).state->policy_state();
     for (std::size_t i = 0; i < count; ++i) {
-      if (world->node(i).state->at().index() != r.index()) return false;
+      if (world->node(i).state->policy_state().index() != r.index()) return false;
     }
     return !r.change() && world->all_decide(r.epoch());
   };
   const bool over = world->until(ended, 90s).has_value();
   for (std::size_t i = 0; !over && i < count; ++i)
-    plan += world->node(i).state->print({}) + " term " + std::to_string(world->node(i).log->term()) +
+    plan += world->node(i).state->debug_state({}) + " term " + std::to_string(world->node(i).log->term()) +
             " entries " + std::to_string(world->node(i).log->entries()) + " runs " +
-            std::to_string(world->node(i).log->runs()) + " " + world->node(i).log->why() + "\n";
+            std::to_string(world->node(i).log->is_running()) + " " + world->node(i).log->error() + "\n";
   ASSERT_TRUE(over) << plan << world->story;
   ASSERT_EQ(world->violation, "") << plan << world->story;
   for (const auto& answer : world->answers) {
-    const auto* outcome = world->node(answer.node).state->at().outcome(keys[answer.call]);
+    const auto* outcome = world->node(answer.node).state->policy_state().outcome(keys[answer.call]);
     if (answer.status == 200) {
-      ASSERT_TRUE(outcome != nullptr && outcome->fate == agreed::Fate::active) << plan << world->story;
+      ASSERT_TRUE(outcome != nullptr && outcome->result == agreed::ChangeResult::active)
+          << plan << world->story;
     } else if (answer.status == 409) {
-      ASSERT_TRUE(outcome != nullptr && outcome->fate != agreed::Fate::active) << plan << world->story;
+      ASSERT_TRUE(outcome != nullptr && outcome->result != agreed::ChangeResult::active)
+          << plan << world->story;
     }
   }
 }
--- a/tests/agreeing_test.cpp
+++ b/tests/agreeing_test.cpp
@@ -34,10 +34,10 @@
   }
   /// It leads and has just been granted a lease by itself.
   void lead() {
-    agreeing_.take(agreed::Led{1, {"n1"}});
+    agreeing_.take(agreed::BecameLeader{1, {"n1"}});
     context_.now += 100ms;
     agreeing_.run_due();  // it asks itself
-    agreeing_.take(agreed::Heard{"n1", agreed::Confirmed{1, 1}});
+    agreeing_.take(agreed::MessageReceived{"n1", agreed::LeadershipCheckReply{1, 1}});
     ASSERT_EQ(agreeing_.epoch(), 0U);
   }
 
@@ -51,7 +51,7 @@
   PolicyOut out;
   out.voters = {{"n1", 7}};
   out.id = 7;
-  out.inputs = {agreed::Applied{4, std::nullopt}};
+  out.inputs = {agreed::EntryApplied{4, std::nullopt}};
   agreeing_.take(out);
   EXPECT_FALSE(agreeing_.report());
   ready();
--- a/tests/golden/codec_golden_test.cpp
+++ b/tests/golden/codec_golden_test.cpp
@@ -795,14 +795,14 @@
   line.bytes("name", s.name).bytes("folder", p.folder).flag("trace", p.trace);
   for (const std::string& voter : s.voters) line.bytes("voter", voter);
   return line.time("lease", s.lease)
-      .time("renewal", s.renew)
-      .time("eager_renewal", s.eager)
-      .real("clock_drift", s.drift)
-      .time("prepare_timeout", s.prepare_within)
-      .time("admin_timeout", s.answer_within)
-      .whole("max_policy_bytes", s.most_policy)
-      .flag("serve_without_lease", s.serve_cut_off)
-      .flag("has_check", static_cast<bool>(s.check))
+      .time("renewal", s.renew_interval)
+      .time("eager_renewal", s.urgent_interval)
+      .real("clock_drift", s.max_clock_drift)
+      .time("prepare_timeout", s.prepare_timeout)
+      .time("admin_timeout", s.call_timeout)
+      .whole("max_policy_bytes", s.max_policy_bytes)
+      .flag("serve_without_lease", s.serve_when_partitioned)
+      .flag("has_check", static_cast<bool>(s.check_policy))
       .text();
 }
 
@@ -1224,13 +1224,13 @@
   }
   return "?";
 }
-const char* name_of_change_result(agreed::Fate fate) {
+const char* name_of_change_result(agreed::ChangeResult fate) {
   switch (fate) {
-    case agreed::Fate::active:
+    case agreed::ChangeResult::active:
       return "active";
-    case agreed::Fate::aborted:
+    case agreed::ChangeResult::aborted:
       return "aborted";
-    case agreed::Fate::refused:
+    case agreed::ChangeResult::rejected:
       return "rejected";
   }
   return "?";
@@ -1240,63 +1240,68 @@
   line.word("step", name_of_step(entry.step))
       .whole("change", entry.change)
       .bytes("key", entry.key)
-      .whole("base_epoch", entry.base)
+      .whole("base_epoch", entry.base_epoch)
       .bytes("policy", entry.policy)
       .bytes("reason", entry.reason);
 }
 
 struct DescribeMessage {
   Line& line;
-  void operator()(const agreed::Ask& m) const {
+  void operator()(const agreed::LeaseRequest& m) const {
     line.word("kind", "lease_request").whole("number", m.number);
   }
-  void operator()(const agreed::Grant& m) const {
-    line.word("kind", "lease_grant").whole("number", m.number).whole("epoch", m.epoch);
-    line.time("duration", m.span).whole("log_index", m.index);
+  void operator()(const agreed::LeaseGrant& m) const {
+    line.word("kind", "lease_grant").whole("number", m.request_number).whole("epoch", m.epoch);
+    line.time("duration", m.duration).whole("log_index", m.index);
   }
-  void operator()(const agreed::Confirm& m) const {
+  void operator()(const agreed::LeadershipCheck& m) const {
     line.word("kind", "leadership_check").whole("term", m.term).whole("round", m.round);
   }
-  void operator()(const agreed::Confirmed& m) const {
+  void operator()(const agreed::LeadershipCheckReply& m) const {
     line.word("kind", "leadership_confirmed").whole("term", m.term).whole("round", m.round);
   }
-  void operator()(const agreed::Look& m) const {
+  void operator()(const agreed::LogPosition& m) const {
     line.word("kind", "log_position").whole("log_index", m.index).bytes("leader", m.leader);
   }
-  void operator()(const agreed::Prepared& m) const {
+  void operator()(const agreed::PrepareReply& m) const {
     line.word("kind", "prepared")
         .whole("change", m.change)
-        .flag("accepted", m.good)
+        .flag("accepted", m.ready)
         .bytes("reason", m.reason);
   }
-  void operator()(const agreed::Yield& m) const {
+  void operator()(const agreed::LeaseRevocation& m) const {
     line.word("kind", "lease_revocation").whole("term", m.term).whole("epoch", m.epoch);
   }
-  void operator()(const agreed::Yielded& m) const {
+  void operator()(const agreed::LeaseRevocationAck& m) const {
     line.word("kind", "lease_revocation_ack").whole("term", m.term).whole("epoch", m.epoch);
   }
-  void operator()(const agreed::Propose& m) const {
-    line.word("kind", "propose").bytes("key", m.key).whole("base_epoch", m.base).bytes("policy", m.policy);
+  void operator()(const agreed::ProposeRequest& m) const {
+    line.word("kind", "propose")
+        .bytes("key", m.key)
+        .whole("base_epoch", m.base_epoch)
+        .bytes("policy", m.policy);
   }
-  void operator()(const agreed::AbortWanted& m) const {
+  void operator()(const agreed::AbortRequest& m) const {
     line.word("kind", "abort").whole("change", m.change);
   }
-  void operator()(const agreed::Pull& m) const {
-    line.word("kind", "catch_up_request").whole("after_index", m.after);
+  void operator()(const agreed::CatchUpRequest& m) const {
+    line.word("kind", "catch_up_request").whole("after_index", m.after_index);
   }
-  void operator()(const agreed::Pulled& m) const {
-    line.word("kind", "catch_up_response").whole("after_index", m.after).whole("last_index", m.upto);
+  void operator()(const agreed::CatchUpResponse& m) const {
+    line.word("kind", "catch_up_response")
+        .whole("after_index", m.after_index)
+        .whole("last_index", m.up_to_index);
     for (const auto& [index, entry] : m.entries) describe(line.whole("log_index", index), entry);
   }
-  void operator()(const agreed::Whole& m) const {
+  void operator()(const agreed::Snapshot& m) const {
     line.word("kind", "snapshot").whole("log_index", m.index).whole("epoch", m.epoch);
     line.bytes("key", m.key).bytes("policy", m.policy);
     for (const agreed::Change& change : m.change) {
       line.whole("change", change.id).whole("change_epoch", change.epoch).bytes("change_key", change.key);
       line.bytes("change_policy", change.policy).flag("committed", change.committed);
     }
-    for (const agreed::Outcome& outcome : m.outcomes) {
-      line.bytes("outcome_key", outcome.key).word("result", name_of_change_result(outcome.fate));
+    for (const agreed::ChangeOutcome& outcome : m.outcomes) {
+      line.bytes("outcome_key", outcome.key).word("result", name_of_change_result(outcome.result));
       line.whole("outcome_epoch", outcome.epoch).bytes("reason", outcome.reason);
     }
   }
@@ -1309,10 +1314,10 @@
   Line line("message");
   if (const auto* message = std::get_if<agreed::Message>(&*decoded)) {
     std::visit(DescribeMessage{line}, *message);
-  } else if (const auto* log = std::get_if<agreed::ForLog>(&*decoded)) {
+  } else if (const auto* log = std::get_if<agreed::RaftMessage>(&*decoded)) {
     line.word("kind", "raft").bytes("bytes", log->bytes);
   } else {
-    line.word("kind", "bootstrap").bytes("bytes", std::get<agreed::ForBirth>(*decoded).bytes);
+    line.word("kind", "bootstrap").bytes("bytes", std::get<agreed::BootstrapMessage>(*decoded).bytes);
   }
   return line.text();
 }
@@ -1320,28 +1325,28 @@
 std::vector<agreed::Message> consensus_messages() {
   using agreed::Entry;
   using agreed::Step;
-  agreed::Pulled pulled{5, 9, {}};
+  agreed::CatchUpResponse pulled{5, 9, {}};
   pulled.entries.emplace_back(6, Entry{Step::propose, 0, "k", 2, "policy text", ""});
   pulled.entries.emplace_back(7, Entry{Step::commit, 6, "", 0, "", ""});
   pulled.entries.emplace_back(8, Entry{Step::activate, 6, "", 0, "", ""});
   pulled.entries.emplace_back(9, Entry{Step::abort, 6, "", 0, "", "n2: why"});
-  agreed::Whole snapshot{40, 3, "k3", "policy 3", {}, {}};
+  agreed::Snapshot snapshot{40, 3, "k3", "policy 3", {}, {}};
   snapshot.change.push_back({39, 4, "k4", std::string("po\0licy", 7), true});
-  snapshot.outcomes.push_back({"k1", agreed::Fate::active, 1, ""});
-  snapshot.outcomes.push_back({"k2", agreed::Fate::aborted, 1, "reason"});
-  snapshot.outcomes.push_back({"k2b", agreed::Fate::refused, 2, "other"});
-  return {agreed::Ask{11},
-          agreed::Grant{11, 3, agreed::Time{4'000'000}, 40},
-          agreed::Confirm{2, 5},
-          agreed::Confirmed{2, 6},
-          agreed::Look{40, "n2"},
-          agreed::Prepared{39, true, ""},
-          agreed::Prepared{39, false, "n3: no"},
-          agreed::Yield{2, 3},
-          agreed::Yielded{2, 3},
-          agreed::Propose{"k5", 4, "policy 5"},
-          agreed::AbortWanted{39},
-          agreed::Pull{5},
+  snapshot.outcomes.push_back({"k1", agreed::ChangeResult::active, 1, ""});
+  snapshot.outcomes.push_back({"k2", agreed::ChangeResult::aborted, 1, "reason"});
+  snapshot.outcomes.push_back({"k2b", agreed::ChangeResult::rejected, 2, "other"});
+  return {agreed::LeaseRequest{11},
+          agreed::LeaseGrant{11, 3, agreed::Time{4'000'000}, 40},
+          agreed::LeadershipCheck{2, 5},
+          agreed::LeadershipCheckReply{2, 6},
+          agreed::LogPosition{40, "n2"},
+          agreed::PrepareReply{39, true, ""},
+          agreed::PrepareReply{39, false, "n3: no"},
+          agreed::LeaseRevocation{2, 3},
+          agreed::LeaseRevocationAck{2, 3},
+          agreed::ProposeRequest{"k5", 4, "policy 5"},
+          agreed::AbortRequest{39},
+          agreed::CatchUpRequest{5},
           pulled,
           snapshot};
 }
@@ -1370,21 +1375,22 @@
     record.add("  " + consensus_read(bytes));
   };
   for (const agreed::Message& message : consensus_messages()) add(agreed::encode(message, kLease));
-  add(agreed::encode(agreed::Message{agreed::Ask{1}}, agreed::Time{1}));
+  add(agreed::encode(agreed::Message{agreed::LeaseRequest{1}}, agreed::Time{1}));
   // What no reader takes.
   const std::string long_text(128 * 1024 + 1, 'x');
   for (const agreed::Message& message : std::vector<agreed::Message>{
-           agreed::Grant{1, 1, agreed::Time{0}, 1}, agreed::Pulled{5, 4, {}},
-           agreed::Pulled{5, 9, {{7, {}}, {7, {}}}}, agreed::Pulled{5, 9, {{5, {}}}},
-           agreed::Pulled{5, 9, {{10, {}}}},
-           agreed::Pulled{5, 9, {{6, {static_cast<agreed::Step>(4), 0, "", 0, "", ""}}}},
-           agreed::Whole{1, 1, "", "", {}, {{"", static_cast<agreed::Fate>(3), 0, ""}}},
-           agreed::Pulled{0, 99, std::vector<std::pair<agreed::Index, agreed::Entry>>(65)},
-           agreed::Whole{1, 1, "", "", {}, std::vector<agreed::Outcome>(257)}})
+           agreed::LeaseGrant{1, 1, agreed::Time{0}, 1}, agreed::CatchUpResponse{5, 4, {}},
+           agreed::CatchUpResponse{5, 9, {{7, {}}, {7, {}}}}, agreed::CatchUpResponse{5, 9, {{5, {}}}},
+           agreed::CatchUpResponse{5, 9, {{10, {}}}},
+           agreed::CatchUpResponse{5, 9, {{6, {static_cast<agreed::Step>(4), 0, "", 0, "", ""}}}},
+           agreed::Snapshot{1, 1, "", "", {}, {{"", static_cast<agreed::ChangeResult>(3), 0, ""}}},
+           agreed::CatchUpResponse{0, 99, std::vector<std::pair<agreed::Index, agreed::Entry>>(65)},
+           agreed::Snapshot{1, 1, "", "", {}, std::vector<agreed::ChangeOutcome>(257)}})
     add(agreed::encode(message, kLease));
   for (const agreed::Message& message : std::vector<agreed::Message>{
-           agreed::Propose{long_text, 1, ""}, agreed::Propose{"", 1, long_text}, agreed::Look{1, long_text},
-           agreed::Prepared{1, false, long_text}, agreed::Whole{1, 1, long_text, "", {}, {}}})
+           agreed::ProposeRequest{long_text, 1, ""}, agreed::ProposeRequest{"", 1, long_text},
+           agreed::LogPosition{1, long_text}, agreed::PrepareReply{1, false, long_text},
+           agreed::Snapshot{1, 1, long_text, "", {}, {}}})
     record.add("too long: " + consensus_read(agreed::encode(message, kLease)));
   // The log's own, of every kind, and those before there is a log.
   const std::string entry = number_field(1, 3) + number_field(2, 1) + bytes_field(3, "data");
--- a/tests/golden/consensus_golden_test.cpp
+++ b/tests/golden/consensus_golden_test.cpp
@@ -25,12 +25,12 @@
                             const std::vector<agreed::Effect>& effects, const agreed::State& state) {
       golden::add_step(record_, AgreedWorld::name(i), now, input, effects, state);
     };
-    observer.log = [this](std::size_t i, const agreed::RaftLog::Out& output) {
+    observer.log = [this](std::size_t i, const agreed::RaftLog::Output& output) {
       golden::add_log_output(record_, AgreedWorld::name(i), output);
     };
     const auto edit = [serves = serves_cut_off_](agreed::Settings& settings) {
-      settings.prepare_within = Time{4s};
-      settings.serve_cut_off = serves;
+      settings.prepare_timeout = Time{4s};
+      settings.serve_when_partitioned = serves;
     };
     world_ = std::make_unique<AgreedWorld>(count, voters, seed, edit, observer);
     world_->snapshot_every = 6;  // of processes that start from now on
@@ -63,7 +63,7 @@
     world_->stop(last);  // a change waits for its answer
     propose_as(new_voter, "policy to abort");
     world_->run(500ms);
-    world_->feed(new_voter, agreed::AbortCalled{++call_});
+    world_->feed(new_voter, agreed::AbortCall{++call_});
     world_->run(500ms);
     world_->kill(last);
     restart_all_but(last);
@@ -109,7 +109,7 @@
         if (world_->runs(whom)) world_->stop(whom);
         break;
       case 10:
-        if (world_->runs(whom)) world_->feed(whom, agreed::AbortCalled{++call_});
+        if (world_->runs(whom)) world_->feed(whom, agreed::AbortCall{++call_});
         break;
       case 11:
         change_voters(whom);
@@ -125,13 +125,14 @@
     const std::string key = random_() % 5 == 0 ? "again" : "key" + std::to_string(call_);
     const std::string policy =
         random_() % 6 == 0 ? "unfit for n1" : "policy " + std::to_string(call_) + std::string(call_ * 7, 'p');
-    const agreed::Epoch epoch = world_->node(whom).state->at().epoch();
+    const agreed::Epoch epoch = world_->node(whom).state->policy_state().epoch();
     world_->put(whom, call_, key, random_() % 6 == 0 ? epoch + 1 : epoch, policy);
   }
 
   void propose_as(std::size_t whom, const std::string& policy) {
     ++call_;
-    world_->put(whom, call_, "key" + std::to_string(call_), world_->node(whom).state->at().epoch(), policy);
+    world_->put(whom, call_, "key" + std::to_string(call_), world_->node(whom).state->policy_state().epoch(),
+                policy);
   }
 
   /// Messages that this gives at once go out with the next call of the leader's log.
@@ -140,7 +141,7 @@
     if (!leader || *leader == whom || !world_->runs(whom)) return;
     agreed::RaftLog& log = *world_->node(*leader).log;
     const std::string name = AgreedWorld::name(whom);
-    agreed::RaftLog::Out output;
+    agreed::RaftLog::Output output;
     const bool is_voter = log.voters().count(name) != 0;
     const bool accepted = is_voter ? log.voters().size() > 3 && log.remove_voter(name, output)
                                    : log.add_voter(name, world_->node(whom).log->id(), output);
@@ -183,21 +184,21 @@
       if (!world_->node(i).state) continue;
       const agreed::State& state = *world_->node(i).state;
       const agreed::RaftLog& log = *world_->node(i).log;
-      const auto epoch = state.decides(world_->local(i));
-      const agreed::Counts& counts = state.counts();
+      const auto epoch = state.decision_epoch(world_->local(i));
+      const agreed::Counters& counts = state.counters();
       record_.add(TraceLine(AgreedWorld::name(i))
-                      .verbatim("state", golden::text_of(state.at().whole()))
+                      .verbatim("state", golden::text_of(state.policy_state().snapshot()))
                       .verbatim("decides_under", epoch ? golden::text_of(*epoch) : "none")
-                      .field("lease_until", state.lease().until())
+                      .field("lease_until", state.lease().expires_at())
                       .field("leader", state.leader())
-                      .field("lease_requests", counts.asks)
-                      .field("lease_grants", counts.grants)
-                      .field("lease_expirations", counts.lapses)
-                      .field("without_lease", counts.broken)
-                      .field("changes", counts.changes)
+                      .field("lease_requests", counts.lease_requests)
+                      .field("lease_grants", counts.lease_grants)
+                      .field("lease_expirations", counts.lease_expiries)
+                      .field("without_lease", counts.lost_leases)
+                      .field("changes", counts.epoch_changes)
                       .field("aborts", counts.aborts)
-                      .field("log_runs", log.runs())
-                      .field("log_leads", log.leads())
+                      .field("log_runs", log.is_running())
+                      .field("log_leads", log.is_leader())
                       .field("term", log.term())
                       .field("id", log.id())
                       .field("entries", log.entries())
@@ -227,7 +228,7 @@
   ConsensusPlay("consensus_voter_changes", 5, 3, 5).play_voter_changes();
 }
 
-agreed::Entry drawn_entry(std::mt19937_64& random, const agreed::Register& at) {
+agreed::Entry drawn_entry(std::mt19937_64& random, const agreed::PolicyStateMachine& at) {
   const std::string number = std::to_string(random() % 400);
   const agreed::Index change = at.change() && random() % 6 != 0 ? at.change()->id : random() % 50;
   switch (random() % 6) {
@@ -248,24 +249,24 @@
 TEST(ConsensusGolden, PolicyStateMachineAppliesEntries) {
   GoldenRecord record("consensus_policy_state_machine");
   std::mt19937_64 random(5);
-  agreed::Register policy_state;
+  agreed::PolicyStateMachine policy_state;
   agreed::Index index = 0;
   for (int step = 0; step < 500; ++step) {
     index += random() % 3;  // an index that was applied already is passed over
     const agreed::Entry entry = drawn_entry(random, policy_state);
     if (random() % 20 == 0) {
-      policy_state.pass(index);
+      policy_state.advance_to(index);
       record.add(TraceLine("pass").field("log_index", index).text());
     } else {
       policy_state.apply(index, entry);
       record.add(
           TraceLine("apply").field("log_index", index).verbatim("entry", golden::text_of(entry)).text());
     }
-    if (random() % 40 == 0) policy_state = agreed::Register(policy_state.whole());
-    const agreed::Outcome* outcome = policy_state.outcome(entry.key);
+    if (random() % 40 == 0) policy_state = agreed::PolicyStateMachine(policy_state.snapshot());
+    const agreed::ChangeOutcome* outcome = policy_state.outcome(entry.key);
     record.add(TraceLine("  state")
-                   .verbatim("state", golden::text_of(policy_state.whole()))
-                   .field("knows_key", policy_state.knows(entry.key))
+                   .verbatim("state", golden::text_of(policy_state.snapshot()))
+                   .field("knows_key", policy_state.knows_change(entry.key))
                    .verbatim("outcome", outcome == nullptr ? "none" : golden::text_of(outcome->reason))
                    .text());
   }
@@ -280,21 +281,22 @@
   void play(GoldenRecord& record, int steps) {
     for (int step = 0; step < steps; ++step) {
       now_ += std::chrono::milliseconds(random_() % 250);
-      agreed::Wish actions;
+      agreed::LeaderActions actions;
       const std::string input = take_input(actions);
-      leader_.run(policy_state_, members_, now_, actions);
+      leader_.advance(policy_state_, members_, now_, actions);
       record.add(TraceLine("input").field("at", now_).verbatim("what", input).text());
       record.add("  " + golden::text_of(actions));
-      record.add(TraceLine("  leader")
-                     .field("next_timer", leader_.next_due(now_))
-                     .verbatim("waits_for", golden::list_of(leader_.waits(policy_state_, members_, now_)))
-                     .verbatim("prepared", golden::list_of(leader_.ready()))
-                     .field("term", leader_.term())
-                     .text());
-      for (const auto& [to, message] : actions.send) {
-        if (const auto* check = std::get_if<agreed::Confirm>(&message)) round_ = check->round;
+      record.add(
+          TraceLine("  leader")
+              .field("next_timer", leader_.next_due(now_))
+              .verbatim("waits_for", golden::list_of(leader_.blocking_members(policy_state_, members_, now_)))
+              .verbatim("prepared", golden::list_of(leader_.ready_members()))
+              .field("term", leader_.term())
+              .text());
+      for (const auto& [to, message] : actions.messages) {
+        if (const auto* check = std::get_if<agreed::LeadershipCheck>(&message)) round_ = check->round;
       }
-      for (agreed::Entry& entry : actions.append) appended_.push_back(std::move(entry));
+      for (agreed::Entry& entry : actions.entries) appended_.push_back(std::move(entry));
     }
   }
 
@@ -302,11 +304,11 @@
   static agreed::Settings settings() {
     agreed::Settings settings;
     settings.name = "n0";
-    settings.prepare_within = Time{6s};
+    settings.prepare_timeout = Time{6s};
     return settings;
   }
 
-  std::string take_input(agreed::Wish& actions) {
+  std::string take_input(agreed::LeaderActions& actions) {
     const std::string by = "n" + std::to_string(random_() % 5);
     const agreed::Index change = policy_state_.change() ? policy_state_.change()->id : random_() % 5;
     switch (random_() % 16) {
@@ -314,36 +316,36 @@
       case 1:
       case 2:
       case 3:
-        leader_.asked(by, agreed::Ask{++number_ - random_() % 3}, now_);
+        leader_.on_lease_request(by, agreed::LeaseRequest{++number_ - random_() % 3}, now_);
         return "lease_request by " + by + " up to " + std::to_string(number_);
       case 4:
       case 5:
       case 6: {
-        const agreed::Confirmed reply{random_() % 8 == 0 ? 6U : 7U, round_};
-        leader_.confirmed(by, reply, policy_state_, now_, actions);
+        const agreed::LeadershipCheckReply reply{random_() % 8 == 0 ? 6U : 7U, round_};
+        leader_.on_leadership_check_reply(by, reply, policy_state_, now_, actions);
         return "confirmed by " + by + " term " + std::to_string(reply.term);
       }
       case 7:
       case 8:
       case 9: {
         const bool accepted = random_() % 24 != 0;
-        leader_.prepared(by, {change, accepted, accepted ? "" : "key 'x'"}, policy_state_, actions);
+        leader_.on_prepare_reply(by, {change, accepted, accepted ? "" : "key 'x'"}, policy_state_, actions);
         return "prepared by " + by + (accepted ? "" : " rejected");
       }
       case 10:
       case 11: {
-        const agreed::Yielded ack{random_() % 8 == 0 ? 6U : 7U, policy_state_.epoch()};
-        leader_.yielded(by, ack, policy_state_);
+        const agreed::LeaseRevocationAck ack{random_() % 8 == 0 ? 6U : 7U, policy_state_.epoch()};
+        leader_.on_revocation_ack(by, ack, policy_state_);
         return "revocation_ack by " + by + " term " + std::to_string(ack.term);
       }
       case 12: {
         const std::string key = "key" + std::to_string(random_() % 60);
-        leader_.propose({key, policy_state_.epoch(), "policy " + key}, policy_state_, actions);
+        leader_.on_propose_request({key, policy_state_.epoch(), "policy " + key}, policy_state_, actions);
         return "propose " + key;
       }
       case 13:
         if (random_() % 10 == 0) {
-          leader_.abort(change, by, policy_state_, actions);
+          leader_.on_abort_request(change, by, policy_state_, actions);
           return "abort by " + by;
         }
         members_[by] = random_() % 4 != 0;
@@ -363,8 +365,8 @@
 
   std::mt19937_64 random_;
   Time now_{1h};
-  agreed::Steward leader_;
-  agreed::Register policy_state_;
+  agreed::LeaseManager leader_;
+  agreed::PolicyStateMachine policy_state_;
   std::map<std::string, bool> members_{{"n0", true}, {"n1", true}, {"n2", true}, {"n3", true}, {"n4", false}};
   std::vector<agreed::Entry> appended_;
   agreed::Index index_ = 0;
@@ -383,7 +385,7 @@
 TEST(ConsensusGolden, MemberHoldsALease) {
   GoldenRecord record("consensus_lease");
   std::mt19937_64 random(8);
-  agreed::Lease lease(100);
+  agreed::EpochLease lease(100);
   Time now{1h};
   agreed::Epoch active = 1;
   for (int step = 0; step < 400; ++step) {
@@ -393,35 +395,35 @@
       case 0:
       case 1:
       case 2:
-        line.field("request", lease.ask(now));
+        line.field("request", lease.new_request(now));
         break;
       case 3:
         if (random() % 4 != 0) break;
-        lease.give_up();
+        lease.revoke();
         line.field("gave_up", true);
         break;
       case 4:
         active += random() % 8 == 0 ? 1 : 0;
         break;
       default: {
-        const agreed::Grant grant{lease.newest() - random() % 3, active - random() % 6 / 5,
-                                  std::chrono::milliseconds(500 + random() % 5000), 9};
-        line.field("granted_number", grant.number)
+        const agreed::LeaseGrant grant{lease.newest_request() - random() % 3, active - random() % 6 / 5,
+                                       std::chrono::milliseconds(500 + random() % 5000), 9};
+        line.field("granted_number", grant.request_number)
             .field("granted_epoch", grant.epoch)
-            .field("duration", grant.span)
-            .field("changed", lease.granted(grant, active, now));
+            .field("duration", grant.duration)
+            .field("changed", lease.on_grant(grant, active, now));
       }
     }
-    const auto held = lease.held(now);
+    const auto held = lease.held_epoch(now);
     std::vector<std::string> requests;
-    for (const auto& [number, at] : lease.asked())
+    for (const auto& [number, at] : lease.requested_at())
       requests.push_back(std::to_string(number) + "@" + golden::text_of(at));
     record.add(line.field("at", now)
                    .field("active_epoch", active)
                    .verbatim("held", held ? golden::text_of(*held) : "none")
-                   .field("until", lease.until())
+                   .field("until", lease.expires_at())
                    .field("epoch", lease.epoch())
-                   .field("newest", lease.newest())
+                   .field("newest", lease.newest_request())
                    .verbatim("requests", golden::list_of(requests))
                    .text());
   }
--- a/tests/golden/consensus_trace.cpp
+++ b/tests/golden/consensus_trace.cpp
@@ -33,13 +33,13 @@
   return "?";
 }
 
-std::string label_of(agreed::Fate result) {
+std::string label_of(agreed::ChangeResult result) {
   switch (result) {
-    case agreed::Fate::active:
+    case agreed::ChangeResult::active:
       return "active";
-    case agreed::Fate::aborted:
+    case agreed::ChangeResult::aborted:
       return "aborted";
-    case agreed::Fate::refused:
+    case agreed::ChangeResult::rejected:
       return "rejected";
   }
   return "?";
@@ -56,10 +56,10 @@
          "}";
 }
 
-std::string describe(const agreed::Outcome& outcome) {
+std::string describe(const agreed::ChangeOutcome& outcome) {
   return TraceLine("{Outcome")
              .field("key", outcome.key)
-             .verbatim("result", label_of(outcome.fate))
+             .verbatim("result", label_of(outcome.result))
              .field("epoch", outcome.epoch)
              .field("reason", outcome.reason)
              .text() +
@@ -101,143 +101,145 @@
 }
 
 struct DescribeMessage {
-  std::string operator()(const agreed::Ask& m) const {
+  std::string operator()(const agreed::LeaseRequest& m) const {
     return TraceLine("LeaseRequest").field("number", m.number).text();
   }
-  std::string operator()(const agreed::Grant& m) const {
+  std::string operator()(const agreed::LeaseGrant& m) const {
     return TraceLine("LeaseGrant")
-        .field("number", m.number)
+        .field("number", m.request_number)
         .field("epoch", m.epoch)
-        .field("duration", m.span)
+        .field("duration", m.duration)
         .field("log_index", m.index)
         .text();
   }
-  std::string operator()(const agreed::Confirm& m) const {
+  std::string operator()(const agreed::LeadershipCheck& m) const {
     return TraceLine("LeadershipCheck").field("term", m.term).field("round", m.round).text();
   }
-  std::string operator()(const agreed::Confirmed& m) const {
+  std::string operator()(const agreed::LeadershipCheckReply& m) const {
     return TraceLine("LeadershipConfirmed").field("term", m.term).field("round", m.round).text();
   }
-  std::string operator()(const agreed::Look& m) const {
+  std::string operator()(const agreed::LogPosition& m) const {
     return TraceLine("LogPosition").field("log_index", m.index).field("leader", m.leader).text();
   }
-  std::string operator()(const agreed::Prepared& m) const {
+  std::string operator()(const agreed::PrepareReply& m) const {
     return TraceLine("Prepared")
         .field("change", m.change)
-        .field("accepted", m.good)
+        .field("accepted", m.ready)
         .field("reason", m.reason)
         .text();
   }
-  std::string operator()(const agreed::Yield& m) const {
+  std::string operator()(const agreed::LeaseRevocation& m) const {
     return TraceLine("LeaseRevocation").field("term", m.term).field("epoch", m.epoch).text();
   }
-  std::string operator()(const agreed::Yielded& m) const {
+  std::string operator()(const agreed::LeaseRevocationAck& m) const {
     return TraceLine("LeaseRevocationAck").field("term", m.term).field("epoch", m.epoch).text();
   }
-  std::string operator()(const agreed::Propose& m) const {
+  std::string operator()(const agreed::ProposeRequest& m) const {
     return TraceLine("Propose")
         .field("key", m.key)
-        .field("base_epoch", m.base)
+        .field("base_epoch", m.base_epoch)
         .field("policy", m.policy)
         .text();
   }
-  std::string operator()(const agreed::AbortWanted& m) const {
+  std::string operator()(const agreed::AbortRequest& m) const {
     return TraceLine("AbortRequest").field("change", m.change).text();
   }
-  std::string operator()(const agreed::Pull& m) const {
-    return TraceLine("CatchUpRequest").field("after", m.after).text();
+  std::string operator()(const agreed::CatchUpRequest& m) const {
+    return TraceLine("CatchUpRequest").field("after", m.after_index).text();
   }
-  std::string operator()(const agreed::Pulled& m) const {
+  std::string operator()(const agreed::CatchUpResponse& m) const {
     return TraceLine("CatchUpResponse")
-        .field("after", m.after)
-        .field("up_to", m.upto)
+        .field("after", m.after_index)
+        .field("up_to", m.up_to_index)
         .verbatim("entries", describe_entries(m.entries))
         .text();
   }
-  std::string operator()(const agreed::Whole& m) const { return text_of(m); }
+  std::string operator()(const agreed::Snapshot& m) const { return text_of(m); }
 };
 
 struct DescribeInput {
-  std::string operator()(const agreed::Heard& input) const {
+  std::string operator()(const agreed::MessageReceived& input) const {
     return TraceLine("MessageReceived")
         .field("from", input.from)
         .verbatim("message", text_of(input.message))
         .text();
   }
-  std::string operator()(const agreed::Due&) const { return "TimerExpired"; }
-  std::string operator()(const agreed::Applied& input) const {
+  std::string operator()(const agreed::TimerExpired&) const { return "TimerExpired"; }
+  std::string operator()(const agreed::EntryApplied& input) const {
     return TraceLine("EntryApplied")
         .field("log_index", input.index)
         .verbatim("entry", input.entry ? text_of(*input.entry) : "none")
         .text();
   }
-  std::string operator()(const agreed::Restored& input) const {
+  std::string operator()(const agreed::SnapshotRestored& input) const {
     return TraceLine("SnapshotRestored").verbatim("snapshot", text_of(input.whole)).text();
   }
-  std::string operator()(const agreed::Led& input) const {
+  std::string operator()(const agreed::BecameLeader& input) const {
     return TraceLine("BecameLeader")
         .field("term", input.term)
         .verbatim("voters", list_of(input.voters))
         .text();
   }
-  std::string operator()(const agreed::Followed& input) const {
-    return TraceLine("BecameFollower").field("leader", input.leader).field("voter", input.voter).text();
+  std::string operator()(const agreed::BecameFollower& input) const {
+    return TraceLine("BecameFollower").field("leader", input.leader).field("voter", input.is_voter).text();
   }
-  std::string operator()(const agreed::Voters& input) const {
+  std::string operator()(const agreed::VotersChanged& input) const {
     return TraceLine("VotersChanged").verbatim("voters", list_of(input.names)).text();
   }
-  std::string operator()(const agreed::Members& input) const {
+  std::string operator()(const agreed::MembersChanged& input) const {
     return TraceLine("MembersChanged")
         .verbatim("reached",
-                  list_of(input.reached,
+                  list_of(input.reachable,
                           [](const auto& member) { return member.first + ":" + text_of(member.second); }))
         .text();
   }
-  std::string operator()(const agreed::Put& input) const {
+  std::string operator()(const agreed::ProposeCall& input) const {
     return TraceLine("ProposeCall")
         .field("call", input.call)
         .field("key", input.key)
-        .field("base_epoch", input.base)
+        .field("base_epoch", input.base_epoch)
         .field("policy", input.policy)
         .text();
   }
-  std::string operator()(const agreed::AbortCalled& input) const {
+  std::string operator()(const agreed::AbortCall& input) const {
     return TraceLine("AbortCall").field("call", input.call).text();
   }
 };
 
 /// None for a log line.
 struct DescribeEffect {
-  std::optional<std::string> operator()(const agreed::Send& effect) const {
+  std::optional<std::string> operator()(const agreed::SendMessage& effect) const {
     return TraceLine("Send").field("to", effect.to).verbatim("message", text_of(effect.message)).text();
   }
-  std::optional<std::string> operator()(const agreed::Append& effect) const {
+  std::optional<std::string> operator()(const agreed::AppendEntry& effect) const {
     return TraceLine("AppendEntry").verbatim("entry", text_of(effect.entry)).text();
   }
-  std::optional<std::string> operator()(const agreed::AskTerm& effect) const {
+  std::optional<std::string> operator()(const agreed::CheckTerm& effect) const {
     return TraceLine("CheckTerm")
         .field("from", effect.from)
-        .field("term", effect.confirm.term)
-        .field("round", effect.confirm.round)
+        .field("term", effect.check.term)
+        .field("round", effect.check.round)
         .text();
   }
-  std::optional<std::string> operator()(const agreed::Learn& effect) const {
-    return TraceLine("StoreCatchUp").verbatim("content", std::visit(DescribeMessage{}, effect.what)).text();
+  std::optional<std::string> operator()(const agreed::PersistLearned& effect) const {
+    return TraceLine("StoreCatchUp")
+        .verbatim("content", std::visit(DescribeMessage{}, effect.learned))
+        .text();
   }
-  std::optional<std::string> operator()(const agreed::Decide& effect) const {
+  std::optional<std::string> operator()(const agreed::EpochChanged& effect) const {
     return TraceLine("ActivatePolicy")
         .verbatim("epoch", effect.epoch ? text_of(*effect.epoch) : "none")
         .field("policy", effect.policy)
         .text();
   }
-  std::optional<std::string> operator()(const agreed::Answer& effect) const {
+  std::optional<std::string> operator()(const agreed::AdminReply& effect) const {
     return TraceLine("Answer")
         .field("call", effect.call)
         .field("status", effect.status)
         .field("body", effect.body)
         .text();
   }
-  std::optional<std::string> operator()(const agreed::Log&) const { return std::nullopt; }
+  std::optional<std::string> operator()(const agreed::LogLine&) const { return std::nullopt; }
 };
 
 }  // namespace
@@ -247,7 +249,7 @@
              .verbatim("step", label_of(entry.step))
              .field("change", entry.change)
              .field("key", entry.key)
-             .field("base_epoch", entry.base)
+             .field("base_epoch", entry.base_epoch)
              .field("policy", entry.policy)
              .field("reason", entry.reason)
              .text() +
@@ -258,7 +260,7 @@
   return "{" + std::visit(DescribeMessage{}, message) + "}";
 }
 
-std::string text_of(const agreed::Whole& snapshot) {
+std::string text_of(const agreed::Snapshot& snapshot) {
   return TraceLine("Snapshot")
       .field("log_index", snapshot.index)
       .field("epoch", snapshot.epoch)
@@ -271,17 +273,17 @@
 
 std::string text_of(const agreed::Input& input) { return std::visit(DescribeInput{}, input); }
 
-std::string text_of(const agreed::Wish& actions) {
+std::string text_of(const agreed::LeaderActions& actions) {
   return TraceLine("LeaderActions")
-      .verbatim("send", list_of(actions.send,
+      .verbatim("send", list_of(actions.messages,
                                 [](const auto& item) { return item.first + ":" + text_of(item.second); }))
-      .verbatim("append", list_of(actions.append, [](const auto& entry) { return text_of(entry); }))
+      .verbatim("append", list_of(actions.entries, [](const auto& entry) { return text_of(entry); }))
       .text();
 }
 
 void add_step(GoldenRecord& record, const std::string& member, agreed::Time now, const agreed::Input& input,
               const std::vector<agreed::Effect>& effects, const agreed::State& state) {
-  if (effects.empty() && std::holds_alternative<agreed::Due>(input)) return;
+  if (effects.empty() && std::holds_alternative<agreed::TimerExpired>(input)) return;
   record.add(TraceLine(member)
                  .field("at", now)
                  .verbatim("input", text_of(input))
@@ -292,8 +294,8 @@
   }
 }
 
-void add_log_output(GoldenRecord& record, const std::string& member, const agreed::RaftLog::Out& output) {
-  for (const auto& [to, message] : output.send) {
+void add_log_output(GoldenRecord& record, const std::string& member, const agreed::RaftLog::Output& output) {
+  for (const auto& [to, message] : output.messages) {
     const std::string bytes = without_undefined_bytes(message);
     record.add(TraceLine(member)
                    .verbatim("log_send", to)
--- a/tests/golden/consensus_trace.h
+++ b/tests/golden/consensus_trace.h
@@ -14,9 +14,9 @@
 
 std::string text_of(const dahliahall::agreed::Entry& entry);
 std::string text_of(const dahliahall::agreed::Message& message);
-std::string text_of(const dahliahall::agreed::Whole& snapshot);
+std::string text_of(const dahliahall::agreed::Snapshot& snapshot);
 std::string text_of(const dahliahall::agreed::Input& input);
-std::string text_of(const dahliahall::agreed::Wish& actions);
+std::string text_of(const dahliahall::agreed::LeaderActions& actions);
 
 /// Adds an input of a member's reducer, then each effect. An expired timer without any is left out:
 /// there are too many of them.
@@ -27,6 +27,6 @@
 /// Adds what came of a call of a member's log. Of bytes for its servers a checksum stands,
 /// with those that libraft leaves undefined set to zero.
 void add_log_output(GoldenRecord& record, const std::string& member,
-                    const dahliahall::agreed::RaftLog::Out& output);
+                    const dahliahall::agreed::RaftLog::Output& output);
 
 }  // namespace golden
--- a/tests/golden/proxy_golden_test.cpp
+++ b/tests/golden/proxy_golden_test.cpp
@@ -423,17 +423,17 @@
     out.voters = {{"n1", 7}, {"n2", 8}, {"n3", 9}};
     out.id = 7;
     out.send = {{"n2", "bytes of the log"}};
-    out.inputs = {agreed::Applied{1, std::nullopt}, agreed::Led{term_, {"n1", "n2", "n3"}}};
+    out.inputs = {agreed::EntryApplied{1, std::nullopt}, agreed::BecameLeader{term_, {"n1", "n2", "n3"}}};
     stage_.feed(out);
   }
   void confirm(std::uint64_t rounds) {
     for (std::uint64_t round = 1; round <= rounds; ++round) {
-      carry("n2", agreed::Confirmed{term_, round});
-      carry("n3", agreed::Confirmed{term_, round});
-      own(agreed::Heard{"n1", agreed::Confirmed{term_, round}});
+      carry("n2", agreed::LeadershipCheckReply{term_, round});
+      carry("n3", agreed::LeadershipCheckReply{term_, round});
+      own(agreed::MessageReceived{"n1", agreed::LeadershipCheckReply{term_, round}});
     }
   }
-  void apply(agreed::Index index, const agreed::Entry& entry) { own(agreed::Applied{index, entry}); }
+  void apply(agreed::Index index, const agreed::Entry& entry) { own(agreed::EntryApplied{index, entry}); }
   void carry(const std::string& from, const agreed::Message& message) {
     peers::Message envelope = peer_message(from, peers::MessageKind::user_message);
     envelope.payload = agreed::encode(message, kLease);
@@ -536,11 +536,11 @@
   put_policy(stage, "ops-6", "nonsense");
   const agreed::Entry proposed{agreed::Step::propose, 0, "first", 0, R"({"attempts_cap":3})", {}};
   cluster.apply(2, proposed);
-  cluster.carry("n2", agreed::Ask{5});
-  cluster.carry("n2", agreed::Prepared{2, true, {}});
-  cluster.carry("n3", agreed::Prepared{2, true, {}});
-  cluster.carry("n3", agreed::Confirm{cluster.term(), 1});
-  cluster.carry("n3", agreed::Pull{0});
+  cluster.carry("n2", agreed::LeaseRequest{5});
+  cluster.carry("n2", agreed::PrepareReply{2, true, {}});
+  cluster.carry("n3", agreed::PrepareReply{2, true, {}});
+  cluster.carry("n3", agreed::LeadershipCheck{cluster.term(), 1});
+  cluster.carry("n3", agreed::CatchUpRequest{0});
   cluster.carry_bytes("n3", "no message");
   cluster.run_for(10);
   cluster.apply(3, {agreed::Step::commit, 2, {}, 0, {}, {}});
@@ -555,10 +555,10 @@
        "ops-14 send POST /v1/policy/voters/n4=11/add\nops-15 send POST /v1/policy/voters/n4/remove\n");
   // No voter from here on: a voter that is told of a log ahead of its own asks for a timer in the past
   // without end, which virtual time can't follow.
-  cluster.own(agreed::Followed{"n2", false});
-  cluster.carry("n2", agreed::Yield{cluster.term() + 1, 1});
-  cluster.carry("n2", agreed::Look{9, "n2"});
-  cluster.carry("n2", agreed::Pulled{4, 9, {}});
+  cluster.own(agreed::BecameFollower{"n2", false});
+  cluster.carry("n2", agreed::LeaseRevocation{cluster.term() + 1, 1});
+  cluster.carry("n2", agreed::LogPosition{9, "n2"});
+  cluster.carry("n2", agreed::CatchUpResponse{4, 9, {}});
   play(stage,
        "anna send 5 pages\nwait 8000\nops-13 send POST /v1/peers/n3/forget\nedge send TERM\nwait 3000\n");
 }
--- a/tests/golden/proxy_trace.cpp
+++ b/tests/golden/proxy_trace.cpp
@@ -153,13 +153,13 @@
   return "?";
 }
 
-const char* label_of(agreed::Fate result) {
+const char* label_of(agreed::ChangeResult result) {
   switch (result) {
-    case agreed::Fate::active:
+    case agreed::ChangeResult::active:
       return "active";
-    case agreed::Fate::aborted:
+    case agreed::ChangeResult::aborted:
       return "aborted";
-    case agreed::Fate::refused:
+    case agreed::ChangeResult::rejected:
       return "rejected";
   }
   return "?";
@@ -170,7 +170,7 @@
       .add("step", label_of(entry.step))
       .add("change", entry.change)
       .add("key", entry.key)
-      .add("base", entry.base)
+      .add("base", entry.base_epoch)
       .add("policy", entry.policy)
       .add("reason", entry.reason)
       .text();
@@ -186,131 +186,135 @@
       .text();
 }
 
-std::string item_text(const agreed::Outcome& outcome) {
+std::string item_text(const agreed::ChangeOutcome& outcome) {
   return TraceLine("outcome")
       .add("key", outcome.key)
-      .add("result", label_of(outcome.fate))
+      .add("result", label_of(outcome.result))
       .add("epoch", outcome.epoch)
       .add("reason", outcome.reason)
       .text();
 }
 
-std::string item_text(const agreed::Ask& m) {
+std::string item_text(const agreed::LeaseRequest& m) {
   return TraceLine("lease_request").add("number", m.number).text();
 }
-std::string item_text(const agreed::Grant& m) {
+std::string item_text(const agreed::LeaseGrant& m) {
   return TraceLine("lease_grant")
-      .add("number", m.number)
+      .add("number", m.request_number)
       .add("epoch", m.epoch)
-      .add("duration", m.span)
+      .add("duration", m.duration)
       .add("index", m.index)
       .text();
 }
-std::string item_text(const agreed::Confirm& m) {
+std::string item_text(const agreed::LeadershipCheck& m) {
   return TraceLine("leadership_check").add("term", m.term).add("round", m.round).text();
 }
-std::string item_text(const agreed::Confirmed& m) {
+std::string item_text(const agreed::LeadershipCheckReply& m) {
   return TraceLine("leadership_check_reply").add("term", m.term).add("round", m.round).text();
 }
-std::string item_text(const agreed::Look& m) {
+std::string item_text(const agreed::LogPosition& m) {
   return TraceLine("log_position").add("index", m.index).add("leader", m.leader).text();
 }
-std::string item_text(const agreed::Prepared& m) {
-  return TraceLine("prepared").add("change", m.change).add("accepted", m.good).add("reason", m.reason).text();
+std::string item_text(const agreed::PrepareReply& m) {
+  return TraceLine("prepared")
+      .add("change", m.change)
+      .add("accepted", m.ready)
+      .add("reason", m.reason)
+      .text();
 }
-std::string item_text(const agreed::Yield& m) {
+std::string item_text(const agreed::LeaseRevocation& m) {
   return TraceLine("lease_revocation").add("term", m.term).add("epoch", m.epoch).text();
 }
-std::string item_text(const agreed::Yielded& m) {
+std::string item_text(const agreed::LeaseRevocationAck& m) {
   return TraceLine("lease_revocation_ack").add("term", m.term).add("epoch", m.epoch).text();
 }
-std::string item_text(const agreed::Propose& m) {
-  return TraceLine("propose").add("key", m.key).add("base", m.base).add("policy", m.policy).text();
+std::string item_text(const agreed::ProposeRequest& m) {
+  return TraceLine("propose").add("key", m.key).add("base", m.base_epoch).add("policy", m.policy).text();
 }
-std::string item_text(const agreed::AbortWanted& m) {
+std::string item_text(const agreed::AbortRequest& m) {
   return TraceLine("abort_request").add("change", m.change).text();
 }
-std::string item_text(const agreed::Pull& m) {
-  return TraceLine("catch_up_request").add("after", m.after).text();
+std::string item_text(const agreed::CatchUpRequest& m) {
+  return TraceLine("catch_up_request").add("after", m.after_index).text();
 }
-std::string item_text(const agreed::Pulled& m) {
+std::string item_text(const agreed::CatchUpResponse& m) {
   TraceLine line("catch_up_response");
-  line.add("after", m.after).add("up_to", m.upto);
+  line.add("after", m.after_index).add("up_to", m.up_to_index);
   for (const auto& [index, entry] : m.entries) line.add("index", index).add_inner("entry", item_text(entry));
   return line.text();
 }
-std::string item_text(const agreed::Whole& m) {
+std::string item_text(const agreed::Snapshot& m) {
   TraceLine line("snapshot");
   line.add("index", m.index).add("epoch", m.epoch).add("key", m.key).add("policy", m.policy);
   for (const agreed::Change& change : m.change) line.add_inner("change", item_text(change));
-  for (const agreed::Outcome& outcome : m.outcomes) line.add_inner("outcome", item_text(outcome));
+  for (const agreed::ChangeOutcome& outcome : m.outcomes) line.add_inner("outcome", item_text(outcome));
   return line.text();
 }
 std::string item_text(const agreed::Message& message) {
   return std::visit([](const auto& m) { return item_text(m); }, message);
 }
 
-std::string item_text(const agreed::Heard& in) {
+std::string item_text(const agreed::MessageReceived& in) {
   return TraceLine("message_received")
       .add("from", in.from)
       .add_inner("message", item_text(in.message))
       .text();
 }
-std::string item_text(const agreed::Due&) { return "timer_expired"; }
-std::string item_text(const agreed::Applied& in) {
+std::string item_text(const agreed::TimerExpired&) { return "timer_expired"; }
+std::string item_text(const agreed::EntryApplied& in) {
   TraceLine line("applied");
   line.add("index", in.index);
   if (in.entry) line.add_inner("entry", item_text(*in.entry));
   return line.text();
 }
-std::string item_text(const agreed::Restored& in) {
+std::string item_text(const agreed::SnapshotRestored& in) {
   return TraceLine("restored").add_inner("snapshot", item_text(in.whole)).text();
 }
-std::string item_text(const agreed::Led& in) {
+std::string item_text(const agreed::BecameLeader& in) {
   TraceLine line("became_leader");
   line.add("term", in.term);
   for (const std::string& voter : in.voters) line.add("voter", voter);
   return line.text();
 }
-std::string item_text(const agreed::Followed& in) {
-  return TraceLine("became_follower").add("leader", in.leader).add("voter", in.voter).text();
+std::string item_text(const agreed::BecameFollower& in) {
+  return TraceLine("became_follower").add("leader", in.leader).add("voter", in.is_voter).text();
 }
-std::string item_text(const agreed::Voters& in) {
+std::string item_text(const agreed::VotersChanged& in) {
   TraceLine line("voters_changed");
   for (const std::string& voter : in.names) line.add("voter", voter);
   return line.text();
 }
-std::string item_text(const agreed::Members& in) {
+std::string item_text(const agreed::MembersChanged& in) {
   TraceLine line("members_changed");
-  for (const auto& [name, reachable] : in.reached) line.add("member", name).add("reachable", reachable);
+  for (const auto& [name, reachable] : in.reachable) line.add("member", name).add("reachable", reachable);
   return line.text();
 }
-std::string item_text(const agreed::Put& in) {
+std::string item_text(const agreed::ProposeCall& in) {
   return TraceLine("propose_call")
       .add("call", in.call)
       .add("key", in.key)
-      .add("base", in.base)
+      .add("base", in.base_epoch)
       .add("policy", in.policy)
       .text();
 }
-std::string item_text(const agreed::AbortCalled& in) {
+std::string item_text(const agreed::AbortCall& in) {
   return TraceLine("abort_call").add("call", in.call).text();
 }
 std::string item_text(const agreed::Input& input) {
   return std::visit([](const auto& in) { return item_text(in); }, input);
 }
 
-std::string item_text(const agreed::Append& e) {
+std::string item_text(const agreed::AppendEntry& e) {
   return TraceLine("append").add_inner("entry", item_text(e.entry)).text();
 }
-std::string item_text(const agreed::AskTerm& e) {
-  return TraceLine("check_term").add("from", e.from).add_inner("check", item_text(e.confirm)).text();
+std::string item_text(const agreed::CheckTerm& e) {
+  return TraceLine("check_term").add("from", e.from).add_inner("check", item_text(e.check)).text();
 }
-std::string item_text(const agreed::Learn& e) {
-  const std::string what = std::visit([](const auto& learnt) { return item_text(learnt); }, e.what);
+std::string item_text(const agreed::PersistLearned& e) {
+  const std::string what = std::visit([](const auto& learnt) { return item_text(learnt); }, e.learned);
   return TraceLine("learn").add_inner("what", what).text();
 }
-std::string item_text(const agreed::ForLog& e) {
+std::string item_text(const agreed::RaftMessage& e) {
   return TraceLine("raft_message").add("bytes", e.bytes).text();
 }
 std::string item_text(const edge::BirthFrom& e) {
--- a/tests/golden/stored_files_golden_test.cpp
+++ b/tests/golden/stored_files_golden_test.cpp
@@ -317,13 +317,13 @@
   }
   return "?";
 }
-const char* name_of_change_result(agreed::Fate fate) {
+const char* name_of_change_result(agreed::ChangeResult fate) {
   switch (fate) {
-    case agreed::Fate::active:
+    case agreed::ChangeResult::active:
       return "active";
-    case agreed::Fate::aborted:
+    case agreed::ChangeResult::aborted:
       return "aborted";
-    case agreed::Fate::refused:
+    case agreed::ChangeResult::rejected:
       return "rejected";
   }
   return "?";
@@ -331,19 +331,20 @@
 
 std::string text_of(const agreed::Entry& entry) {
   return std::string("step=") + name_of_step(entry.step) + " change=" + number(entry.change) +
-         " key=" + golden::quoted(entry.key) + " base_epoch=" + number(entry.base) +
+         " key=" + golden::quoted(entry.key) + " base_epoch=" + number(entry.base_epoch) +
          " policy=" + golden::quoted(entry.policy) + " reason=" + golden::quoted(entry.reason);
 }
-std::string text_of(const agreed::Whole& snapshot) {
+std::string text_of(const agreed::Snapshot& snapshot) {
   std::string text = "log_index=" + number(snapshot.index) + " epoch=" + number(snapshot.epoch) +
                      " key=" + golden::quoted(snapshot.key) + " policy=" + golden::quoted(snapshot.policy);
   for (const agreed::Change& change : snapshot.change)
     text += " change=" + number(change.id) + " change_epoch=" + number(change.epoch) +
             " change_key=" + golden::quoted(change.key) + " change_policy=" + golden::quoted(change.policy) +
             " committed=" + (change.committed ? "yes" : "no");
-  for (const agreed::Outcome& outcome : snapshot.outcomes)
-    text += " outcome_key=" + golden::quoted(outcome.key) + " result=" + name_of_change_result(outcome.fate) +
-            " outcome_epoch=" + number(outcome.epoch) + " reason=" + golden::quoted(outcome.reason);
+  for (const agreed::ChangeOutcome& outcome : snapshot.outcomes)
+    text += " outcome_key=" + golden::quoted(outcome.key) +
+            " result=" + name_of_change_result(outcome.result) + " outcome_epoch=" + number(outcome.epoch) +
+            " reason=" + golden::quoted(outcome.reason);
   return text;
 }
 
@@ -354,17 +355,18 @@
 }
 
 std::string text_of(const agreed::Input& input) {
-  if (const auto* applied = std::get_if<agreed::Applied>(&input))
+  if (const auto* applied = std::get_if<agreed::EntryApplied>(&input))
     return "applied log_index=" + number(applied->index) + " " +
            (applied->entry ? text_of(*applied->entry) : "no entry");
-  if (const auto* restored = std::get_if<agreed::Restored>(&input))
+  if (const auto* restored = std::get_if<agreed::SnapshotRestored>(&input))
     return "restored " + text_of(restored->whole);
-  if (const auto* leader = std::get_if<agreed::Led>(&input))
+  if (const auto* leader = std::get_if<agreed::BecameLeader>(&input))
     return "became_leader term=" + number(leader->term) + " voters" + text_of(leader->voters);
-  if (const auto* follower = std::get_if<agreed::Followed>(&input))
+  if (const auto* follower = std::get_if<agreed::BecameFollower>(&input))
     return "became_follower leader=" + golden::quoted(follower->leader) +
-           " voter=" + (follower->voter ? "yes" : "no");
-  if (const auto* voters = std::get_if<agreed::Voters>(&input)) return "voters" + text_of(voters->names);
+           " voter=" + (follower->is_voter ? "yes" : "no");
+  if (const auto* voters = std::get_if<agreed::VotersChanged>(&input))
+    return "voters" + text_of(voters->names);
   return "another input";
 }
 
@@ -406,17 +408,18 @@
     for (std::size_t at = 0; at < kSize; ++at) {
       agreed::RaftLog::Settings settings;
       settings.name = name(at);
-      settings.first = {name(0), name(1), name(2)};
-      settings.snapshot_every = snapshot_every_;
-      settings.trailing = 2;
+      settings.initial_voters = {name(0), name(1), name(2)};
+      settings.snapshot_threshold_entries = snapshot_every_;
+      settings.trailing_entries = 2;
       settings.seed = seed + at;
       Node& node = nodes_[at];
       node.journal = std::make_unique<storage::Journal>(node.folder, "log", 1U << 20U);
       node.log = std::make_unique<agreed::RaftLog>(settings, *node.journal, now_);
-      agreed::RaftLog::Out out;
-      EXPECT_TRUE(node.log->open(out)) << node.log->why();
+      agreed::RaftLog::Output out;
+      EXPECT_TRUE(node.log->open(out)) << node.log->error();
       record_.add(name(at) + " opened id=" + number(node.log->id()) + " term=" + number(node.log->term()) +
-                  " entries=" + number(node.log->entries()) + " runs=" + (node.log->runs() ? "yes" : "no"));
+                  " entries=" + number(node.log->entries()) +
+                  " runs=" + (node.log->is_running() ? "yes" : "no"));
       take_out(at, out);
     }
   }
@@ -424,7 +427,7 @@
     for (const Microseconds end = now_ + span; now_ < end;) {
       now_ += Microseconds{10'000};
       for (std::size_t at = 0; at < kSize; ++at) {
-        agreed::RaftLog::Out out;
+        agreed::RaftLog::Output out;
         nodes_[at].log->tick(now_, out);
         take_out(at, out);
       }
@@ -432,13 +435,13 @@
     }
   }
   void append(std::size_t at, const agreed::Entry& entry) {
-    agreed::RaftLog::Out out;
+    agreed::RaftLog::Output out;
     nodes_[at].log->append(now_, entry, out);
     take_out(at, out);
   }
   [[nodiscard]] std::size_t leader() const {
     for (std::size_t at = 0; at < kSize; ++at)
-      if (nodes_[at].log->leads() && at != isolated) return at;
+      if (nodes_[at].log->is_leader() && at != isolated) return at;
     ADD_FAILURE() << "nobody leads";
     return 0;
   }
@@ -456,8 +459,8 @@
     std::string bytes;
   };
 
-  void take_out(std::size_t at, agreed::RaftLog::Out& out) {
-    for (const auto& [to, bytes] : out.send) on_way_.push_back({at, std::stoul(to.substr(1)), bytes});
+  void take_out(std::size_t at, agreed::RaftLog::Output& out) {
+    for (const auto& [to, bytes] : out.messages) on_way_.push_back({at, std::stoul(to.substr(1)), bytes});
     for (const agreed::Input& input : out.inputs) record_.add(name(at) + " " + text_of(input));
   }
   void deliver() {
@@ -466,12 +469,12 @@
     if (packet.from == isolated || packet.to == isolated) return;
     const auto decoded = agreed::decode(packet.bytes, Microseconds{5'000'000});
     ASSERT_TRUE(decoded);
-    agreed::RaftLog::Out out;
+    agreed::RaftLog::Output out;
     agreed::RaftLog& log = *nodes_[packet.to].log;
-    if (const auto* raft = std::get_if<agreed::ForLog>(&*decoded)) {
-      log.heard(now_, *raft, out);
+    if (const auto* raft = std::get_if<agreed::RaftMessage>(&*decoded)) {
+      log.on_message(now_, *raft, out);
     } else {
-      log.heard(now_, name(packet.from), std::get<agreed::ForBirth>(*decoded), out);
+      log.on_message(now_, name(packet.from), std::get<agreed::BootstrapMessage>(*decoded), out);
     }
     take_out(packet.to, out);
   }
@@ -567,31 +570,31 @@
   const ZeroedRaftMemory memory;
   agreed::RaftLog::Settings settings;
   settings.name = "n9";
-  settings.first = {"n0", "n1", "n2"};
+  settings.initial_voters = {"n0", "n1", "n2"};
   settings.seed = 5;
   GoldenRecord record("stored_consensus_learner");
   FaultyFolder folder;
-  const auto add = [&record](const agreed::RaftLog::Out& out) {
+  const auto add = [&record](const agreed::RaftLog::Output& out) {
     for (const agreed::Input& input : out.inputs) record.add(text_of(input));
   };
   {
     storage::Journal journal(folder, "log", 1U << 20U);
     agreed::RaftLog log(settings, journal, Microseconds{1'000'000});
-    agreed::RaftLog::Out out;
+    agreed::RaftLog::Output out;
     ASSERT_TRUE(log.open(out));
-    agreed::Pulled entries{0, 5, {}};
+    agreed::CatchUpResponse entries{0, 5, {}};
     entries.entries.emplace_back(2, agreed::Entry{agreed::Step::propose, 0, "k1", 0, "policy 1", ""});
     entries.entries.emplace_back(3, agreed::Entry{agreed::Step::commit, 2, "", 0, "", ""});
     entries.entries.emplace_back(4, agreed::Entry{agreed::Step::activate, 2, "", 0, "", ""});
-    log.learn(Microseconds{2'000'000}, {entries}, out);
+    log.persist_learned(Microseconds{2'000'000}, {entries}, out);
     add(out);
     expect_stored("consensus_learner_entries", bytes_in(folder, "log"));
-    agreed::Whole snapshot{40, 3, "k3", "policy 3", {}, {}};
+    agreed::Snapshot snapshot{40, 3, "k3", "policy 3", {}, {}};
     snapshot.change.push_back({39, 4, "k4", std::string("po\0licy", 7), true});
-    snapshot.outcomes.push_back({"k2", agreed::Fate::aborted, 1, "reason"});
-    snapshot.outcomes.push_back({"k2b", agreed::Fate::refused, 2, "other"});
-    agreed::RaftLog::Out later;
-    log.learn(Microseconds{3'000'000}, {snapshot}, later);
+    snapshot.outcomes.push_back({"k2", agreed::ChangeResult::aborted, 1, "reason"});
+    snapshot.outcomes.push_back({"k2b", agreed::ChangeResult::rejected, 2, "other"});
+    agreed::RaftLog::Output later;
+    log.persist_learned(Microseconds{3'000'000}, {snapshot}, later);
     add(later);
     expect_stored("consensus_learner_snapshot", bytes_in(folder, "log"));
   }
@@ -602,9 +605,9 @@
     settings.seed = 6;
     storage::Journal journal(old, "log", 1U << 20U);
     agreed::RaftLog log(settings, journal, Microseconds{1'000'000});
-    agreed::RaftLog::Out out;
-    ASSERT_TRUE(log.open(out)) << log.why();
-    record.add(std::string(file) + " id=" + number(log.id()) + " runs=" + (log.runs() ? "yes" : "no"));
+    agreed::RaftLog::Output out;
+    ASSERT_TRUE(log.open(out)) << log.error();
+    record.add(std::string(file) + " id=" + number(log.id()) + " runs=" + (log.is_running() ? "yes" : "no"));
     add(out);
     EXPECT_EQ(bytes_in(old, "log"), stored(file)) << "reading changes nothing";
   }
