--- a/src/edge/admin.h
+++ b/src/edge/admin.h
@@ -16,7 +16,7 @@
 namespace dahliahall::edge {
 
 /// What operators can ask for.
-enum class AdminWord {
+enum class AdminOperation {
   ready,
   metrics,
   suspend,
@@ -32,8 +32,8 @@
   wrong_method
 };
 struct AdminCall {
-  AdminWord word = AdminWord::unknown;
-  std::string member;  ///< of suspend, resume, forget and the words on voters
+  AdminOperation operation = AdminOperation::unknown;
+  std::string target;  ///< of suspend, resume, forget and the words on voters
   std::string body;    ///< of put_policy
 };
 AdminCall read_admin_call(const codec::HttpCall& call);
@@ -42,27 +42,27 @@
  public:
   explicit Admin(Context& context) : context_(context) {}
 
-  void accepted(ConnectionId connection);
-  [[nodiscard]] bool owns(ConnectionId connection) const { return links_.count(connection) != 0; }
+  void on_accepted(ConnectionId connection);
+  [[nodiscard]] bool owns(ConnectionId connection) const { return connections_.count(connection) != 0; }
   /// The call, once it is whole. One that can't be read is answered here.
-  std::optional<AdminCall> bytes(ConnectionId connection, std::string_view bytes);
+  std::optional<AdminCall> on_bytes(ConnectionId connection, std::string_view on_bytes);
   /// The answer; the connection ends once the other side has read it.
-  void answer(ConnectionId connection, int status, std::string_view body);
+  void reply(ConnectionId connection, int status, std::string_view body);
   void end(ConnectionId connection, CloseReason reason, bool close_it);
   /// Ends connections that have stayed for too long.
   void sweep();
   void stop();
 
  private:
-  struct Link {
-    Time opened{0};
-    std::uint64_t calls = 0;
-    std::optional<Time> answered;
+  struct AdminConnection {
+    Time opened_at{0};
+    std::uint64_t call_count = 0;
+    std::optional<Time> answered_at;
     codec::HttpCallReader reader;
   };
 
   Context& context_;
-  std::map<ConnectionId, Link> links_;
+  std::map<ConnectionId, AdminConnection> connections_;
 };
 
 }  // namespace dahliahall::edge
--- a/src/edge/agreeing.cpp
+++ b/src/edge/agreeing.cpp
@@ -13,14 +13,14 @@
 
 }  // namespace
 
-Agreeing::Agreeing(Context& context, Peering& peering, const config::Config& config)
-    : context_(context), peering_(peering), start_(config.settings), seed_(config.seed) {
+PolicyController::PolicyController(Context& context, MembershipAdapter& peering, const config::Config& config)
+    : context_(context), membership_(peering), startup_settings_(config.settings), seed_(config.seed) {
   if (!config.policy) return;
   settings_ = config.policy->settings;
-  trace_ = config.policy->trace;
+  tracing_ = config.policy->trace;
   settings_->check_policy = [this](const std::string& policy) -> std::optional<std::string> {
     try {
-      read_policy_terms(policy, start_);
+      read_policy_terms(policy, startup_settings_);
     } catch (const FieldError& problem) {
       return problem.what();
     }
@@ -28,118 +28,122 @@
   };
 }
 
-void Agreeing::ready(const peers::Identity& identity) {
+void PolicyController::start(const peers::Identity& identity) {
   if (!settings_ || state_) return;
   state_.emplace(*settings_, identity.incarnation << kNumbersOfALife, seed_ ^ identity.disk_id, context_.now);
-  look_at_peers();
-  for (const agreed::Input& input : std::exchange(early_, {})) take(input);
-  take(agreed::TimerExpired{});
+  update_members();
+  for (const agreed::Input& input : std::exchange(inputs_before_start_, {})) handle(input);
+  handle(agreed::TimerExpired{});
 }
 
-void Agreeing::take(const agreed::Input& input) {
+void PolicyController::handle(const agreed::Input& input) {
   if (!state_) return;
   for (agreed::Effect& effect : state_->handle(context_.now, input))
-    std::visit([this](auto& e) { pass_on(e); }, effect);
+    std::visit([this](auto& e) { forward(e); }, effect);
 }
 
-void Agreeing::take(const PolicyOut& out) {
+void PolicyController::handle(const ConsensusOutput& out) {
   if (!settings_) return;
-  for (const std::string& line : out.log) context_.log(line);
-  for (const auto& [to, bytes] : out.send) peering_.carry(to, bytes);
+  for (const std::string& line : out.log_lines) context_.log(line);
+  for (const auto& [to, bytes] : out.messages) membership_.send_user_message(to, bytes);
   voters_ = out.voters;
-  log_id_ = out.id;
-  for (const auto& [connection, status, text] : out.answers) answers_.emplace_back(connection, status, text);
+  raft_id_ = out.raft_id;
+  for (const auto& [connection, status, text] : out.replies) replies_.emplace_back(connection, status, text);
   if (!state_) {
-    early_.insert(early_.end(), out.inputs.begin(), out.inputs.end());
+    inputs_before_start_.insert(inputs_before_start_.end(), out.inputs.begin(), out.inputs.end());
     return;
   }
-  for (const agreed::Input& input : out.inputs) take(input);
+  for (const agreed::Input& input : out.inputs) handle(input);
 }
 
-void Agreeing::heard(const peers::UserMessageReceived& carried) {
+void PolicyController::on_user_message(const peers::UserMessageReceived& carried) {
   if (!state_) return;
   bool unlike = false;
   auto decoded = agreed::decode(carried.payload, settings_->lease, &unlike);
   if (!decoded) {
     // Guards the log against one that says so again and again.
-    if (unlike_++ % 1000 == 0)
+    if (lease_mismatches_++ % 1000 == 0)
       context_.log(
           "policy refused from=" + carried.from +
           (unlike ? " its leases are other than here: peers of a cluster need the same" : " malformed"));
     return;
   }
   if (auto* message = std::get_if<agreed::Message>(&*decoded)) {
-    take(agreed::MessageReceived{carried.from, std::move(*message)});
+    handle(agreed::MessageReceived{carried.from, std::move(*message)});
   } else if (auto* log = std::get_if<agreed::RaftMessage>(&*decoded)) {
-    context_.effects.emplace_back(PolicyEffect{std::move(*log)});
+    context_.effects.emplace_back(ConsensusEffect{std::move(*log)});
   } else {
     context_.effects.emplace_back(
-        PolicyEffect{BirthFrom{carried.from, std::get<agreed::BootstrapMessage>(*decoded)}});
+        ConsensusEffect{BootstrapReceived{carried.from, std::get<agreed::BootstrapMessage>(*decoded)}});
   }
 }
 
-void Agreeing::look_at_peers() {
+void PolicyController::update_members() {
   // Guards the request path against work that grows with the members.
-  if (!state_ || seen_ == peering_.revision()) return;
-  seen_ = peering_.revision();
-  take(agreed::MembersChanged{peering_.members()});
+  if (!state_ || members_revision_ == membership_.revision()) return;
+  members_revision_ = membership_.revision();
+  handle(agreed::MembersChanged{membership_.members()});
 }
 
-void Agreeing::run_due() {
-  if (state_ && state_->next_due() <= context_.now) take(agreed::TimerExpired{});
+void PolicyController::run_timers() {
+  if (state_ && state_->next_due() <= context_.now) handle(agreed::TimerExpired{});
 }
 
-std::optional<Time> Agreeing::next_due() const {
+std::optional<Time> PolicyController::next_due() const {
   if (!state_) return std::nullopt;
   return state_->next_due();
 }
 
-void Agreeing::pass_on(agreed::SendMessage& e) {
-  peering_.carry(e.to, agreed::encode(e.message, settings_->lease));
+void PolicyController::forward(agreed::SendMessage& e) {
+  membership_.send_user_message(e.to, agreed::encode(e.message, settings_->lease));
 }
 
-void Agreeing::pass_on(agreed::EpochChanged& e) {
-  if (deciding_ && deciding_ != e.epoch) {
-    before_ = deciding_;
+void PolicyController::forward(agreed::EpochChanged& e) {
+  if (current_epoch_ && current_epoch_ != e.epoch) {
+    previous_epoch_ = current_epoch_;
     // Guards the next epoch against a standstill: the one before ended when its lease did, not when that was
     // seen.
     const Time until = state_->lease().expires_at();
-    ended_at_ = until > Time{0} ? std::min(context_.now, until) : context_.now;
+    previous_epoch_ended_at_ = until > Time{0} ? std::min(context_.now, until) : context_.now;
   }
-  deciding_ = e.epoch;
+  current_epoch_ = e.epoch;
   // The module has the terms already where a lease on the same epoch comes back.
-  if (!e.epoch || terms_of_ == e.epoch) return;
+  if (!e.epoch || applied_epoch_ == e.epoch) return;
   // It was checked before it was prepared, here as well; one that was down then learns it as it is.
   try {
-    changed_ = read_policy_terms(e.policy, start_);
-    terms_of_ = e.epoch;
+    changed_terms_ = read_policy_terms(e.policy, startup_settings_);
+    applied_epoch_ = e.epoch;
   } catch (const FieldError& problem) {
     context_.log("policy unusable here, nothing is decided: " + std::string(problem.what()));
-    deciding_.reset();
+    current_epoch_.reset();
   }
 }
 
-std::optional<agreed::Epoch> Agreeing::epoch() const {
-  if (!state_ || !deciding_) return std::nullopt;
+std::optional<agreed::Epoch> PolicyController::epoch() const {
+  if (!state_ || !current_epoch_) return std::nullopt;
   const auto now = state_->decision_epoch(context_.now);
-  return now == deciding_ ? now : std::nullopt;
+  return now == current_epoch_ ? now : std::nullopt;
 }
 
-bool Agreeing::may_attempt(agreed::Epoch taken_under) const {
-  if (!on() || epoch() == taken_under) return true;
+bool PolicyController::can_attempt(agreed::Epoch accepted_under) const {
+  if (!is_enabled() || epoch() == accepted_under) return true;
   // Its lease may have run out since anything was told.
-  const bool untold = deciding_ == taken_under;
-  if (!untold && before_ != taken_under) return false;
-  return context_.now - (untold ? state_->lease().expires_at() : ended_at_) < kAttemptsAfterEpoch;
+  const bool untold = current_epoch_ == accepted_under;
+  if (!untold && previous_epoch_ != accepted_under) return false;
+  return context_.now - (untold ? state_->lease().expires_at() : previous_epoch_ended_at_) <
+         kAttemptsAfterEpoch;
 }
 
-std::optional<PolicyTerms> Agreeing::changed_terms() { return std::exchange(changed_, std::nullopt); }
+std::optional<PolicyTerms> PolicyController::take_changed_terms() {
+  return std::exchange(changed_terms_, std::nullopt);
+}
 
 // ---- Operators ----
 
-void Agreeing::put(ConnectionId connection, const std::string& body) {
+void PolicyController::propose(ConnectionId connection, const std::string& body) {
   if (!state_) {
-    answers_.emplace_back(connection, on() ? 503 : 404, on() ? "not ready\n" : "no policy is configured\n");
+    replies_.emplace_back(connection, is_enabled() ? 503 : 404,
+                          is_enabled() ? "not ready\n" : "no policy is configured\n");
     return;
   }
   rapidjson::Document document;
@@ -152,30 +156,30 @@
     root.need("policy").Accept(writer);
     const std::int64_t base = root.integer("base");
     if (base < 0) root.fail("base", "should be 0 or more");
-    take(agreed::ProposeCall{connection, root.text("key"), static_cast<agreed::Epoch>(base),
-                             text.GetString()});
+    handle(agreed::ProposeCall{connection, root.text("key"), static_cast<agreed::Epoch>(base),
+                               text.GetString()});
   } catch (const FieldError& problem) {
-    answers_.emplace_back(connection, 400, std::string(problem.what()) + "\n");
+    replies_.emplace_back(connection, 400, std::string(problem.what()) + "\n");
   }
 }
 
-void Agreeing::abort(ConnectionId connection) {
+void PolicyController::abort(ConnectionId connection) {
   if (state_) {
-    take(agreed::AbortCall{connection});
+    handle(agreed::AbortCall{connection});
   } else {
-    answers_.emplace_back(connection, 404, "no policy is configured\n");
+    replies_.emplace_back(connection, 404, "no policy is configured\n");
   }
 }
 
-void Agreeing::voter(ConnectionId connection, const std::string& name, bool add) {
+void PolicyController::change_voter(ConnectionId connection, const std::string& name, bool add) {
   if (state_) {
-    context_.effects.emplace_back(PolicyEffect{VoterWanted{connection, name, add}});
+    context_.effects.emplace_back(ConsensusEffect{VoterChangeCall{connection, name, add}});
   } else {
-    answers_.emplace_back(connection, 404, "no policy is configured\n");
+    replies_.emplace_back(connection, 404, "no policy is configured\n");
   }
 }
 
-std::optional<std::string> Agreeing::report() const {
+std::optional<std::string> PolicyController::report() const {
   if (!state_) return std::nullopt;
   const agreed::PolicyStateMachine& at = state_->policy_state();
   rapidjson::StringBuffer text;
@@ -191,7 +195,7 @@
   json.Key("decides"), json.Bool(epoch().has_value());
   put_text("leader", state_->leader());
   json.Key("log_index"), json.Uint64(at.index());
-  put_text("log_id", std::to_string(log_id_));
+  put_text("log_id", std::to_string(raft_id_));
   json.Key("voters"), json.StartObject();
   for (const auto& [name, id] : voters_) put_text(name.c_str(), std::to_string(id));
   json.EndObject();
@@ -217,7 +221,7 @@
   return std::string(text.GetString(), text.GetSize()) + "\n";
 }
 
-std::string Agreeing::figures() const {
+std::string PolicyController::metrics() const {
   std::string text;
   if (!state_) return text;
   const auto tell = [&text](const char* name, std::uint64_t value, const char* kind) {
@@ -236,7 +240,7 @@
   tell("asks", c.lease_requests, "|c");
   tell("grants", c.lease_grants, "|c");
   tell("lapses", c.lease_expiries, "|c");
-  tell("refused", refused_here_, "|c");
+  tell("refused", rejected_, "|c");
   tell("broken_promises", c.lost_leases, "|c");
   tell("changes", c.epoch_changes, "|c");
   tell("aborts", c.aborts, "|c");
--- a/src/edge/agreeing.h
+++ b/src/edge/agreeing.h
@@ -20,68 +20,70 @@
 /// No attempt of a request begins later than this after its epoch has ended here.
 constexpr Time kAttemptsAfterEpoch = std::chrono::milliseconds(300);
 
-class Agreeing {
+class PolicyController {
  public:
-  Agreeing(Context& context, Peering& peering, const config::Config& config);
+  PolicyController(Context& context, MembershipAdapter& peering, const config::Config& config);
 
-  [[nodiscard]] bool on() const { return settings_.has_value(); }
+  [[nodiscard]] bool is_enabled() const { return settings_.has_value(); }
   /// Numbers of this process are above those of any earlier one with this incarnation.
-  void ready(const peers::Identity& identity);
-  void take(const agreed::Input& input);
-  void take(const PolicyOut& out);
+  void start(const peers::Identity& identity);
+  void handle(const agreed::Input& input);
+  void handle(const ConsensusOutput& out);
   /// What a member had carried here.
-  void heard(const peers::UserMessageReceived& carried);
-  void run_due();
+  void on_user_message(const peers::UserMessageReceived& carried);
+  void run_timers();
   [[nodiscard]] std::optional<Time> next_due() const;
   /// Told of who is registered and reached where that has changed.
-  void look_at_peers();
+  void update_members();
 
   /// Whether a request may be decided now, and under which epoch.
   [[nodiscard]] std::optional<agreed::Epoch> epoch() const;
-  [[nodiscard]] bool decides() const { return !on() || epoch().has_value(); }
+  [[nodiscard]] bool can_decide() const { return !is_enabled() || epoch().has_value(); }
   /// Whether an attempt may still begin, of a request that was taken under that epoch.
-  [[nodiscard]] bool may_attempt(agreed::Epoch taken_under) const;
+  [[nodiscard]] bool can_attempt(agreed::Epoch accepted_under) const;
   /// The terms that hold from now on, where they have changed: to be taken over before anything is decided.
-  std::optional<PolicyTerms> changed_terms();
+  std::optional<PolicyTerms> take_changed_terms();
   /// A request was refused since nothing is decided.
-  void count_refused() { ++refused_here_; }
-  [[nodiscard]] bool traces() const { return trace_; }
+  void count_rejected() { ++rejected_; }
+  [[nodiscard]] bool is_tracing() const { return tracing_; }
 
   // Operators.
-  void put(ConnectionId connection, const std::string& body);
+  void propose(ConnectionId connection, const std::string& body);
   void abort(ConnectionId connection);
-  void voter(ConnectionId connection, const std::string& name, bool add);
+  void change_voter(ConnectionId connection, const std::string& name, bool add);
   /// The answers that have come to be since: connection, status, text.
-  std::vector<std::tuple<ConnectionId, int, std::string>> answers() { return std::exchange(answers_, {}); }
+  std::vector<std::tuple<ConnectionId, int, std::string>> take_replies() {
+    return std::exchange(replies_, {});
+  }
   [[nodiscard]] std::optional<std::string> report() const;
-  [[nodiscard]] std::string figures() const;
+  [[nodiscard]] std::string metrics() const;
 
  private:
-  void pass_on(agreed::SendMessage& e);
-  void pass_on(agreed::AppendEntry& e) { context_.effects.emplace_back(PolicyEffect{std::move(e)}); }
-  void pass_on(agreed::CheckTerm& e) { context_.effects.emplace_back(PolicyEffect{std::move(e)}); }
-  void pass_on(agreed::PersistLearned& e) { context_.effects.emplace_back(PolicyEffect{std::move(e)}); }
-  void pass_on(agreed::EpochChanged& e);
-  void pass_on(agreed::AdminReply& e) { answers_.emplace_back(e.call, e.status, e.body + "\n"); }
-  void pass_on(agreed::LogLine& e) { context_.log(std::move(e.line)); }
+  void forward(agreed::SendMessage& e);
+  void forward(agreed::AppendEntry& e) { context_.effects.emplace_back(ConsensusEffect{std::move(e)}); }
+  void forward(agreed::CheckTerm& e) { context_.effects.emplace_back(ConsensusEffect{std::move(e)}); }
+  void forward(agreed::PersistLearned& e) { context_.effects.emplace_back(ConsensusEffect{std::move(e)}); }
+  void forward(agreed::EpochChanged& e);
+  void forward(agreed::AdminReply& e) { replies_.emplace_back(e.call, e.status, e.body + "\n"); }
+  void forward(agreed::LogLine& e) { context_.log(std::move(e.line)); }
 
   Context& context_;
-  Peering& peering_;
+  MembershipAdapter& membership_;
   std::optional<agreed::Settings> settings_;
-  Settings start_;
+  Settings startup_settings_;
   std::uint64_t seed_;
-  bool trace_ = false;
+  bool tracing_ = false;
   std::optional<agreed::State> state_;
-  std::vector<agreed::Input> early_;  // of the log, before there is a state
-  std::uint64_t seen_ = 0;            // revision of the peers
-  std::optional<PolicyTerms> changed_;
-  std::optional<agreed::Epoch> deciding_, before_;  // under which it decides, and did before
-  std::optional<agreed::Epoch> terms_of_;           // that the module has
-  Time ended_at_{0};                                // of before_
-  std::uint64_t refused_here_ = 0, unlike_ = 0;
+  std::vector<agreed::Input> inputs_before_start_;  // of the log, before there is a state
+  std::uint64_t members_revision_ = 0;              // revision of the peers
+  std::optional<PolicyTerms> changed_terms_;
+  std::optional<agreed::Epoch> current_epoch_, previous_epoch_;  // under which it decides, and did before
+  std::optional<agreed::Epoch> applied_epoch_;                   // that the module has
+  Time previous_epoch_ended_at_{0};                              // of before_
+  std::uint64_t rejected_ = 0, lease_mismatches_ = 0;
   std::map<std::string, std::uint64_t> voters_;
-  std::uint64_t log_id_ = 0;
-  std::vector<std::tuple<ConnectionId, int, std::string>> answers_;
+  std::uint64_t raft_id_ = 0;
+  std::vector<std::tuple<ConnectionId, int, std::string>> replies_;
 };
 
 }  // namespace dahliahall::edge
--- a/src/edge/bulletin_link.h
+++ b/src/edge/bulletin_link.h
@@ -11,48 +11,52 @@
 
 namespace dahliahall::edge {
 
-class BulletinLink {
+class DiscoveryClient {
  public:
-  BulletinLink(Context& context, const config::Config& config);
+  DiscoveryClient(Context& context, const config::Config& config);
 
   /// Opens the connection; called at the start and when Due::bulletin_connect is.
   void open();
-  [[nodiscard]] bool owns(ConnectionId connection) const { return connection != 0 && connection == id_; }
-  void connected();
-  std::vector<codec::BulletinEvent> bytes(std::string_view bytes);
+  [[nodiscard]] bool owns(ConnectionId connection) const {
+    return connection != 0 && connection == connection_;
+  }
+  void on_connected();
+  std::vector<codec::BulletinEvent> on_bytes(std::string_view on_bytes);
   /// The bulletin is elsewhere now: its numbers go on, so what is missing is asked for there at once.
-  void move_to(const std::string& address);
+  void set_address(const std::string& address);
   /// This program stood still: what has come meanwhile is still to be read.
-  void excuse();
+  void on_loop_stall();
   /// Whether its news reach this side, as far as can be told.
-  [[nodiscard]] bool heard() const { return up_ && spoke_ && context_.now - read_ < kBulletinHeardWithin; }
+  [[nodiscard]] bool is_current() const {
+    return is_connected_ && has_data_ && context_.now - last_line_ < kDiscoverySilenceLimit;
+  }
   /// The connection failed or was ended by the other side.
-  void lost(CloseReason reason);
+  void on_closed(CloseReason reason);
   /// Ends a connection that has been silent too long, or did not come up.
-  void sweep();
+  void close_if_silent();
   void stop();
 
  private:
   void end(CloseReason reason, bool close_it);
   /// A part of `span`, drawn anew each time.
-  Time part_of(Time span);
+  Time jittered(Time span);
 
   Context& context_;
   std::string address_;
-  codec::Names names_;
-  std::int64_t last_;
-  std::int64_t gap_at_ = -1;  ///< the event after which one was missing
-  ConnectionId id_ = 0;
-  bool up_ = false;
-  bool spoke_ = false;  ///< on this connection
+  codec::Names field_names_;
+  std::int64_t last_event_;
+  std::int64_t gap_after_ = -1;  ///< the event after which one was missing
+  ConnectionId connection_ = 0;
+  bool is_connected_ = false;
+  bool has_data_ = false;  ///< on this connection
   bool stopped_ = false;
-  Time opened_{0}, heard_{0};
-  Time read_{0};  ///< a line to its end, or the connection was opened
-  Time wait_;
-  Time first_patience_;
-  Time patience_;  ///< with a connection that does not come up, or says nothing yet
+  Time opened_at_{0}, last_heard_{0};
+  Time last_line_{0};  ///< a line to its end, or the connection was opened
+  Time backoff_;
+  Time initial_timeout_;
+  Time timeout_;  ///< with a connection that does not come up, or says nothing yet
   /// Knuth's generator of 64 bits.
-  std::linear_congruential_engine<std::uint64_t, 6364136223846793005U, 1442695040888963407U, 0> draws_;
+  std::linear_congruential_engine<std::uint64_t, 6364136223846793005U, 1442695040888963407U, 0> random_;
   std::uint64_t events_ = 0;
   codec::EventStreamReader reader_;
 };
--- a/src/edge/context.cpp
+++ b/src/edge/context.cpp
@@ -3,33 +3,33 @@
 
 namespace dahliahall::edge {
 
-void Context::log(std::string line) { effects.emplace_back(Log{std::move(line)}); }
+void Context::log(std::string line) { effects.emplace_back(LogLine{std::move(line)}); }
 
 void Context::write(ConnectionId connection, std::string bytes) {
   effects.emplace_back(Write{connection, std::move(bytes)});
 }
 
-ConnectionId Context::connect(const std::string& address, bool first) {
-  ++sockets;
-  last_connection += kIdStep;
-  effects.emplace_back(Connect{last_connection, address, first});
-  return last_connection;
+ConnectionId Context::connect(const std::string& address, bool high_priority) {
+  ++open_connections;
+  last_connection_id += kConnectionIdStep;
+  effects.emplace_back(Connect{last_connection_id, address, high_priority});
+  return last_connection_id;
 }
 
 void Context::close(ConnectionId connection) { effects.emplace_back(Close{connection}); }
 
-void Context::close_when_read(ConnectionId connection) { effects.emplace_back(CloseWhenRead{connection}); }
+void Context::drain_and_close(ConnectionId connection) { effects.emplace_back(DrainAndClose{connection}); }
 
-void Context::finish(ConnectionId connection) { effects.emplace_back(Finish{connection}); }
+void Context::shutdown_write(ConnectionId connection) { effects.emplace_back(ShutdownWrite{connection}); }
 
-void Context::ended(const ConnectionRecord& record, CloseReason reason, bool close_it) {
-  --sockets;
+void Context::log_closed(const ConnectionRecord& record, CloseReason reason, bool close_it) {
+  --open_connections;
   if (close_it) close(record.id);
   std::string line = "closed kind=" + std::string(record.kind) + " conn=" + std::to_string(record.id) +
                      " reason=" + std::string(name_of(reason)) +
-                     " requests=" + std::to_string(record.requests) +
-                     " lived_ms=" + std::to_string((now - record.opened).count() / 1000);
-  if (!record.member.empty()) line += " member=" + record.member;
+                     " requests=" + std::to_string(record.request_count) +
+                     " lived_ms=" + std::to_string((now - record.opened_at).count() / 1000);
+  if (!record.endpoint.empty()) line += " member=" + record.endpoint;
   log(std::move(line));
 }
 
--- a/src/edge/context.h
+++ b/src/edge/context.h
@@ -15,24 +15,24 @@
 
 namespace dahliahall::edge {
 
-enum class Due {
-  module_wake,      // a Wake of the module's
-  request_expired,  // id: the request
-  attempt_timeout,  // id, number: the attempt
-  late_ending,      // an ending that was held back a moment
-  connect_timeout,  // connection
-  sweep,            // idle and silent connections
-  bulletin_connect,
-  tell_load,  // a line in the log
-  end_idle,
+enum class TimerKind {
+  router_timer,        // a Wake of the module's
+  request_expired,     // id: the request
+  attempt_timeout,     // id, number: the attempt
+  delayed_completion,  // an ending that was held back a moment
+  connect_timeout,     // connection
+  sweep,               // idle and silent connections
+  discovery_connect,
+  log_stats,  // a line in the log
+  close_idle,
   stop_listening,
   stop_serving,
-  stop_writing
+  stop_flushing
 };
 struct Timer {
-  Due what = Due::sweep;
-  std::string id;
-  int number = 0;
+  TimerKind kind = TimerKind::sweep;
+  std::string request;
+  int attempt = 0;
   ConnectionId connection = 0;
 };
 
@@ -40,29 +40,29 @@
 struct ConnectionRecord {
   std::string_view kind;  ///< front, member or bulletin
   ConnectionId id = 0;
-  Time opened{0};
-  std::uint64_t requests = 0;
-  std::string member;  ///< of a member's connection
+  Time opened_at{0};
+  std::uint64_t request_count = 0;
+  std::string endpoint;  ///< of a member's connection
 };
 
 struct Context {
-  explicit Context(const config::Config& config) : bounds(config) {}
+  explicit Context(const config::Config& config) : limits(config) {}
 
-  Bounds bounds;
+  ResourceLimits limits;
   Time now{0};
   std::vector<Effect> effects;
   TimerQueue<Timer> timers;
-  ConnectionId last_connection = 0;  ///< that was opened from here
-  int sockets = 0;                   ///< connections open or coming up
+  ConnectionId last_connection_id = 0;  ///< that was opened from here
+  int open_connections = 0;             ///< connections open or coming up
 
   void log(std::string line);
   void write(ConnectionId connection, std::string bytes);
-  ConnectionId connect(const std::string& address, bool first = false);
+  ConnectionId connect(const std::string& address, bool high_priority = false);
   void close(ConnectionId connection);
-  void close_when_read(ConnectionId connection);
-  void finish(ConnectionId connection);
+  void drain_and_close(ConnectionId connection);
+  void shutdown_write(ConnectionId connection);
   /// The end of a connection: closes it, unless the other side already has, and logs why.
-  void ended(const ConnectionRecord& record, CloseReason reason, bool close_it);
+  void log_closed(const ConnectionRecord& record, CloseReason reason, bool close_it);
 };
 
 }  // namespace dahliahall::edge
--- a/src/edge/front.h
+++ b/src/edge/front.h
@@ -16,49 +16,49 @@
 namespace dahliahall::edge {
 
 /// Names one call on its connection.
-using CallTag = std::int32_t;
+using CallId = std::int32_t;
 
-using FrontFields = std::vector<std::pair<std::string, std::string>>;
+using ClientFields = std::vector<std::pair<std::string, std::string>>;
 
-struct Asked {
-  CallTag tag = 0;
-  FrontFields fields;
+struct ObjectRequest {
+  CallId id = 0;
+  ClientFields fields;
   std::string body;
   bool readable = true;  ///< false: a call for an object, but not in the form agreed
 };
-struct GivenUp {
-  CallTag tag = 0;
+struct CancelRequest {
+  CallId id = 0;
 };
-struct ReadinessAsked {
-  CallTag tag = 0;
+struct ReadinessCheck {
+  CallId id = 0;
 };
-struct NotUnderstood {
-  CallTag tag = 0;
+struct UnknownMethod {
+  CallId id = 0;
   std::string method;
-  bool wants_answer = true;
+  bool wants_reply = true;
 };
-using FrontCall = std::variant<Asked, GivenUp, ReadinessAsked, NotUnderstood>;
+using ClientCall = std::variant<ObjectRequest, CancelRequest, ReadinessCheck, UnknownMethod>;
 
 /// One connection's protocol: bytes to calls, answers to bytes. No I/O, no clock.
-class FrontProtocol {
+class ClientProtocol {
  public:
-  virtual ~FrontProtocol() = default;
+  virtual ~ClientProtocol() = default;
   /// Takes bytes in, however split; the calls that are whole by now.
-  virtual std::vector<FrontCall> feed(std::string_view bytes) = 0;
+  virtual std::vector<ClientCall> feed(std::string_view bytes) = 0;
   /// The stream can't be read any further.
-  [[nodiscard]] virtual bool broken() const = 0;
+  [[nodiscard]] virtual bool is_broken() const = 0;
   /// A message has begun that is not whole yet.
-  [[nodiscard]] virtual bool halfway() const = 0;
+  [[nodiscard]] virtual bool has_partial_message() const = 0;
 
-  virtual std::string served(CallTag tag, std::string_view body, const FrontFields& fields) = 0;
-  virtual std::string refused(CallTag tag, const FrontFields& fields) = 0;
-  virtual std::string failed(CallTag tag) = 0;
-  virtual std::string readiness(CallTag tag, bool good) = 0;
+  virtual std::string served(CallId tag, std::string_view body, const ClientFields& fields) = 0;
+  virtual std::string rejected(CallId tag, const ClientFields& fields) = 0;
+  virtual std::string failed(CallId tag) = 0;
+  virtual std::string readiness_reply(CallId tag, bool good) = 0;
   /// The last answer on a stream that broke.
-  virtual std::string unreadable() = 0;
-  virtual std::string not_understood(const NotUnderstood& call) = 0;
+  virtual std::string malformed_stream_reply() = 0;
+  virtual std::string unknown_method_reply(const UnknownMethod& call) = 0;
 };
 
-std::unique_ptr<FrontProtocol> make_thrift_front();
+std::unique_ptr<ClientProtocol> make_thrift_protocol();
 
 }  // namespace dahliahall::edge
--- a/src/edge/load_log.h
+++ b/src/edge/load_log.h
@@ -13,33 +13,34 @@
 
 namespace dahliahall::edge {
 
-class LoadLog {
+class StatsLog {
  public:
   /// Since the last line.
-  struct Seen {
-    int taken = 0, attempts = 0, served = 0, own = 0, refused = 0, turned_away = 0, failed = 0;
-    bool operator==(const Seen&) const = default;
+  struct SecondCounters {
+    int accepted = 0, attempts = 0, served = 0, served_locally = 0, rejected = 0, rejected_early = 0,
+        failed = 0;
+    bool operator==(const SecondCounters&) const = default;
   };
   /// What is so now.
-  struct Now {
-    std::size_t open = 0, out = 0;
-    Router::Stats believed;
-    std::size_t members = 0, kept = 0;  ///< kept: beside what the module keeps
-    int sockets = 0;
+  struct Gauges {
+    std::size_t pending_requests = 0, attempts_in_flight = 0;
+    Router::Stats router;
+    std::size_t endpoints = 0, table_entries = 0;  ///< kept: beside what the module keeps
+    int connections = 0;
   };
 
-  Seen seen;
+  SecondCounters counters;
 
   /// An attempt is over. One line where it ended wrong, so that its request can be followed by its id through
   /// all proxies. Guards the log against a trouble that ends hundreds of them a second: the sums are told all
   /// the same.
-  void ended(Context& context, const Ended& ended, AttemptResult ending);
+  void log_attempt(Context& context, const AttemptCompletion& log_attempt, AttemptResult ending);
   /// The lines of the second that is over.
-  void tell(Context& context, const Now& now);
+  void log_second(Context& context, const Gauges& now);
 
  private:
-  std::map<std::string, std::map<AttemptResult, int>> endings_;  // by member
-  int wrong_told_ = 0;
+  std::map<std::string, std::map<AttemptResult, int>> results_;  // by member
+  int failed_attempt_lines_ = 0;
 };
 
 }  // namespace dahliahall::edge
--- a/src/edge/membership.h
+++ b/src/edge/membership.h
@@ -15,10 +15,10 @@
 
 namespace dahliahall::edge {
 
-class Membership {
+class EndpointDirectory {
  public:
   /// Takes in the bulletin's news; what is to be told of it to all others.
-  codec::Roster take(const codec::Roster& told, Time now);
+  codec::Roster apply(const codec::Roster& told, Time now);
 
   /// Takes a member out, or in again. What is to be told of it; none where no such member was ever listed.
   std::optional<codec::Roster> suspend(const std::string& id, Time now);
@@ -26,35 +26,35 @@
 
   /// Those that the policy of the whole fleet takes out; what is to be told of the differences. One that
   /// comes back counts as started at that moment, as where an operator puts it back.
-  codec::Roster set_agreed(std::set<std::string> out, Time now);
+  codec::Roster set_policy_suspended(std::set<std::string> out, Time now);
 
   /// What outlives the process, and what another process has kept meanwhile. The latter gives what is to be
   /// told of the differences.
-  [[nodiscard]] std::string kept() const;
-  codec::Roster read_kept(std::string_view text);
+  [[nodiscard]] std::string serialized_overrides() const;
+  codec::Roster load_overrides(std::string_view text);
 
-  [[nodiscard]] bool suspended(const std::string& id) const {
-    const auto found = by_hand_.find(id);
-    return found != by_hand_.end() && found->second.out;
+  [[nodiscard]] bool is_suspended(const std::string& id) const {
+    const auto found = overrides_.find(id);
+    return found != overrides_.end() && found->second.is_suspended;
   }
 
  private:
   /// What operators said of a member last.
-  struct ByHand {
-    bool out = false;
-    Time at{0};
-    bool operator==(const ByHand&) const = default;
+  struct AdminOverride {
+    bool is_suspended = false;
+    Time changed_at{0};
+    bool operator==(const AdminOverride&) const = default;
   };
 
-  [[nodiscard]] codec::ListedMember as_told(const codec::ListedMember& listed) const;
-  [[nodiscard]] codec::Roster change_of(const std::string& id) const;
-  [[nodiscard]] bool known(const std::string& id) const;
-  void forget_old(Time now);
+  [[nodiscard]] codec::ListedMember effective(const codec::ListedMember& listed) const;
+  [[nodiscard]] codec::Roster update_for(const std::string& id) const;
+  [[nodiscard]] bool is_known(const std::string& id) const;
+  void drop_expired_overrides(Time now);
 
-  std::map<std::string, codec::ListedMember> listed_;
-  std::map<std::string, ByHand> by_hand_;
-  std::set<std::string> agreed_out_;
-  std::deque<std::string> left_;  // the ids that left last
+  std::map<std::string, codec::ListedMember> endpoints_;
+  std::map<std::string, AdminOverride> overrides_;
+  std::set<std::string> policy_suspended_;
+  std::deque<std::string> recently_removed_;  // the ids that left last
 };
 
 }  // namespace dahliahall::edge
--- a/src/edge/operators.h
+++ b/src/edge/operators.h
@@ -14,32 +14,32 @@
 
 namespace dahliahall::edge {
 
-class Operators {
+class AdminHandler {
  public:
   /// What it reads its answers from, or acts on.
-  struct Parts {
+  struct Dependencies {
     Context& context;
     Admin& admin;
-    Requests& requests;
-    Pool& pool;
+    PendingRequests& pending_requests;
+    UpstreamPool& upstream;
     Router& router;
-    Membership& membership;
-    Peering& peering;
-    Agreeing& agreeing;
+    EndpointDirectory& endpoints;
+    MembershipAdapter& membership;
+    PolicyController& policy;
   };
-  explicit Operators(const Parts& parts) : parts_(parts) {}
+  explicit AdminHandler(const Dependencies& parts) : dependencies_(parts) {}
 
   /// Does what the call asks for. The members that are to be treated otherwise from now on: to be told to all
   /// before the call is answered.
-  codec::Roster act(const AdminCall& call, Time now);
+  codec::Roster execute(const AdminCall& call, Time now);
   /// The answer, after act: a yes comes once all is done. `ready`: whether the proxy can serve.
-  void answer(ConnectionId connection, const AdminCall& call, bool ready);
+  void reply(ConnectionId connection, const AdminCall& call, bool ready);
 
  private:
   [[nodiscard]] std::string metrics() const;
 
-  Parts parts_;
-  bool known_ = false;  // the member that the last call named
+  Dependencies dependencies_;
+  bool target_known_ = false;  // the member that the last call named
 };
 
 }  // namespace dahliahall::edge
--- a/src/edge/peering.cpp
+++ b/src/edge/peering.cpp
@@ -5,11 +5,12 @@
 
 namespace dahliahall::edge {
 
-Peering::Peering(Context& context, const config::Config& config) : context_(context), seed_(config.seed) {
+MembershipAdapter::MembershipAdapter(Context& context, const config::Config& config)
+    : context_(context), seed_(config.seed) {
   if (config.peers) settings_ = config.peers->settings;
 }
 
-void Peering::ready(const peers::Identity& identity) {
+void MembershipAdapter::start(const peers::Identity& identity) {
   if (!settings_ || state_) return;
   // Each start draws otherwise, and so does each disk: guards against proxies of one seed that probe in step.
   state_.emplace(*settings_, identity, seed_ ^ identity.disk_id ^ identity.incarnation, context_.now);
@@ -17,29 +18,29 @@
                std::to_string(identity.disk_id) + " incarnation=" + std::to_string(identity.incarnation) +
                " new_disk=" + (identity.is_new_disk ? "1" : "0") +
                " known=" + std::to_string(identity.known_members.size()));
-  take(peers::TimerExpired{});
+  handle(peers::TimerExpired{});
 }
 
-void Peering::take(const peers::Input& input) {
+void MembershipAdapter::handle(const peers::Input& input) {
   if (!state_) return;
-  asked_anew_ = true;
+  share_outdated_ = true;
   const peers::PartitionStatus before = state_->view().partition_status();
   for (peers::Effect& effect : state_->handle(context_.now, input))
-    std::visit([this](auto& e) { pass_on(e); }, effect);
+    std::visit([this](auto& e) { forward(e); }, effect);
   const peers::View& view = state_->view();
   if (view.partition_status() != before)
     context_.log("peers stands=" + std::string(name_of(view.partition_status())) +
                  " before=" + std::string(name_of(before)) + " reached=" + std::to_string(view.reachable()) +
                  " registered=" + std::to_string(view.registered()));
-  if (std::exchange(keep_, false))
-    context_.effects.emplace_back(PeersKeep{state_->self(), state_->persistent_state()});
+  if (std::exchange(persist_, false))
+    context_.effects.emplace_back(PersistMembership{state_->self(), state_->persistent_state()});
 }
 
-void Peering::run_due() {
-  if (state_ && state_->next_due() <= context_.now) take(peers::TimerExpired{});
+void MembershipAdapter::run_timers() {
+  if (state_ && state_->next_due() <= context_.now) handle(peers::TimerExpired{});
 }
 
-std::map<std::string, bool> Peering::members() const {
+std::map<std::string, bool> MembershipAdapter::members() const {
   std::map<std::string, bool> all;
   if (!state_) return all;
   for (const auto& [name, member] : state_->view().members()) {
@@ -49,37 +50,38 @@
   return all;
 }
 
-std::optional<Time> Peering::next_due() const {
+std::optional<Time> MembershipAdapter::next_due() const {
   if (!state_ || state_->next_due() == Time::max()) return std::nullopt;
   return state_->next_due();
 }
 
-std::optional<QuotaChanged> Peering::changed_portion(int fleet, int here) {
-  if (!settings_ || (!asked_anew_ && context_.now < part_.expires_at)) return std::nullopt;
-  asked_anew_ = false;
-  const limits::QuotaLeases::QuotaShare before = part_;
-  part_ = state_ ? state_->quota().share(context_.now)
-                 : limits::QuotaLeases::QuotaShare{0, 0, false, Time::max()};
-  if (part_.of_cluster == before.of_cluster && part_.of_zone == before.of_zone && told_) return std::nullopt;
-  told_ = true;
+std::optional<QuotaChanged> MembershipAdapter::take_changed_quota(int cluster_size, int zone_size) {
+  if (!settings_ || (!share_outdated_ && context_.now < share_.expires_at)) return std::nullopt;
+  share_outdated_ = false;
+  const limits::QuotaLeases::QuotaShare before = share_;
+  share_ = state_ ? state_->quota().share(context_.now)
+                  : limits::QuotaLeases::QuotaShare{0, 0, false, Time::max()};
+  if (share_.of_cluster == before.of_cluster && share_.of_zone == before.of_zone && persisted_once_)
+    return std::nullopt;
+  persisted_once_ = true;
   if (state_)
-    context_.log("peers share held=" + std::string(part_.has_lease ? "1" : "0") +
-                 " of_all=" + std::to_string(part_.of_cluster) + " of_zone=" + std::to_string(part_.of_zone));
-  return QuotaChanged{part_.of_cluster * std::max(1, fleet), part_.of_zone * std::max(1, here)};
+    context_.log("peers share held=" + std::string(share_.has_lease ? "1" : "0") + " of_all=" +
+                 std::to_string(share_.of_cluster) + " of_zone=" + std::to_string(share_.of_zone));
+  return QuotaChanged{share_.of_cluster * std::max(1, cluster_size), share_.of_zone * std::max(1, zone_size)};
 }
 
-void Peering::stop() {
+void MembershipAdapter::stop() {
   if (!settings_) return;
-  take(peers::ShutdownRequested{});
-  context_.effects.emplace_back(PeersStop{});
+  handle(peers::ShutdownRequested{});
+  context_.effects.emplace_back(StopMembership{});
 }
 
-std::optional<std::string> Peering::report() const {
+std::optional<std::string> MembershipAdapter::report() const {
   if (!state_) return std::nullopt;
   return peers::report(*state_, context_.now);
 }
 
-std::string Peering::figures() const {
+std::string MembershipAdapter::metrics() const {
   std::string text;
   if (!state_) return text;
   for (const peers::Metric& figure : peers::metrics(*state_, context_.now))
@@ -88,15 +90,15 @@
   return text;
 }
 
-Peering::Forgot Peering::forget(const std::string& name) {
+MembershipAdapter::ForgetResult MembershipAdapter::forget(const std::string& name) {
   const peers::Member* member = state_ ? state_->view().find(name) : nullptr;
-  if (member == nullptr) return Forgot::unknown;
+  if (member == nullptr) return ForgetResult::unknown;
   if (member->update.status == peers::MemberStatus::forgotten ||
       member->update.status == peers::MemberStatus::left)
-    return Forgot::done;
-  if (member->update.status != peers::MemberStatus::dead) return Forgot::reached;
-  take(peers::ForgetMember{name});
-  return Forgot::done;
+    return ForgetResult::forgotten;
+  if (member->update.status != peers::MemberStatus::dead) return ForgetResult::reachable;
+  handle(peers::ForgetMember{name});
+  return ForgetResult::forgotten;
 }
 
 }  // namespace dahliahall::edge
--- a/src/edge/peering.h
+++ b/src/edge/peering.h
@@ -14,23 +14,25 @@
 
 namespace dahliahall::edge {
 
-class Peering {
+class MembershipAdapter {
  public:
-  Peering(Context& context, const config::Config& config);
+  MembershipAdapter(Context& context, const config::Config& config);
 
-  void ready(const peers::Identity& identity);
-  void take(const peers::Input& input);
-  void run_due();
+  void start(const peers::Identity& identity);
+  void handle(const peers::Input& input);
+  void run_timers();
   [[nodiscard]] std::optional<Time> next_due() const;
   /// The part of its even share that this proxy may use from now on, where that has changed: to be asked for
   /// before anything is decided, since a lease may have run out meanwhile. `here`: proxies of this location,
   /// by the settings.
-  std::optional<QuotaChanged> changed_portion(int fleet, int here);
+  std::optional<QuotaChanged> take_changed_quota(int cluster_size, int zone_size);
   void stop();
   /// Bytes of another part, for that member.
-  void carry(const std::string& to, std::string bytes) { take(peers::SendUserMessage{to, std::move(bytes)}); }
+  void send_user_message(const std::string& to, std::string bytes) {
+    handle(peers::SendUserMessage{to, std::move(bytes)});
+  }
   /// What members had carried here since.
-  std::vector<peers::UserMessageReceived> carried() { return std::exchange(carried_, {}); }
+  std::vector<peers::UserMessageReceived> take_user_messages() { return std::exchange(user_messages_, {}); }
   /// Another one where members() may have changed.
   [[nodiscard]] std::uint64_t revision() const { return state_ ? state_->view().revision() : 0; }
   /// The registered members, and whether each is reached.
@@ -39,27 +41,27 @@
   /// JSON for operators; none where there are no peers, or not yet.
   [[nodiscard]] std::optional<std::string> report() const;
   /// As the edge's own figures are written; empty where there are no peers.
-  [[nodiscard]] std::string figures() const;
-  enum class Forgot { done, unknown, reached };
-  Forgot forget(const std::string& name);
+  [[nodiscard]] std::string metrics() const;
+  enum class ForgetResult { forgotten, unknown, reachable };
+  ForgetResult forget(const std::string& name);
 
  private:
-  void pass_on(peers::SendDatagram& e) { context_.effects.emplace_back(PeersEffect{std::move(e)}); }
-  void pass_on(peers::SendFullSync& e) { context_.effects.emplace_back(PeersEffect{std::move(e)}); }
-  void pass_on(peers::FullSyncReply& e) { context_.effects.emplace_back(PeersEffect{std::move(e)}); }
-  void pass_on(peers::LogLine& e) { context_.log(std::move(e.line)); }
-  void pass_on(peers::PersistState&) { keep_ = true; }
-  void pass_on(peers::UserMessageReceived& e) { carried_.push_back(std::move(e)); }
+  void forward(peers::SendDatagram& e) { context_.effects.emplace_back(MembershipEffect{std::move(e)}); }
+  void forward(peers::SendFullSync& e) { context_.effects.emplace_back(MembershipEffect{std::move(e)}); }
+  void forward(peers::FullSyncReply& e) { context_.effects.emplace_back(MembershipEffect{std::move(e)}); }
+  void forward(peers::LogLine& e) { context_.log(std::move(e.line)); }
+  void forward(peers::PersistState&) { persist_ = true; }
+  void forward(peers::UserMessageReceived& e) { user_messages_.push_back(std::move(e)); }
 
   Context& context_;
   std::optional<peers::Settings> settings_;
   std::uint64_t seed_;
   std::optional<peers::State> state_;
-  std::vector<peers::UserMessageReceived> carried_;
-  bool keep_ = false;
-  bool told_ = false;
-  bool asked_anew_ = true;  // the shares may have changed
-  limits::QuotaLeases::QuotaShare part_;
+  std::vector<peers::UserMessageReceived> user_messages_;
+  bool persist_ = false;
+  bool persisted_once_ = false;
+  bool share_outdated_ = true;  // the shares may have changed
+  limits::QuotaLeases::QuotaShare share_;
 };
 
 }  // namespace dahliahall::edge
--- a/src/edge/policy_text.cpp
+++ b/src/edge/policy_text.cpp
@@ -67,7 +67,7 @@
     for (const auto& id : out->GetArray()) {
       if (!id.IsString() || id.GetStringLength() == 0 || id.GetStringLength() > kMostId)
         root.fail("caches_out", "should hold ids of caches");
-      terms.out.emplace(id.GetString(), id.GetStringLength());
+      terms.suspended_endpoints.emplace(id.GetString(), id.GetStringLength());
     }
   }
   return terms;
--- a/src/edge/policy_text.h
+++ b/src/edge/policy_text.h
@@ -13,7 +13,7 @@
 struct PolicyTerms {
   Settings settings;  ///< those of the start, with what the policy says in their place
   std::set<std::size_t> refused_classes;
-  std::set<std::string> out;  ///< caches out for the whole fleet
+  std::set<std::string> suspended_endpoints;  ///< caches out for the whole fleet
 };
 
 /// Throws FieldError, which names the key, where this proxy could not run it. An empty text says nothing.
--- a/src/edge/pool.h
+++ b/src/edge/pool.h
@@ -16,134 +16,137 @@
 namespace dahliahall::edge {
 
 /// What one attempt asks for. The texts are the bytes that the client sent.
-struct Order {
+struct UpstreamRequest {
   std::string request;
-  int number = 0;
-  std::string member, source;
+  int attempt = 0;
+  std::string endpoint, source;
   codec::FieldList fields;  ///< all but the ones that depend on the moment of writing
   std::string body;
   std::size_t request_class = 0;
   std::uint64_t object = 0;
   std::int64_t group = 0;
-  Time decided{0};
-  Time until{0};    ///< nobody waits for the answer any longer
-  Time send_by{0};  ///< it may not be written later; 0: until then
-  Time oldest{0};   ///< as decided; 0: the class's fresh time
+  Time decided_at{0};
+  Time expires_at{0};    ///< nobody waits for the answer any longer
+  Time send_before{0};   ///< it may not be written later; 0: until then
+  Time max_copy_age{0};  ///< as decided; 0: the class's fresh time
 };
 
 /// How an attempt ended. Each Order that was handed in gives exactly one.
-struct Ended {
+struct AttemptCompletion {
   std::string request;
-  int number = 0;
-  std::string member, source;
-  AttemptResult ending = AttemptResult::not_sent;
-  Time took{0};
-  codec::CacheAnswer answer;  ///< of a served one
+  int attempt = 0;
+  std::string endpoint, source;
+  AttemptResult result = AttemptResult::not_sent;
+  Time duration{0};
+  codec::CacheAnswer response;  ///< of a served one
 };
 
-class Pool {
+class UpstreamPool {
  public:
   /// `owed`: whether an answer is still owed to a request.
-  Pool(Context& context, const config::Config& config, std::function<bool(const std::string&)> owed);
+  UpstreamPool(Context& context, const config::Config& config,
+               std::function<bool(const std::string&)> is_owed);
 
   // ---- Members ----
-  void apply(const codec::Roster& roster);
-  void purged(const codec::Recall& recall);
+  void apply(const codec::Roster& update);
+  void invalidate(const codec::Recall& invalidation);
 
   // ---- Attempts and probes ----
-  void start(Order order);
-  void cancel(const std::string& request, int number);
-  void timed_out(const std::string& request, int number);
-  void probe(const std::string& member);
+  void start_attempt(UpstreamRequest request);
+  void cancel_attempt(const std::string& request, int number);
+  void time_out_attempt(const std::string& request, int number);
+  void check_health(const std::string& endpoint);
   /// The next ending, oldest first; the caller tells the module of it.
-  bool take_ended(Ended& ended);
-  bool take_probed(HealthChecked& probed);
+  bool take_completion(AttemptCompletion& ended);
+  bool take_health_result(HealthChecked& probed);
   /// Endings that were held back until now.
-  void late_endings();
+  void release_delayed_completion();
 
   // ---- Connections ----
   /// Attempts without an ending so far.
-  [[nodiscard]] std::size_t out() const { return attempts_.size() + held_back_.size(); }
-  [[nodiscard]] std::size_t members() const { return members_.size(); }
+  [[nodiscard]] std::size_t attempts_in_flight() const {
+    return attempts_.size() + delayed_completions_.size();
+  }
+  [[nodiscard]] std::size_t endpoint_count() const { return endpoints_.size(); }
   /// Listed members to which nothing new goes, because they drain or were taken out by hand.
-  [[nodiscard]] std::size_t not_running() const;
+  [[nodiscard]] std::size_t not_running_count() const;
   /// Attempts written so far, by class.
-  [[nodiscard]] const std::vector<std::uint64_t>& written() const { return written_; }
-  [[nodiscard]] bool owns(ConnectionId connection) const { return links_.count(connection) != 0; }
-  void connected(ConnectionId connection);
-  void bytes(ConnectionId connection, std::string_view bytes);
-  void drained(ConnectionId connection);
+  [[nodiscard]] const std::vector<std::uint64_t>& written_by_class() const { return written_by_class_; }
+  [[nodiscard]] bool owns(ConnectionId connection) const { return connections_.count(connection) != 0; }
+  void on_connected(ConnectionId connection);
+  void on_bytes(ConnectionId connection, std::string_view on_bytes);
+  void on_write_drained(ConnectionId connection);
   /// The connection failed or was ended by the other side.
-  void lost(ConnectionId connection, CloseReason reason);
+  void on_closed(ConnectionId connection, CloseReason reason);
   /// This program stood still: what has come meanwhile is still to be read.
-  void excuse();
-  void connect_overdue(ConnectionId connection);
-  void sweep();
+  void on_loop_stall();
+  void on_connect_timeout(ConnectionId connection);
+  void close_expired();
   void stop();
 
  private:
-  using Key = std::pair<std::string, int>;
-  struct MemberEntry {
-    Endpoint member;
+  using AttemptKey = std::pair<std::string, int>;
+  struct EndpointEntry {
+    Endpoint endpoint;
     std::string address;
-    Time process{0};
-    std::set<ConnectionId> links;
+    Time process_started{0};
+    std::set<ConnectionId> connections;
   };
-  struct Outstanding {
-    Order order;
-    ConnectionId link = 0;
-    bool written = false;
+  struct OutstandingAttempt {
+    UpstreamRequest request;
+    ConnectionId connection = 0;
+    bool is_written = false;
   };
-  struct Link {
-    std::string member;
-    Time opened{0}, active{0}, heard{0};
-    bool up = false, writing = false;
-    std::optional<Key> in_write;         ///< the attempt in what is being written
-    std::optional<CloseReason> retired;  ///< it ends for this once what has come on it is read
-    std::uint64_t requests = 0;
-    int unanswered = 0;  ///< given up or timed out since anything was heard
+  struct UpstreamConnection {
+    std::string endpoint;
+    Time opened_at{0}, active_at{0}, heard_at{0};
+    bool is_connected = false, is_writing = false;
+    std::optional<AttemptKey> attempt_being_written;  ///< the attempt in what is being written
+    std::optional<CloseReason> retired_for;           ///< it ends for this once what has come on it is read
+    std::uint64_t request_count = 0;
+    int unanswered_count = 0;  ///< given up or timed out since anything was heard
     codec::AnswerReader reader;
-    std::map<std::string, int> open;                  ///< attempts written, by request
-    std::deque<std::pair<std::string, int>> waiting;  ///< attempts not written yet
-    std::string commands;                             ///< cancels and probes to be written
-    std::map<std::string, Time> probes;
-    std::map<std::string, Time> carried;  ///< requests it was asked for, until nobody waits for them
+    std::map<std::string, int> open_attempts;                 ///< attempts written, by request
+    std::deque<std::pair<std::string, int>> queued_attempts;  ///< attempts not written yet
+    std::string commands;                                     ///< cancels and probes to be written
+    std::map<std::string, Time> health_checks;
+    std::map<std::string, Time> used_by_requests;  ///< requests it was asked for, until nobody waits for them
   };
 
-  ConnectionId link_for(MemberEntry& entry, const std::string& request);
-  ConnectionId open_link(MemberEntry& entry);
-  [[nodiscard]] std::size_t most_links() const;
-  [[nodiscard]] bool doubtful(const Link& link) const;
-  [[nodiscard]] bool takes_new(const std::string& member) const;
-  [[nodiscard]] bool may_go(const Order& order) const;
-  bool make_room();
-  [[nodiscard]] static bool free(const Link& link);
-  [[nodiscard]] std::vector<ConnectionId> ids_of_links() const;
-  void end_if_in_write(ConnectionId id, const std::function<bool(const Order&)>& stale);
-  void flush(ConnectionId id);
-  std::string render(const Order& order) const;
-  void finish(const Key& key, AttemptResult ending, codec::CacheAnswer answer = {});
-  void finish_later(const Key& key, AttemptResult ending);
-  void drop_queued(ConnectionId id);
-  void retire(MemberEntry& entry, CloseReason reason);
-  void end(ConnectionId id, CloseReason reason, bool close_it);
+  ConnectionId connection_for(EndpointEntry& endpoint, const std::string& request);
+  ConnectionId open_connection(EndpointEntry& endpoint);
+  [[nodiscard]] std::size_t max_connections_per_endpoint() const;
+  [[nodiscard]] bool is_suspicious(const UpstreamConnection& link) const;
+  [[nodiscard]] bool accepts_attempts(const std::string& endpoint) const;
+  [[nodiscard]] bool can_send(const UpstreamRequest& request) const;
+  bool close_idlest();
+  [[nodiscard]] static bool is_idle(const UpstreamConnection& link);
+  [[nodiscard]] std::vector<ConnectionId> connection_ids() const;
+  void close_if_writing_stale(ConnectionId id, const std::function<bool(const UpstreamRequest&)>& stale);
+  void write_next(ConnectionId id);
+  std::string render(const UpstreamRequest& request) const;
+  void complete(const AttemptKey& key, AttemptResult result, codec::CacheAnswer response = {});
+  void complete_later(const AttemptKey& key, AttemptResult result);
+  void drop_stale_queued(ConnectionId id);
+  void retire_connections(EndpointEntry& endpoint, CloseReason reason);
+  void close(ConnectionId id, CloseReason reason, bool close_it);
   void on_answer(ConnectionId id, codec::CacheAnswer answer);
-  void abandon(const Key& key, AttemptResult ending);
+  void abandon_attempt(const AttemptKey& key, AttemptResult result);
 
   Context& context_;
-  Time connect_timeout_, idle_;
-  std::size_t per_link_;
-  ReportVia report_via_;
-  bool cancelling_;
-  std::function<bool(const std::string&)> owed_;
-  std::map<std::string, MemberEntry> members_;
-  std::map<ConnectionId, Link> links_;
-  std::map<Key, Outstanding> attempts_;
-  std::deque<Ended> ended_;
-  std::deque<Ended> held_back_;
-  std::deque<HealthChecked> probed_;
-  std::uint64_t last_probe_ = 0;
-  std::vector<std::uint64_t> written_;
+  Time connect_timeout_, idle_timeout_;
+  std::size_t max_requests_per_connection_;
+  ReportVia load_report_via_;
+  bool cancellation_;
+  std::function<bool(const std::string&)> is_owed_;
+  std::map<std::string, EndpointEntry> endpoints_;
+  std::map<ConnectionId, UpstreamConnection> connections_;
+  std::map<AttemptKey, OutstandingAttempt> attempts_;
+  std::deque<AttemptCompletion> completions_;
+  std::deque<AttemptCompletion> delayed_completions_;
+  std::deque<HealthChecked> health_results_;
+  std::uint64_t last_health_check_ = 0;
+  std::vector<std::uint64_t> written_by_class_;
 };
 
 }  // namespace dahliahall::edge
--- a/src/edge/reducer.cpp
+++ b/src/edge/reducer.cpp
@@ -65,28 +65,28 @@
     }
     running_.known.clear();
     bulletin_.open();
-    context_.timers.add(now + kSweepEvery, {Due::sweep, {}, 0, 0});
-    context_.timers.add(now + kTellEvery, {Due::tell_load, {}, 0, 0});
+    context_.timers.add(now + kSweepEvery, {TimerKind::sweep, {}, 0, 0});
+    context_.timers.add(now + kTellEvery, {TimerKind::log_stats, {}, 0, 0});
   }
 
   std::vector<Effect> take(Time now, const Input& input) {
     // Guards against taking its own standstill for the silence of others: the bulletin would be asked anew,
     // and sends go on without what it has told meanwhile.
-    const bool stood_still = now - context_.now >= kStandstill;
+    const bool stood_still = now - context_.now >= kLoopStallThreshold;
     if (stood_still) context_.log("stood still ms=" + std::to_string((now - context_.now).count() / 1000));
     context_.now = std::max(context_.now, now);
     // What is agreed goes before all that is decided: a lease may have run out meanwhile.
-    agreeing_.run_due();
+    agreeing_.run_timers();
     apply_terms();
     apply_portion();
     if (stood_still) {
-      bulletin_.excuse();
-      pool_.excuse();
+      bulletin_.on_loop_stall();
+      pool_.on_loop_stall();
     }
     // What has come goes before what is due: it may be the bulletin's, or the end of a client.
     std::visit([this](const auto& in) { on(in); }, input);
     run_timers();
-    peering_.run_due();
+    peering_.run_timers();
     agree();
     apply_portion();
     settle();
@@ -100,40 +100,40 @@
 
   void on(const Accepted& in) {
     if (in.listener == kAdminListener) {
-      admin_.accepted(in.connection);
+      admin_.on_accepted(in.connection);
     } else {
-      fronts_.accepted(in.connection);
+      fronts_.on_accepted(in.connection);
     }
   }
 
   void on(const BytesArrived& in) {
     if (fronts_.owns(in.connection)) {
-      std::vector<FrontCall> calls = fronts_.bytes(in.connection, in.bytes);
+      std::vector<ClientCall> calls = fronts_.on_bytes(in.connection, in.bytes);
       drop_cancelled(calls);
-      for (FrontCall& call : calls) {
+      for (ClientCall& call : calls) {
         if (fronts_.protocol(in.connection) == nullptr) break;  // it was turned away
         std::visit([&](auto& c) { on_call(in.connection, c); }, call);
       }
       // Guards the other connections against a stream that can't be read any further: it alone is closed.
-      if (fronts_.broken(in.connection)) turn_away(in.connection);
+      if (fronts_.is_broken(in.connection)) turn_away(in.connection);
     } else if (pool_.owns(in.connection)) {
-      pool_.bytes(in.connection, in.bytes);
+      pool_.on_bytes(in.connection, in.bytes);
     } else if (admin_.owns(in.connection)) {
-      if (const auto call = admin_.bytes(in.connection, in.bytes)) on_admin(in.connection, *call);
+      if (const auto call = admin_.on_bytes(in.connection, in.bytes)) on_admin(in.connection, *call);
     } else if (bulletin_.owns(in.connection)) {
-      for (const codec::BulletinEvent& event : bulletin_.bytes(in.bytes)) apply(event, false);
+      for (const codec::BulletinEvent& event : bulletin_.on_bytes(in.bytes)) apply(event, false);
     }
   }
 
   /// Guards caches against work for a client that has cancelled already: its request and the cancel were read
   /// together. No answer is owed.
-  static void drop_cancelled(std::vector<FrontCall>& calls) {
-    std::set<CallTag> cancelled;  // behind the one looked at
+  static void drop_cancelled(std::vector<ClientCall>& calls) {
+    std::set<CallId> cancelled;  // behind the one looked at
     for (std::size_t at = calls.size(); at-- > 0;) {
-      if (const auto* cancel = std::get_if<GivenUp>(&calls[at])) {
-        cancelled.insert(cancel->tag);
-      } else if (const auto* asked = std::get_if<Asked>(&calls[at]);
-                 asked != nullptr && cancelled.count(asked->tag) != 0) {
+      if (const auto* cancel = std::get_if<CancelRequest>(&calls[at])) {
+        cancelled.insert(cancel->id);
+      } else if (const auto* asked = std::get_if<ObjectRequest>(&calls[at]);
+                 asked != nullptr && cancelled.count(asked->id) != 0) {
         calls.erase(calls.begin() + static_cast<std::ptrdiff_t>(at));
       }
     }
@@ -141,56 +141,57 @@
 
   void on(const WriteDrained& in) {
     if (fronts_.owns(in.connection)) {
-      fronts_.drained(in.connection);
+      fronts_.on_write_drained(in.connection);
     } else if (pool_.owns(in.connection)) {
-      pool_.drained(in.connection);
+      pool_.on_write_drained(in.connection);
     }
   }
 
   void on(const Connected& in) {
     if (pool_.owns(in.connection)) {
-      pool_.connected(in.connection);
+      pool_.on_connected(in.connection);
     } else if (bulletin_.owns(in.connection)) {
-      bulletin_.connected();
+      bulletin_.on_connected();
     }
   }
 
-  void on(const OutOfDescriptors&) { fronts_.make_room(); }
+  void on(const DescriptorsExhausted&) { fronts_.free_descriptor(); }
   void on(const ConnectFailed& in) { lost(in.connection, CloseReason::connect_refused); }
   void on(const Closed& in) {
-    lost(in.connection, in.reset ? CloseReason::peer_reset : CloseReason::peer_closed);
+    lost(in.connection, in.is_reset ? CloseReason::peer_reset : CloseReason::peer_closed);
   }
 
   void lost(ConnectionId connection, CloseReason reason) {
     if (fronts_.owns(connection)) {
       end_front(connection, reason, false);
     } else if (pool_.owns(connection)) {
-      pool_.lost(connection, reason);
+      pool_.on_closed(connection, reason);
     } else if (admin_.owns(connection)) {
       admin_.end(connection, reason, false);
     } else if (bulletin_.owns(connection)) {
-      bulletin_.lost(reason);
+      bulletin_.on_closed(reason);
     }
   }
 
   // Guards against a loop that wakes a moment early: what was armed has been used up and is armed anew.
-  void on(const TimerDue&) { armed_ = Time{0}; }
+  void on(const TimerExpired&) { armed_ = Time{0}; }
 
-  void on(const StopAsked&) {
+  void on(const ShutdownRequested&) {
     if (stopping_) return;
     stopping_ = true;
-    context_.log("stopping open=" + std::to_string(requests_.open()));
-    context_.effects.emplace_back(Yield{});
+    context_.log("stopping open=" + std::to_string(requests_.open_count()));
+    context_.effects.emplace_back(StopAccepting{});
     peering_.stop();
     // Guards against the end of the process with requests unanswered: deadlines differ by site and day.
     stop_by_ =
-        context_.now + std::min(longest_deadline(settings_), kLongestDeadlineAtStop) + kAnswerAfterDeadline;
-    const Time serve_until = std::max(stop_by_ - kServeBeforeAnswer, context_.now + kEndIdleAfterStop);
-    context_.timers.add(context_.now + kEndIdleAfterStop, {Due::end_idle, {}, 0, 0});
-    context_.timers.add(std::min(context_.now + kListenAfterStop, serve_until),
-                        {Due::stop_listening, {}, 0, 0});
-    context_.timers.add(serve_until, {Due::stop_serving, {}, 0, 0});
-    context_.timers.add(stop_by_ + kLastWordsAfterStop, {Due::stop_writing, {}, 0, 0});
+        context_.now + std::min(longest_deadline(settings_), kMaxDeadlineAtShutdown) + kAnswerAfterDeadline;
+    const Time serve_until =
+        std::max(stop_by_ - kServeMarginAtShutdown, context_.now + kCloseIdleAfterShutdown);
+    context_.timers.add(context_.now + kCloseIdleAfterShutdown, {TimerKind::close_idle, {}, 0, 0});
+    context_.timers.add(std::min(context_.now + kListenAfterShutdown, serve_until),
+                        {TimerKind::stop_listening, {}, 0, 0});
+    context_.timers.add(serve_until, {TimerKind::stop_serving, {}, 0, 0});
+    context_.timers.add(stop_by_ + kFlushAfterShutdown, {TimerKind::stop_flushing, {}, 0, 0});
   }
 
   /// Takes over what can change while it runs. Requests, connections and the place in the bulletin are kept.
@@ -200,16 +201,16 @@
     running_.bulletin = in.config.bulletin;
     running_.max_sockets = in.config.max_sockets;
     running_.memory = in.config.memory;
-    context_.bounds = Bounds(running_);
+    context_.limits = ResourceLimits(running_);
     copies_.resize(running_.memory);
     context_.log("reloaded bulletin=" + running_.bulletin);
-    bulletin_.move_to(running_.bulletin);
+    bulletin_.set_address(running_.bulletin);
   }
   // Guards against a faulty file ending what runs well.
   void on(const ReloadFailed& in) { context_.log("reload failed, nothing changed: " + in.problem); }
 
-  void on(const KeptRead& in) {
-    const codec::Roster changed = membership_.read_kept(in.text);
+  void on(const OverridesLoaded& in) {
+    const codec::Roster changed = membership_.load_overrides(in.overrides);
     if (!changed.members.empty()) spread(changed, ListKind::changes);
     settle();
   }
@@ -219,89 +220,91 @@
   void apply_portion() {
     const auto here = static_cast<std::size_t>(settings_.zone);
     const auto& by_zone = settings_.routers_by_zone;
-    if (const auto portion = peering_.changed_portion(
+    if (const auto portion = peering_.take_changed_quota(
             settings_.router_count, here < by_zone.size() ? by_zone[here] : settings_.router_count))
       tell(*portion);
   }
 
   /// What members had carried here, who is reached, what is due; then the terms that have come to hold.
   void agree() {
-    if (!agreeing_.on()) return;
-    for (const peers::UserMessageReceived& carried : peering_.carried()) agreeing_.heard(carried);
-    agreeing_.look_at_peers();
-    agreeing_.run_due();
+    if (!agreeing_.is_enabled()) return;
+    for (const peers::UserMessageReceived& carried : peering_.take_user_messages())
+      agreeing_.on_user_message(carried);
+    agreeing_.update_members();
+    agreeing_.run_timers();
     apply_terms();
-    for (const auto& [connection, status, text] : agreeing_.answers()) {
-      if (admin_.owns(connection)) admin_.answer(connection, status, text);
+    for (const auto& [connection, status, text] : agreeing_.take_replies()) {
+      if (admin_.owns(connection)) admin_.reply(connection, status, text);
     }
   }
 
   /// The module takes another policy as one input, between two requests.
   void apply_terms() {
-    auto terms = agreeing_.changed_terms();
+    auto terms = agreeing_.take_changed_terms();
     if (!terms) return;
     running_.settings = std::move(terms->settings);
     refused_classes_ = std::move(terms->refused_classes);
     tell(SettingsChanged{settings_});
-    const codec::Roster changed = membership_.set_agreed(std::move(terms->out), context_.now);
+    const codec::Roster changed =
+        membership_.set_policy_suspended(std::move(terms->suspended_endpoints), context_.now);
     if (!changed.members.empty()) spread(changed, ListKind::changes);
     settle();
   }
 
-  void on(const PolicyOut& in) { agreeing_.take(in); }
-  void on(const PeersReady& in) {
-    peering_.ready(in.identity);
-    agreeing_.ready(in.identity);
+  void on(const ConsensusOutput& in) { agreeing_.handle(in); }
+  void on(const MembershipReady& in) {
+    peering_.start(in.identity);
+    agreeing_.start(in.identity);
   }
-  void on(const PeersInput& in) { peering_.take(in.input); }
+  void on(const MembershipInput& in) { peering_.handle(in.input); }
 
   void on_admin(ConnectionId connection, const AdminCall& call) {
-    const codec::Roster changed = operators_.act(call, context_.now);
+    const codec::Roster changed = operators_.execute(call, context_.now);
     if (!changed.members.empty()) spread(changed, ListKind::changes);
     settle();
-    operators_.answer(connection, call, listed_ && !stopping_ && agreeing_.decides());
+    operators_.reply(connection, call, listed_ && !stopping_ && agreeing_.can_decide());
   }
 
   // ---- Timers ----
 
   void run_timers() {
     while (const auto timer = context_.timers.pop_due(context_.now)) {
-      switch (timer->what) {
-        case Due::module_wake:
-          tell(TimerFired{std::stoll(timer->id)});
+      switch (timer->kind) {
+        case TimerKind::router_timer:
+          tell(TimerFired{std::stoll(timer->request)});
           break;
-        case Due::request_expired:
-          expire(timer->id);
+        case TimerKind::request_expired:
+          expire(timer->request);
           break;
-        case Due::attempt_timeout:
-          pool_.timed_out(timer->id, timer->number);
+        case TimerKind::attempt_timeout:
+          pool_.time_out_attempt(timer->request, timer->attempt);
           break;
-        case Due::late_ending:
-          pool_.late_endings();
+        case TimerKind::delayed_completion:
+          pool_.release_delayed_completion();
           break;
-        case Due::connect_timeout:
-          pool_.connect_overdue(timer->connection);
+        case TimerKind::connect_timeout:
+          pool_.on_connect_timeout(timer->connection);
           break;
-        case Due::sweep:
+        case TimerKind::sweep:
           sweep();
           break;
-        case Due::bulletin_connect:
+        case TimerKind::discovery_connect:
           bulletin_.open();
           break;
-        case Due::tell_load:
+        case TimerKind::log_stats:
           tell_load();
           break;
-        case Due::end_idle:
+        case TimerKind::close_idle:
           ending_idle_ = true;
           break;
-        case Due::stop_listening:
+        case TimerKind::stop_listening:
           listening_ = false;
           context_.close(kListener);
           break;
-        case Due::stop_serving:
+        case TimerKind::stop_serving:
           serving_ = false;
           break;
-        case Due::stop_writing:
+        case TimerKind::stop_flushing:
           break;  // what is done at each input from then on
       }
       settle();
@@ -309,17 +312,18 @@
   }
 
   void sweep() {
-    for (const std::string& request : fronts_.sweep()) withdraw(request);
-    pool_.sweep();
+    for (const std::string& request : fronts_.close_expired()) withdraw(request);
+    pool_.close_expired();
     admin_.sweep();
-    bulletin_.sweep();
-    context_.timers.add(context_.now + kSweepEvery, {Due::sweep, {}, 0, 0});
+    bulletin_.close_if_silent();
+    context_.timers.add(context_.now + kSweepEvery, {TimerKind::sweep, {}, 0, 0});
   }
 
   void tell_load() {
-    load_.tell(context_, {requests_.open(), pool_.out(), router_.stats(), pool_.members(),
-                          context_.timers.size() + copies_.held(), context_.sockets});
-    if (!stopped_) context_.timers.add(context_.now + kTellEvery, {Due::tell_load, {}, 0, 0});
+    load_.log_second(context_, {requests_.open_count(), pool_.attempts_in_flight(), router_.stats(),
+                                pool_.endpoint_count(), context_.timers.size() + copies_.table_entries(),
+                                context_.open_connections});
+    if (!stopped_) context_.timers.add(context_.now + kTellEvery, {TimerKind::log_stats, {}, 0, 0});
   }
 
   void arm() {
@@ -335,10 +339,10 @@
   /// After SIGTERM: once nothing is owed any more, all connections end, and with them the program.
   void stop_when_done() {
     if (!ending_idle_ || stopped_) return;
-    fronts_.leave_quiet();
+    fronts_.drain_quiet();
     // Guards the end of the process against clients that never read their answers.
-    if (context_.now >= stop_by_ + kLastWordsAfterStop) fronts_.cut_off_unowed();
-    if (listening_ || !fronts_.empty() || requests_.open() > 0) return;
+    if (context_.now >= stop_by_ + kFlushAfterShutdown) fronts_.disconnect_idle();
+    if (listening_ || !fronts_.empty() || requests_.open_count() > 0) return;
     stopped_ = true;
     pool_.stop();
     admin_.stop();
@@ -349,51 +353,51 @@
 
   // ---- Clients ----
 
-  void on_call(ConnectionId front, Asked& call) {
+  void on_call(ConnectionId front, ObjectRequest& call) {
     // Guards against two requests under one number: which of them an answer is for could not be told.
-    if (fronts_.has_open(front, call.tag)) {
+    if (fronts_.has_open_call(front, call.id)) {
       turn_away(front);
       return;
     }
     // Guards against clients that ask for more than they may or read: these refusals take next to no work.
-    if (fronts_.backed_up(front) || !serving_) {
-      ++load_.seen.turned_away;
-      requests_.turn_back(front, call);
+    if (fronts_.is_backed_up(front) || !serving_) {
+      ++load_.counters.rejected_early;
+      requests_.reject_unaccepted(front, call);
       return;
     }
     // Guards everywhere or nowhere: without a lease on the active epoch nothing is decided, and a class that
     // the policy refuses is refused.
-    if (!agreeing_.decides()) agreeing_.count_refused();
+    if (!agreeing_.can_decide()) agreeing_.count_rejected();
     const bool refused = !refused_classes_.empty() && refused_classes_.count(requests_.class_of(call)) != 0;
-    if (!agreeing_.decides() || refused) {
-      ++load_.seen.turned_away;
-      requests_.turn_back(front, call);
+    if (!agreeing_.can_decide() || refused) {
+      ++load_.counters.rejected_early;
+      requests_.reject_unaccepted(front, call);
       return;
     }
     // Guards what is taken late against the end of the process: it would never be answered.
-    std::optional<Taken> taken =
+    std::optional<PendingRequest> taken =
         requests_.read(front, call, stopping_ ? std::optional<Time>(stop_by_) : std::nullopt);
     if (!taken || requests_.find(taken->request.id) != nullptr) {
-      ++load_.seen.turned_away;
-      requests_.turn_away(front, call);
+      ++load_.counters.rejected_early;
+      requests_.fail_unaccepted(front, call);
       return;
     }
     // Guards the memory against clients that send more than can be passed on.
-    if (!requests_.room_for(*taken)) {
-      ++load_.seen.turned_away;
-      requests_.turn_back(front, call);
+    if (!requests_.has_room_for(*taken)) {
+      ++load_.counters.rejected_early;
+      requests_.reject_unaccepted(front, call);
       return;
     }
-    ++load_.seen.taken;
+    ++load_.counters.accepted;
     Request request = taken->request;
-    taken->epoch = agreeing_.epoch().value_or(0);
-    if (agreeing_.traces()) trace("taken", request.id, taken->epoch);
+    taken->accepted_epoch = agreeing_.epoch().value_or(0);
+    if (agreeing_.is_tracing()) trace("taken", request.id, taken->accepted_epoch);
     // Guards the rule on purges: without its news a copy may be older than one that counts as told.
-    if (!request.write && taken->key.empty() && taken->body.empty() && bulletin_.heard() &&
+    if (!request.write && taken->key.empty() && taken->body.empty() && bulletin_.is_current() &&
         copies_.find(key_of(request), context_.now, max_age_of(request)) != nullptr)
-      request.local_copy_wait = copies_.wait(context_.now);
-    requests_.take(std::move(*taken));
-    context_.timers.add(request.expires, {Due::request_expired, request.id, 0, 0});
+      request.local_copy_wait = copies_.transfer_wait(context_.now);
+    requests_.add(std::move(*taken));
+    context_.timers.add(request.expires, {TimerKind::request_expired, request.id, 0, 0});
     tell(request);
     settle();
   }
@@ -404,48 +408,50 @@
                  " epoch=" + std::to_string(epoch) + " now_us=" + std::to_string(context_.now.count()));
   }
 
-  static Copies::Key key_of(const Request& r) {
+  static LocalCache::Key key_of(const Request& r) {
     return {static_cast<std::size_t>(r.request_class), r.object, r.part};
   }
   Time max_age_of(const Request& r) const {
     return settings_.classes[static_cast<std::size_t>(r.request_class)].max_age;
   }
 
-  void on_call(ConnectionId front, const GivenUp& call) { withdraw(fronts_.release(front, call.tag)); }
+  void on_call(ConnectionId front, const CancelRequest& call) {
+    withdraw(fronts_.remove_open_call(front, call.id));
+  }
 
-  void on_call(ConnectionId front, const ReadinessAsked& call) {
-    fronts_.answer(
-        front, fronts_.protocol(front)->readiness(call.tag, listed_ && !stopping_ && agreeing_.decides()));
+  void on_call(ConnectionId front, const ReadinessCheck& call) {
+    fronts_.reply(front, fronts_.protocol(front)->readiness_reply(
+                             call.id, listed_ && !stopping_ && agreeing_.can_decide()));
   }
 
-  void on_call(ConnectionId front, const NotUnderstood& call) {
-    if (call.wants_answer) fronts_.answer(front, fronts_.protocol(front)->not_understood(call));
+  void on_call(ConnectionId front, const UnknownMethod& call) {
+    if (call.wants_reply) fronts_.reply(front, fronts_.protocol(front)->unknown_method_reply(call));
   }
 
   /// Ends a client whose stream can't be followed any further, so that it can still read why.
   void turn_away(ConnectionId front) {
-    std::string last = fronts_.protocol(front)->unreadable();
-    for (const std::string& request : fronts_.leave(front, CloseReason::bad_frame, std::move(last)))
+    std::string last = fronts_.protocol(front)->malformed_stream_reply();
+    for (const std::string& request : fronts_.drain(front, CloseReason::bad_frame, std::move(last)))
       withdraw(request);
   }
 
   void end_front(ConnectionId front, CloseReason reason, bool close_it) {
-    for (const std::string& request : fronts_.end(front, reason, close_it)) withdraw(request);
+    for (const std::string& request : fronts_.close(front, reason, close_it)) withdraw(request);
   }
 
   /// The client waits no longer: no answer is owed.
   void withdraw(const std::string& request) {
-    if (!requests_.forget(request)) return;
+    if (!requests_.remove(request)) return;
     tell(RequestCancelled{request});
     settle();
   }
 
   /// Guards the rule on final answers, should the module not have given one by the time the client leaves.
   void expire(const std::string& request) {
-    const Taken* taken = requests_.find(request);
+    const PendingRequest* taken = requests_.find(request);
     if (taken == nullptr) return;
-    const int attempts = taken->attempts;
-    for (int n = 0; n < attempts; ++n) pool_.timed_out(request, n);
+    const int attempts = taken->attempt_count;
+    for (int n = 0; n < attempts; ++n) pool_.time_out_attempt(request, n);
     requests_.failed(request);
     tell(RequestCancelled{request});
   }
@@ -457,20 +463,20 @@
     // that has gone either, so nothing that was heard of drains is lost with it. Where nothing was known, it
     // is the list.
     const bool empty =
-        event.roster && event.roster->complete && event.roster->members.empty() && pool_.members() > 0;
+        event.roster && event.roster->complete && event.roster->members.empty() && pool_.endpoint_count() > 0;
     if (empty) context_.log("list empty no=" + std::to_string(event.number) + " passed over");
     if (event.roster && !empty) {
       listed_ = listed_ || event.roster->complete;
       context_.log("list no=" + std::to_string(event.number) +
                    " complete=" + (event.roster->complete ? "1" : "0") +
                    " members=" + std::to_string(event.roster->members.size()));
-      spread(membership_.take(*event.roster, context_.now), !event.roster->complete ? ListKind::changes
-                                                            : remembered ? ListKind::from_configuration
-                                                                         : ListKind::complete);
+      spread(membership_.apply(*event.roster, context_.now), !event.roster->complete ? ListKind::changes
+                                                             : remembered ? ListKind::from_configuration
+                                                                          : ListKind::complete);
     }
     if (event.recall) {
-      pool_.purged(*event.recall);
-      copies_.purged(*event.recall, context_.now);
+      pool_.invalidate(*event.recall);
+      copies_.invalidate(*event.recall, context_.now);
       tell(Invalidation{event.recall->object, event.recall->group,
                         std::max(Time{0}, context_.now - event.recall->issued)});
     }
@@ -495,12 +501,12 @@
 
   /// Tells the module of what has ended meanwhile, until nothing is left to tell.
   void settle() {
-    Ended ended;
+    AttemptCompletion ended;
     HealthChecked probed;
     while (true) {
-      if (pool_.take_ended(ended)) {
+      if (pool_.take_completion(ended)) {
         report(ended);
-      } else if (pool_.take_probed(probed)) {
+      } else if (pool_.take_health_result(probed)) {
         tell(probed);
       } else {
         return;
@@ -508,27 +514,27 @@
     }
   }
 
-  void report(const Ended& ended) {
+  void report(const AttemptCompletion& ended) {
     Outcome outcome;
     outcome.request = ended.request;
-    outcome.attempt = ended.number;
-    outcome.endpoint = ended.member;
-    outcome.result = ended.ending;
+    outcome.attempt = ended.attempt;
+    outcome.endpoint = ended.endpoint;
+    outcome.result = ended.result;
     // Guards clients against being told that the copy they hold is the one, where they hold none, or against
     // bytes that such an answer can't bring.
-    if (ended.ending == AttemptResult::served && ended.answer.word == codec::AnswerWord::valid) {
-      const Taken* taken = requests_.find(ended.request);
-      if (taken != nullptr && (taken->held_tag.empty() || !ended.answer.body.empty()))
+    if (ended.result == AttemptResult::served && ended.response.word == codec::AnswerWord::valid) {
+      const PendingRequest* taken = requests_.find(ended.request);
+      if (taken != nullptr && (taken->client_entity_tag.empty() || !ended.response.body.empty()))
         outcome.result = AttemptResult::malformed_response;
     }
-    outcome.duration = ended.took;
-    load_.ended(context_, ended, outcome.result);
+    outcome.duration = ended.duration;
+    load_.log_attempt(context_, ended, outcome.result);
     if (outcome.result == AttemptResult::served) {
-      if (const Taken* taken = requests_.find(ended.request)) {
-        ++load_.seen.served;
+      if (const PendingRequest* taken = requests_.find(ended.request)) {
+        ++load_.counters.served;
         const Request& r = taken->request;
-        if (!r.write) copies_.offer(key_of(r), r.group, ended.answer, context_.now);
-        requests_.served(ended.request, ended.answer);
+        if (!r.write) copies_.insert(key_of(r), r.group, ended.response, context_.now);
+        requests_.served(ended.request, ended.response);
       }
     }
     outcome.request_finished = requests_.find(ended.request) == nullptr;
@@ -536,39 +542,39 @@
   }
 
   void perform(Attempt& a) {
-    ++load_.seen.attempts;
-    Order order;
+    ++load_.counters.attempts;
+    UpstreamRequest order;
     order.request = a.request;
-    order.member = a.endpoint;
+    order.endpoint = a.endpoint;
     order.source = a.source.empty() ? a.endpoint : a.source;
-    order.decided = context_.now;
-    order.until = context_.now;  // unless somebody waits: then it is unsent
-    order.oldest = a.max_copy_age;
-    if (Taken* found = requests_.find(a.request)) {
-      Taken& taken = *found;
-      order.number = taken.attempts++;
+    order.decided_at = context_.now;
+    order.expires_at = context_.now;  // unless somebody waits: then it is unsent
+    order.max_copy_age = a.max_copy_age;
+    if (PendingRequest* found = requests_.find(a.request)) {
+      PendingRequest& taken = *found;
+      order.attempt = taken.attempt_count++;
       order.request_class = static_cast<std::size_t>(taken.request.request_class);
       order.object = taken.request.object;
       order.group = taken.request.group;
-      order.until = taken.request.expires;
-      if (a.send_within > Time{0}) order.send_by = context_.now + a.send_within;
-      if (a.timeout > Time{0}) order.until = std::min(order.until, context_.now + a.timeout);
+      order.expires_at = taken.request.expires;
+      if (a.send_within > Time{0}) order.send_before = context_.now + a.send_within;
+      if (a.timeout > Time{0}) order.expires_at = std::min(order.expires_at, context_.now + a.timeout);
       // Guards the next epoch against what goes on under the one before: it is unsent.
-      if (!agreeing_.may_attempt(taken.epoch)) order.until = context_.now;
-      if (agreeing_.traces())
-        trace(order.until > context_.now ? "attempt" : "unsent", a.request, taken.epoch);
+      if (!agreeing_.can_attempt(taken.accepted_epoch)) order.expires_at = context_.now;
+      if (agreeing_.is_tracing())
+        trace(order.expires_at > context_.now ? "attempt" : "unsent", a.request, taken.accepted_epoch);
       order.body = taken.body;
       add_fields(order.fields, taken, a);
     }
-    pool_.start(std::move(order));
+    pool_.start_attempt(std::move(order));
   }
 
-  static void add_fields(codec::FieldList& fields, const Taken& taken, const Attempt& a) {
+  static void add_fields(codec::FieldList& fields, const PendingRequest& taken, const Attempt& a) {
     fields.add("profile", taken.verb);
     fields.add("thing", taken.item);
     if (!taken.piece.empty()) fields.add("nth", taken.piece);
     if (!taken.key.empty()) fields.add("replay", taken.key);
-    if (!taken.held_tag.empty()) fields.add("seen", taken.held_tag);
+    if (!taken.client_entity_tag.empty()) fields.add("seen", taken.client_entity_tag);
     if (a.rank != Rank::uncached) fields.add("rank", std::to_string(static_cast<int>(a.rank)));
     std::string mode;
     if (a.join_fill) mode += "collapse+";
@@ -580,30 +586,32 @@
     fields.add("mode", mode);
   }
 
-  void perform(const Cancel& c) { pool_.cancel(c.request, c.attempt); }
+  void perform(const Cancel& c) { pool_.cancel_attempt(c.request, c.attempt); }
   void perform(const Reject& r) {
-    ++load_.seen.refused;
-    requests_.refused(r.request, r.retry_after);
+    ++load_.counters.rejected;
+    requests_.rejected(r.request, r.retry_after);
   }
   void perform(const Fail& f) {
-    ++load_.seen.failed;
+    ++load_.counters.failed;
     requests_.failed(f.request);
   }
   void perform(const ServeFromLocalCache& own) {
-    const Taken* taken = requests_.find(own.request);
+    const PendingRequest* taken = requests_.find(own.request);
     if (taken == nullptr) return;
-    const Copies::Copy* copy = copies_.find(key_of(taken->request), context_.now, max_age_of(taken->request));
+    const LocalCache::CachedCopy* copy =
+        copies_.find(key_of(taken->request), context_.now, max_age_of(taken->request));
     if (copy == nullptr) return;
     // Telling a client that the copy it holds is the one takes little of the link.
-    const bool same = !taken->held_tag.empty() && taken->held_tag == copy->tag;
-    copies_.sent(same ? copy->body.size() / kSameCopyCosts : copy->body.size(), context_.now);
-    ++load_.seen.own;
-    requests_.served(own.request, same ? std::string_view() : std::string_view(copy->body), copy->tag, same);
+    const bool same = !taken->client_entity_tag.empty() && taken->client_entity_tag == copy->entity_tag;
+    copies_.record_sent(same ? copy->body.size() / kSameCopyCosts : copy->body.size(), context_.now);
+    ++load_.counters.served_locally;
+    requests_.served(own.request, same ? std::string_view() : std::string_view(copy->body), copy->entity_tag,
+                     same);
   }
   void perform(const SetTimer& w) {
-    context_.timers.add(context_.now + w.after, {Due::module_wake, std::to_string(w.token), 0, 0});
+    context_.timers.add(context_.now + w.after, {TimerKind::router_timer, std::to_string(w.token), 0, 0});
   }
-  void perform(const CheckHealth& p) { pool_.probe(p.endpoint); }
+  void perform(const CheckHealth& p) { pool_.check_health(p.endpoint); }
   void perform(const FetchEndpointList&) {}      // the bulletin tells of every change by itself
   void perform(const SubscribeEndpointList&) {}  // likewise
   void perform(const LogMessage& r) { context_.log("remark " + r.text); }
@@ -613,17 +621,17 @@
   Router router_;
   Context context_;
   Admin admin_;
-  Fronts fronts_;
-  Requests requests_;
-  Membership membership_;
-  Pool pool_;
-  BulletinLink bulletin_;
-  Copies copies_;
-  Peering peering_;
-  Agreeing agreeing_;
+  ClientConnections fronts_;
+  PendingRequests requests_;
+  EndpointDirectory membership_;
+  UpstreamPool pool_;
+  DiscoveryClient bulletin_;
+  LocalCache copies_;
+  MembershipAdapter peering_;
+  PolicyController agreeing_;
   std::set<std::size_t> refused_classes_;  // by the policy
-  Operators operators_;
-  LoadLog load_;
+  AdminHandler operators_;
+  StatsLog load_;
   bool listed_ = false;       // the whole list is in
   bool stopping_ = false;     // SIGTERM has come
   bool ending_idle_ = false;  // clients' connections end as soon as they owe nothing
--- a/src/edge/reducer.h
+++ b/src/edge/reducer.h
@@ -26,8 +26,9 @@
 /// that were accepted are odd, those that the reducer opens even: guards against one number for two, where a
 /// timer opens a connection in the same moment in which another one is accepted.
 using ConnectionId = std::uint64_t;
-constexpr ConnectionId kIdStep = 2;
-constexpr ConnectionId kBeforeAccepted = ~ConnectionId{0};  ///< one step before the first accepted one, 1
+constexpr ConnectionId kConnectionIdStep = 2;
+constexpr ConnectionId kBeforeFirstAccepted =
+    ~ConnectionId{0};  ///< one step before the first accepted one, 1
 constexpr ConnectionId kListener = 0;
 /// The listening socket at the second address.
 constexpr ConnectionId kAdminListener = ~ConnectionId{0};
@@ -42,11 +43,11 @@
   idle,
   bad_frame,
   no_message,
-  bad_answer,
+  malformed_response,
   bad_stream,
-  bulletin_moved,
-  member_left,
-  member_replaced,
+  discovery_moved,
+  endpoint_left,
+  endpoint_replaced,
   silent,
   stalled,
   backlog,
@@ -62,7 +63,7 @@
   ConnectionId listener = kListener;
 };
 /// The system gave no descriptor for a connection.
-struct OutOfDescriptors {};
+struct DescriptorsExhausted {};
 struct BytesArrived {
   ConnectionId connection = 0;
   std::string_view bytes;
@@ -79,10 +80,10 @@
 };
 struct Closed {
   ConnectionId connection = 0;
-  bool reset = false;
+  bool is_reset = false;
 };
-struct TimerDue {};
-struct StopAsked {};  ///< SIGTERM
+struct TimerExpired {};
+struct ShutdownRequested {};  ///< SIGTERM
 /// SIGHUP: the configuration as it was read and checked anew.
 struct Reloaded {
   config::Config config;
@@ -91,29 +92,29 @@
   std::string problem;  ///< names the faulty key
 };
 /// What a process of this edge proxy has kept: an earlier one, or one that runs beside it for a while.
-struct KeptRead {
-  std::string text;
+struct OverridesLoaded {
+  std::string overrides;
 };
 /// The peers' sockets are bound, and who this process is among them is on its disk.
-struct PeersReady {
+struct MembershipReady {
   peers::Identity identity;
 };
 /// What came there.
-struct PeersInput {
+struct MembershipInput {
   peers::Input input;
 };
 /// What the policy's log has come to, beside the loop.
-struct PolicyOut {
-  std::vector<std::pair<std::string, std::string>> send;  ///< to that member, these bytes
+struct ConsensusOutput {
+  std::vector<std::pair<std::string, std::string>> messages;  ///< to that member, these bytes
   std::vector<agreed::Input> inputs;
-  std::vector<std::string> log;
+  std::vector<std::string> log_lines;
   std::map<std::string, std::uint64_t> voters;  ///< names and ids, as the log has them
-  std::vector<std::tuple<ConnectionId, int, std::string>> answers;
-  std::uint64_t id = 0;  ///< this proxy's own
+  std::vector<std::tuple<ConnectionId, int, std::string>> replies;
+  std::uint64_t raft_id = 0;  ///< this proxy's own
 };
-using Input =
-    std::variant<Accepted, OutOfDescriptors, BytesArrived, WriteDrained, Connected, ConnectFailed, Closed,
-                 TimerDue, StopAsked, Reloaded, ReloadFailed, KeptRead, PeersReady, PeersInput, PolicyOut>;
+using Input = std::variant<Accepted, DescriptorsExhausted, BytesArrived, WriteDrained, Connected,
+                           ConnectFailed, Closed, TimerExpired, ShutdownRequested, Reloaded, ReloadFailed,
+                           OverridesLoaded, MembershipReady, MembershipInput, ConsensusOutput>;
 
 // ---- Effects, to be carried out in order ----
 
@@ -124,10 +125,10 @@
 struct Connect {
   ConnectionId connection = 0;
   std::string address;
-  bool first = false;  ///< what comes on it is to be read before all else that waits
+  bool high_priority = false;  ///< what comes on it is to be read before all else that waits
 };
 /// Ends this side's half once all is written: the other side can still read it.
-struct Finish {
+struct ShutdownWrite {
   ConnectionId connection = 0;
 };
 /// Nothing more is told of the connection after this. Closing the listener ends the program once no
@@ -136,51 +137,52 @@
   ConnectionId connection = 0;
 };
 /// Reads what has come on the connection so far, told as BytesArrived, then closes it, told as Closed.
-struct CloseWhenRead {
+struct DrainAndClose {
   ConnectionId connection = 0;
 };
 /// Wants TimerDue at this time; the newest counts.
 struct ArmTimer {
   Time at{0};
 };
-struct Log {
+struct LogLine {
   std::string line;
 };
 /// New connections go to another process that listens at the same address, where there is one.
-struct Yield {};
+struct StopAccepting {};
 /// To be kept where an upgrade leaves it; the newest counts.
-struct Keep {
-  std::string text;
+struct PersistOverrides {
+  std::string overrides;
 };
 /// To be sent by the peers' sockets.
-struct PeersEffect {
+struct MembershipEffect {
   std::variant<peers::SendDatagram, peers::SendFullSync, peers::FullSyncReply> effect;
 };
 /// Who this process is, and the members it knows, for the next one; the newest counts.
-struct PeersKeep {
+struct PersistMembership {
   peers::MemberUpdate self;
   std::vector<peers::MemberUpdate> members;
 };
 /// The peers' sockets close.
-struct PeersStop {};
-struct BirthFrom {
+struct StopMembership {};
+struct BootstrapReceived {
   std::string from;
   agreed::BootstrapMessage message;
 };
 /// An operator's word on a voter: `name=id` to be added, or a name to be removed.
-struct VoterWanted {
+struct VoterChangeCall {
   ConnectionId call = 0;
   std::string name;
   bool add = false;
 };
 /// For the policy's log.
-struct PolicyEffect {
-  std::variant<agreed::AppendEntry, agreed::CheckTerm, agreed::PersistLearned, agreed::RaftMessage, BirthFrom,
-               VoterWanted>
+struct ConsensusEffect {
+  std::variant<agreed::AppendEntry, agreed::CheckTerm, agreed::PersistLearned, agreed::RaftMessage,
+               BootstrapReceived, VoterChangeCall>
       effect;
 };
-using Effect = std::variant<Write, Connect, Finish, Close, CloseWhenRead, ArmTimer, Log, Yield, Keep,
-                            PeersEffect, PeersKeep, PeersStop, PolicyEffect>;
+using Effect =
+    std::variant<Write, Connect, ShutdownWrite, Close, DrainAndClose, ArmTimer, LogLine, StopAccepting,
+                 PersistOverrides, MembershipEffect, PersistMembership, StopMembership, ConsensusEffect>;
 
 /// The state of an edge proxy.
 class State {
--- a/src/edge/requests.cpp
+++ b/src/edge/requests.cpp
@@ -40,7 +40,7 @@
 
 class FieldReader {
  public:
-  explicit FieldReader(const FrontFields& fields) : fields_(fields) {}
+  explicit FieldReader(const ClientFields& fields) : fields_(fields) {}
   std::string_view text(std::string_view name) const {
     for (const auto& [key, value] : fields_) {
       if (key == name) return value;
@@ -49,27 +49,28 @@
   }
 
  private:
-  const FrontFields& fields_;
+  const ClientFields& fields_;
 };
 
 }  // namespace
 
 /// Guards the module's means of work against sizes that no object has.
-double Requests::most_kb(const RequestClass& c) const {
-  const double most = kMostDeadlines * std::chrono::duration<double>(c.deadline).count();
+double PendingRequests::max_size_kb(const RequestClass& request_class) const {
+  const double most = kMostDeadlines * std::chrono::duration<double>(request_class.deadline).count();
   return settings_.transfer_kb_per_s > 0 ? most * settings_.transfer_kb_per_s : 1e9;
 }
 
-std::optional<Taken> Requests::read(ConnectionId front, Asked& call, std::optional<Time> answer_by) const {
+std::optional<PendingRequest> PendingRequests::read(ConnectionId client, ObjectRequest& call,
+                                                    std::optional<Time> answer_by) const {
   const FieldReader fields(call.fields);
-  Taken taken;
-  taken.front = front;
-  taken.tag = call.tag;
+  PendingRequest taken;
+  taken.client = client;
+  taken.call_id = call.id;
   taken.verb = fields.text("verb");
   taken.item = fields.text("item");
   taken.piece = fields.text("piece");
   taken.key = fields.text("unique");
-  taken.held_tag = fields.text("ver");
+  taken.client_entity_tag = fields.text("ver");
   const std::string id(fields.text("txn"));
   const auto& classes = settings_.classes;
   const auto known = classes.begin() + static_cast<std::ptrdiff_t>(class_of(taken.verb));
@@ -80,8 +81,8 @@
   const bool good =
       call.readable && known != classes.end() && hex16(id) && hex16(taken.item) && limit && *limit > 0 &&
       std::chrono::milliseconds(*limit) <= kMostDeadlines * known->deadline && piece && lot && *lot >= 0 &&
-      *lot <= 255 && kb && *kb >= 0 && *kb <= most_kb(*known) && *piece <= kMaxPiece &&
-      call.body.size() <= kMaxSent && (taken.held_tag.empty() || plain(taken.held_tag)) &&
+      *lot <= 255 && kb && *kb >= 0 && *kb <= max_size_kb(*known) && *piece <= kMaxPiece &&
+      call.body.size() <= kMaxSent && (taken.client_entity_tag.empty() || plain(taken.client_entity_tag)) &&
       (taken.key.empty() ? known->idempotency != dahliahall::Idempotency::with_key : plain(taken.key));
   if (!good) return std::nullopt;
   Request& r = taken.request;
@@ -100,82 +101,84 @@
   return taken;
 }
 
-void Requests::take(Taken taken) {
-  bodies_ += taken.body.size();
-  fronts_.take(taken.front, taken.tag, taken.request.id);
-  std::string id = taken.request.id;
-  taken_.emplace(std::move(id), std::move(taken));
+void PendingRequests::add(PendingRequest request) {
+  body_bytes_ += request.body.size();
+  clients_.add_open_call(request.client, request.call_id, request.request.id);
+  std::string id = request.request.id;
+  pending_.emplace(std::move(id), std::move(request));
 }
 
-Taken* Requests::find(const std::string& request) {
-  const auto found = taken_.find(request);
-  return found == taken_.end() ? nullptr : &found->second;
+PendingRequest* PendingRequests::find(const std::string& request) {
+  const auto found = pending_.find(request);
+  return found == pending_.end() ? nullptr : &found->second;
 }
 
-bool Requests::forget(const std::string& request) {
-  const auto found = taken_.find(request);
-  if (found == taken_.end()) return false;
+bool PendingRequests::remove(const std::string& request) {
+  const auto found = pending_.find(request);
+  if (found == pending_.end()) return false;
   release(found);
   return true;
 }
 
-void Requests::release(std::map<std::string, Taken>::iterator taken) {
-  bodies_ -= taken->second.body.size();
-  taken_.erase(taken);
+void PendingRequests::release(std::map<std::string, PendingRequest>::iterator taken) {
+  body_bytes_ -= taken->second.body.size();
+  pending_.erase(taken);
 }
 
-template <typename Word>
-void Requests::answer(const std::string& request, Final kind, Word&& word) {
-  const auto found = taken_.find(request);
-  if (found == taken_.end()) return;
-  const ConnectionId front = found->second.front;
-  const CallTag tag = found->second.tag;
+template <typename MakeReply>
+void PendingRequests::answer(const std::string& request, FinalAnswer kind, MakeReply&& make_reply) {
+  const auto found = pending_.find(request);
+  if (found == pending_.end()) return;
+  const ConnectionId front = found->second.client;
+  const CallId tag = found->second.call_id;
   count(static_cast<std::size_t>(found->second.request.request_class), kind);
   release(found);
-  fronts_.release(front, tag);
-  FrontProtocol* protocol = fronts_.protocol(front);
-  if (protocol != nullptr) fronts_.answer(front, word(*protocol, tag));
+  clients_.remove_open_call(front, tag);
+  ClientProtocol* protocol = clients_.protocol(front);
+  if (protocol != nullptr) clients_.reply(front, make_reply(*protocol, tag));
 }
 
-void Requests::served(const std::string& request, const codec::CacheAnswer& answer) {
+void PendingRequests::served(const std::string& request, const codec::CacheAnswer& answer) {
   served(request, answer.body, codec::field_in(answer.fields, "ver"),
          answer.word == codec::AnswerWord::valid);
 }
 
-void Requests::served(const std::string& request, std::string_view body, std::optional<std::string_view> tag,
-                      bool unchanged) {
-  answer(request, Final::served, [&](FrontProtocol& front, CallTag call) {
-    FrontFields fields;
+void PendingRequests::served(const std::string& request, std::string_view body,
+                             std::optional<std::string_view> tag, bool unchanged) {
+  answer(request, FinalAnswer::served, [&](ClientProtocol& front, CallId call) {
+    ClientFields fields;
     if (unchanged) fields.emplace_back("unchanged", "1");
     if (tag) fields.emplace_back("ver", *tag);
     return front.served(call, body, fields);
   });
 }
 
-void Requests::refused(const std::string& request, Time retry_after) {
-  answer(request, Final::refused,
-         [&](FrontProtocol& front, CallTag tag) { return front.refused(tag, later(retry_after)); });
+void PendingRequests::rejected(const std::string& request, Time retry_after) {
+  answer(request, FinalAnswer::rejected, [&](ClientProtocol& front, CallId tag) {
+    return front.rejected(tag, retry_after_fields(retry_after));
+  });
 }
 
-void Requests::failed(const std::string& request) {
-  answer(request, Final::failed, [](FrontProtocol& front, CallTag tag) { return front.failed(tag); });
+void PendingRequests::failed(const std::string& request) {
+  answer(request, FinalAnswer::failed, [](ClientProtocol& front, CallId tag) { return front.failed(tag); });
 }
 
-std::size_t Requests::class_of(const Asked& call) const {
+std::size_t PendingRequests::class_of(const ObjectRequest& call) const {
   return class_of(FieldReader(call.fields).text("verb"));
 }
 
-void Requests::turn_back(ConnectionId front, const Asked& call) {
-  count(class_of(call), Final::refused);
-  fronts_.answer(front, fronts_.protocol(front)->refused(call.tag, later(settings_.max_retry_after)));
+void PendingRequests::reject_unaccepted(ConnectionId client, const ObjectRequest& call) {
+  count(class_of(call), FinalAnswer::rejected);
+  clients_.reply(client,
+                 clients_.protocol(client)->rejected(call.id, retry_after_fields(settings_.max_retry_after)));
 }
 
-void Requests::turn_away(ConnectionId front, const Asked& call) {
-  count(class_of(call), Final::failed);
-  fronts_.answer(front, fronts_.protocol(front)->failed(call.tag));
+void PendingRequests::fail_unaccepted(ConnectionId client, const ObjectRequest& call) {
+  count(class_of(call), FinalAnswer::failed);
+  clients_.reply(client, clients_.protocol(client)->failed(call.id));
 }
 
-FrontFields Requests::later(Time span) const {
+ClientFields PendingRequests::retry_after_fields(Time span) const {
   const auto ms =
       std::chrono::floor<std::chrono::milliseconds>(std::min(span, settings_.max_retry_after)).count();
   if (ms <= 0) return {};
@@ -183,17 +186,19 @@
 }
 
 /// The place of a class in the settings; past their end where there is none of that name.
-std::size_t Requests::class_of(std::string_view name) const {
+std::size_t PendingRequests::class_of(std::string_view name) const {
   const auto& classes = settings_.classes;
   const auto found =
       std::find_if(classes.begin(), classes.end(), [&](const RequestClass& c) { return c.name == name; });
   return static_cast<std::size_t>(found - classes.begin());
 }
 
-void Requests::count(std::size_t request_class, Final kind) {
-  if (request_class >= counted_.size()) return;
-  Counted& counted = counted_[request_class];
-  ++(kind == Final::served ? counted.served : kind == Final::refused ? counted.refused : counted.failed);
+void PendingRequests::count(std::size_t request_class, FinalAnswer kind) {
+  if (request_class >= answer_counts_.size()) return;
+  AnswerCounts& counted = answer_counts_[request_class];
+  ++(kind == FinalAnswer::served     ? counted.served
+     : kind == FinalAnswer::rejected ? counted.rejected
+                                     : counted.failed);
 }
 
 }  // namespace dahliahall::edge
--- a/src/edge/requests.h
+++ b/src/edge/requests.h
@@ -18,72 +18,75 @@
 namespace dahliahall::edge {
 
 /// A request that was taken and not answered yet. Texts are the bytes that the client sent.
-struct Taken {
-  ConnectionId front = 0;
-  CallTag tag = 0;
-  std::string verb, item, piece, key, held_tag, body;
+struct PendingRequest {
+  ConnectionId client = 0;
+  CallId call_id = 0;
+  std::string verb, item, piece, key, client_entity_tag, body;
   Request request;
-  int attempts = 0;
-  std::uint64_t epoch = 0;  ///< of the policy, under which it was taken
+  int attempt_count = 0;
+  std::uint64_t accepted_epoch = 0;  ///< of the policy, under which it was taken
 };
 
-class Requests {
+class PendingRequests {
  public:
   /// Final answers since the start, of one class.
-  struct Counted {
-    std::size_t served = 0, refused = 0, failed = 0;
+  struct AnswerCounts {
+    std::size_t served = 0, rejected = 0, failed = 0;
   };
 
-  Requests(Context& context, Fronts& fronts, const Settings& settings)
-      : context_(context), fronts_(fronts), settings_(settings), counted_(settings.classes.size()) {}
+  PendingRequests(Context& context, ClientConnections& fronts, const Settings& settings)
+      : context_(context), clients_(fronts), settings_(settings), answer_counts_(settings.classes.size()) {}
 
   /// The request that a call asks for; none where a field is missing, malformed or out of bounds.
   /// `answer_by`: when it has to be answered at the latest, where anything but its patience sets that.
-  std::optional<Taken> read(ConnectionId front, Asked& call, std::optional<Time> answer_by) const;
+  std::optional<PendingRequest> read(ConnectionId client, ObjectRequest& call,
+                                     std::optional<Time> answer_by) const;
   /// Whether its body may be kept beside those that are.
-  [[nodiscard]] bool room_for(const Taken& taken) const {
-    return bodies_ + taken.body.size() <= context_.bounds.bodies;
+  [[nodiscard]] bool has_room_for(const PendingRequest& request) const {
+    return body_bytes_ + request.body.size() <= context_.limits.body_bytes;
   }
-  void take(Taken taken);
-  Taken* find(const std::string& request);
+  void add(PendingRequest request);
+  PendingRequest* find(const std::string& request);
   /// No answer is owed any more. False: none was.
-  bool forget(const std::string& request);
-  [[nodiscard]] std::size_t open() const { return taken_.size(); }
+  bool remove(const std::string& request);
+  [[nodiscard]] std::size_t open_count() const { return pending_.size(); }
 
   // Final answers, for a request that is still owed one; else nothing happens.
   void served(const std::string& request, const codec::CacheAnswer& answer);
   void served(const std::string& request, std::string_view body, std::optional<std::string_view> tag,
               bool unchanged);
   /// `retry_after`: when to come back; the site's bound on that stands above it. 0: not told.
-  void refused(const std::string& request, Time retry_after);
+  void rejected(const std::string& request, Time retry_after);
   void failed(const std::string& request);
 
   // Answers to calls that are not taken.
-  [[nodiscard]] std::size_t class_of(const Asked& call) const;
-  void turn_back(ConnectionId front, const Asked& call);  ///< refused
-  void turn_away(ConnectionId front, const Asked& call);  ///< failed
+  [[nodiscard]] std::size_t class_of(const ObjectRequest& call) const;
+  void reject_unaccepted(ConnectionId client, const ObjectRequest& call);  ///< refused
+  void fail_unaccepted(ConnectionId client, const ObjectRequest& call);    ///< failed
 
   /// By class, in the order of the settings.
-  [[nodiscard]] const std::vector<Counted>& counted() const { return counted_; }
-  [[nodiscard]] const std::string& class_name(std::size_t c) const { return settings_.classes[c].name; }
+  [[nodiscard]] const std::vector<AnswerCounts>& answer_counts() const { return answer_counts_; }
+  [[nodiscard]] const std::string& class_name(std::size_t request_class) const {
+    return settings_.classes[request_class].name;
+  }
 
  private:
-  enum class Final { served, refused, failed };
+  enum class FinalAnswer { served, rejected, failed };
 
   [[nodiscard]] std::size_t class_of(std::string_view name) const;
-  [[nodiscard]] double most_kb(const RequestClass& c) const;
-  [[nodiscard]] FrontFields later(Time span) const;
-  void count(std::size_t request_class, Final kind);
-  void release(std::map<std::string, Taken>::iterator taken);
-  template <typename Word>
-  void answer(const std::string& request, Final kind, Word&& word);
+  [[nodiscard]] double max_size_kb(const RequestClass& request_class) const;
+  [[nodiscard]] ClientFields retry_after_fields(Time span) const;
+  void count(std::size_t request_class, FinalAnswer kind);
+  void release(std::map<std::string, PendingRequest>::iterator taken);
+  template <typename MakeReply>
+  void answer(const std::string& request, FinalAnswer kind, MakeReply&& make_reply);
 
   Context& context_;
-  Fronts& fronts_;
+  ClientConnections& clients_;
   const Settings& settings_;
-  std::map<std::string, Taken> taken_;
-  std::size_t bodies_ = 0;  // bytes of their bodies
-  std::vector<Counted> counted_;
+  std::map<std::string, PendingRequest> pending_;
+  std::size_t body_bytes_ = 0;  // bytes of their bodies
+  std::vector<AnswerCounts> answer_counts_;
 };
 
 }  // namespace dahliahall::edge
--- a/src/edge/thrift_front.cpp
+++ b/src/edge/thrift_front.cpp
@@ -7,10 +7,10 @@
 
 constexpr std::int16_t kTrylater = 1, kAborted = 2;
 
-class ThriftFront : public FrontProtocol {
+class ThriftProtocol : public ClientProtocol {
  public:
-  std::vector<FrontCall> feed(std::string_view bytes) override {
-    std::vector<FrontCall> calls;
+  std::vector<ClientCall> feed(std::string_view bytes) override {
+    std::vector<ClientCall> calls;
     frames_.feed(bytes);
     while (!broken_) {
       const auto frame = frames_.next();
@@ -29,49 +29,49 @@
     }
     return calls;
   }
-  [[nodiscard]] bool broken() const override { return broken_; }
-  [[nodiscard]] bool halfway() const override { return frames_.halfway(); }
+  [[nodiscard]] bool is_broken() const override { return broken_; }
+  [[nodiscard]] bool has_partial_message() const override { return frames_.halfway(); }
 
-  std::string served(CallTag tag, std::string_view body, const FrontFields& fields) override {
+  std::string served(CallId tag, std::string_view body, const ClientFields& fields) override {
     return codec::write_answer(tag, "process", body, fields, true);
   }
-  std::string refused(CallTag tag, const FrontFields& fields) override {
+  std::string rejected(CallId tag, const ClientFields& fields) override {
     return codec::write_declared_exception(tag, kTrylater, fields);
   }
-  std::string failed(CallTag tag) override { return codec::write_declared_exception(tag, kAborted, {}); }
-  std::string readiness(CallTag tag, bool good) override {
+  std::string failed(CallId tag) override { return codec::write_declared_exception(tag, kAborted, {}); }
+  std::string readiness_reply(CallId tag, bool good) override {
     return codec::write_answer(tag, "probe", "", {}, good);
   }
-  std::string unreadable() override {
+  std::string malformed_stream_reply() override {
     return codec::write_application_exception(broken_call_, "process",
                                               codec::ApplicationError::protocol_error, "unreadable");
   }
-  std::string not_understood(const NotUnderstood& call) override {
-    return codec::write_application_exception(call.tag, call.method, codec::ApplicationError::unknown_method,
+  std::string unknown_method_reply(const UnknownMethod& call) override {
+    return codec::write_application_exception(call.id, call.method, codec::ApplicationError::unknown_method,
                                               "unknown method");
   }
 
  private:
-  static FrontCall translate(const codec::Message& m, codec::ProcessCall& call) {
-    return Asked{m.seqid, std::move(call.fields), std::move(call.body), call.readable};
+  static ClientCall translate(const codec::Message& m, codec::ProcessCall& call) {
+    return ObjectRequest{m.seqid, std::move(call.fields), std::move(call.body), call.readable};
   }
-  static FrontCall translate(const codec::Message&, const codec::GiveUpCall& call) {
-    return GivenUp{call.given_up};
+  static ClientCall translate(const codec::Message&, const codec::GiveUpCall& call) {
+    return CancelRequest{call.given_up};
   }
-  static FrontCall translate(const codec::Message& m, const codec::ProbeCall&) {
-    return ReadinessAsked{m.seqid};
+  static ClientCall translate(const codec::Message& m, const codec::ProbeCall&) {
+    return ReadinessCheck{m.seqid};
   }
-  static FrontCall translate(const codec::Message& m, codec::UnknownCall& call) {
-    return NotUnderstood{m.seqid, std::move(call.method), m.type == codec::MessageType::call};
+  static ClientCall translate(const codec::Message& m, codec::UnknownCall& call) {
+    return UnknownMethod{m.seqid, std::move(call.method), m.type == codec::MessageType::call};
   }
 
   codec::FrameReader frames_;
   bool broken_ = false;
-  CallTag broken_call_ = 0;
+  CallId broken_call_ = 0;
 };
 
 }  // namespace
 
-std::unique_ptr<FrontProtocol> make_thrift_front() { return std::make_unique<ThriftFront>(); }
+std::unique_ptr<ClientProtocol> make_thrift_protocol() { return std::make_unique<ThriftProtocol>(); }
 
 }  // namespace dahliahall::edge
--- a/src/net/policy_log.cpp
+++ b/src/net/policy_log.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 PolicyLog::PolicyLog(const config::Policy& config, std::uint64_t seed,
-                     std::function<void(edge::PolicyOut)> told)
+                     std::function<void(edge::ConsensusOutput)> told)
     : config_(config), seed_(seed), told_(std::move(told)), alive_(std::make_shared<PolicyLog*>(this)) {
   thread_ = std::thread([this] { run(); });
 }
@@ -50,10 +50,10 @@
   wake_.notify_one();
 }
 
-void PolicyLog::tell(edge::PolicyOut out) {
+void PolicyLog::tell(edge::ConsensusOutput out) {
   struct Parcel {
     std::shared_ptr<PolicyLog*> to;
-    edge::PolicyOut out;
+    edge::ConsensusOutput out;
   };
   auto* parcel = new Parcel{alive_, std::move(out)};
   // Always by a source of the loop's. Guards against GLib's own call for this, which runs it on this thread
@@ -73,7 +73,7 @@
   g_source_unref(source);
 }
 
-void PolicyLog::perform(const edge::PolicyEffect& effect) {
+void PolicyLog::perform(const edge::ConsensusEffect& effect) {
   if (const auto* append = std::get_if<agreed::AppendEntry>(&effect.effect)) {
     push([entry = append->entry](auto& log, auto at, auto&, auto& out) { log.append(at, entry, out); });
   } else if (const auto* ask = std::get_if<agreed::CheckTerm>(&effect.effect)) {
@@ -84,16 +84,16 @@
       if (asked.from == name) {
         told.inputs.emplace_back(agreed::MessageReceived{name, yes});
       } else {
-        told.send.emplace_back(asked.from, agreed::encode(yes, lease));
+        told.messages.emplace_back(asked.from, agreed::encode(yes, lease));
       }
     });
   } else if (const auto* learn = std::get_if<agreed::PersistLearned>(&effect.effect)) {
     push([what = *learn](auto& log, auto at, auto&, auto& out) { log.persist_learned(at, what, out); });
   } else if (const auto* message = std::get_if<agreed::RaftMessage>(&effect.effect)) {
     push([m = *message](auto& log, auto at, auto&, auto& out) { log.on_message(at, m, out); });
-  } else if (const auto* birth = std::get_if<edge::BirthFrom>(&effect.effect)) {
+  } else if (const auto* birth = std::get_if<edge::BootstrapReceived>(&effect.effect)) {
     push([b = *birth](auto& log, auto at, auto&, auto& out) { log.on_message(at, b.from, b.message, out); });
-  } else if (const auto* wanted = std::get_if<edge::VoterWanted>(&effect.effect)) {
+  } else if (const auto* wanted = std::get_if<edge::VoterChangeCall>(&effect.effect)) {
     push([w = *wanted](auto& log, auto, auto& told, auto& out) {
       const std::size_t sign = w.name.find('=');
       std::uint64_t id = 0;
@@ -101,7 +101,7 @@
         std::from_chars(w.name.data() + sign + 1, w.name.data() + w.name.size(), id);
       const bool begun =
           w.add ? log.add_voter(w.name.substr(0, sign), id, out) : log.remove_voter(w.name, out);
-      told.answers.emplace_back(w.call, begun ? 202 : 409,
+      told.replies.emplace_back(w.call, begun ? 202 : 409,
                                 begun
                                     ? "begun: see the log and GET /v1/policy\n"
                                     : "ask the leader, with NAME=ID to add, while no other voter changes\n");
@@ -132,17 +132,18 @@
   settings.seed = seed_ ^ static_cast<std::uint64_t>(now().count()) ^ std::random_device{}();
   agreed::RaftLog log(settings, journal, now());
   std::map<std::string, std::uint64_t> voters;
-  const auto pass_on = [&](edge::PolicyOut told, agreed::RaftLog::Output& out) {
-    for (auto& s : out.messages) told.send.push_back(std::move(s));
+  const auto pass_on = [&](edge::ConsensusOutput told, agreed::RaftLog::Output& out) {
+    for (auto& s : out.messages) told.messages.push_back(std::move(s));
     for (auto& i : out.inputs) told.inputs.push_back(std::move(i));
-    for (auto& l : out.log_lines) told.log.push_back(std::move(l));
+    for (auto& l : out.log_lines) told.log_lines.push_back(std::move(l));
     auto are = log.voters();
     const bool changed = are != voters;
     voters = std::move(are);
-    if (told.send.empty() && told.inputs.empty() && told.log.empty() && told.answers.empty() && !changed)
+    if (told.messages.empty() && told.inputs.empty() && told.log_lines.empty() && told.replies.empty() &&
+        !changed)
       return;
     told.voters = voters;
-    told.id = log.id();
+    told.raft_id = log.id();
     tell(std::move(told));
   };
   {
@@ -160,7 +161,7 @@
       if (stopping_) return;
       work.swap(work_);
     }
-    edge::PolicyOut told;
+    edge::ConsensusOutput told;
     agreed::RaftLog::Output out;
     for (const Work& w : work) w(log, now(), told, out);
     log.tick(now(), out);
--- a/src/net/policy_log.h
+++ b/src/net/policy_log.h
@@ -22,24 +22,25 @@
 class PolicyLog {
  public:
   /// `told` is called on the main loop.
-  PolicyLog(const config::Policy& config, std::uint64_t seed, std::function<void(edge::PolicyOut)> told);
+  PolicyLog(const config::Policy& config, std::uint64_t seed,
+            std::function<void(edge::ConsensusOutput)> told);
   ~PolicyLog();
   PolicyLog(const PolicyLog&) = delete;
   PolicyLog& operator=(const PolicyLog&) = delete;
 
-  void perform(const edge::PolicyEffect& effect);
+  void perform(const edge::ConsensusEffect& effect);
 
  private:
   using Work =
-      std::function<void(agreed::RaftLog&, agreed::Time, edge::PolicyOut&, agreed::RaftLog::Output&)>;
+      std::function<void(agreed::RaftLog&, agreed::Time, edge::ConsensusOutput&, agreed::RaftLog::Output&)>;
 
   void run();
-  void tell(edge::PolicyOut out);
+  void tell(edge::ConsensusOutput out);
   void push(Work work);
 
   const config::Policy config_;
   const std::uint64_t seed_;
-  std::function<void(edge::PolicyOut)> told_;
+  std::function<void(edge::ConsensusOutput)> told_;
   std::mutex mutex_;
   std::condition_variable wake_;
   std::deque<Work> work_;
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -80,7 +80,7 @@
 }
 
 void LogWriter::line(const std::string& text) {
-  if (waiting_.size() + text.size() > edge::kMostLogWaiting) {
+  if (waiting_.size() + text.size() > edge::kMaxBufferedLogBytes) {
     ++dropped_;
   } else {
     if (const std::size_t dropped = std::exchange(dropped_, 0); dropped > 0)
@@ -109,7 +109,7 @@
       state_(config, clock_.now()),
       loop_(g_main_loop_new(nullptr, FALSE)),
       kept_(config.keep_in,
-            [this](const char* why) { perform(edge::Log{std::string("keep failed: ") + why}); }) {
+            [this](const char* why) { perform(edge::LogLine{std::string("keep failed: ") + why}); }) {
   listener_ = listen("listen", config.listen);
   watch_clients();
   if (!config.admin.empty()) {
@@ -118,7 +118,7 @@
   }
   if (kept_.named()) {
     looking_ = Source(g_timeout_source_new(static_cast<guint>(
-        std::chrono::duration_cast<std::chrono::milliseconds>(edge::kLookAtKept).count())));
+        std::chrono::duration_cast<std::chrono::milliseconds>(edge::kOverridesPollInterval).count())));
     g_source_set_callback(
         looking_.get(),
         [](gpointer server) -> gboolean {
@@ -141,7 +141,7 @@
       timer_.get(),
       [](gpointer server) -> gboolean {
         static_cast<Server*>(server)->poll();  // what has come goes before what is due
-        static_cast<Server*>(server)->take(edge::TimerDue{});
+        static_cast<Server*>(server)->take(edge::TimerExpired{});
         return G_SOURCE_CONTINUE;
       },
       this, nullptr);
@@ -151,7 +151,7 @@
     g_source_set_callback(
         source->get(),
         [](gpointer server) -> gboolean {
-          static_cast<Server*>(server)->take(edge::StopAsked{});
+          static_cast<Server*>(server)->take(edge::ShutdownRequested{});
           return G_SOURCE_CONTINUE;
         },
         this, nullptr);
@@ -160,13 +160,13 @@
   if (config.peers) {
     peers_ = std::make_unique<PeerLink>(
         *config.peers,
-        PeerLink::Told{[this](peers::Identity identity) { take(edge::PeersReady{std::move(identity)}); },
-                       [this](peers::Input input) { take(edge::PeersInput{std::move(input)}); },
-                       [this](const std::string& line) { perform(edge::Log{line}); }});
+        PeerLink::Told{[this](peers::Identity identity) { take(edge::MembershipReady{std::move(identity)}); },
+                       [this](peers::Input input) { take(edge::MembershipInput{std::move(input)}); },
+                       [this](const std::string& line) { perform(edge::LogLine{line}); }});
   }
   if (config.policy) {
     policy_ = std::make_unique<PolicyLog>(*config.policy, config.seed,
-                                          [this](edge::PolicyOut out) { take(std::move(out)); });
+                                          [this](edge::ConsensusOutput out) { take(std::move(out)); });
   }
   hangup_ = Source(g_unix_signal_source_new(SIGHUP));
   g_source_set_callback(
@@ -189,7 +189,7 @@
   auto listener = new_socket(where.get(), error);
   if (!listener || !bind_shared(listener.get(), where.get()))
     throw std::runtime_error(field + "can't bind " + address + ": " + g_strerror(errno));
-  g_socket_set_listen_backlog(listener.get(), edge::kBacklog);
+  g_socket_set_listen_backlog(listener.get(), edge::kListenBacklog);
   if (!g_socket_listen(listener.get(), error.out()))
     throw std::runtime_error(field + "can't listen on " + address + ": " + error.text());
   return listener;
@@ -223,8 +223,8 @@
 
 void Server::run() {
   read_kept();
-  take(edge::TimerDue{});  // what the start itself asks for
-  perform(edge::Log{"listening"});
+  take(edge::TimerExpired{});  // what the start itself asks for
+  perform(edge::LogLine{"listening"});
   g_main_loop_run(loop_.get());
 }
 
@@ -254,9 +254,9 @@
 
 /// What has come on the connection so far is told, then its end.
 void Server::read_out(edge::ConnectionId id) {
-  std::array<char, edge::kReadAtOnce> buffer;
+  std::array<char, edge::kReadChunkBytes> buffer;
   gssize size = 1;
-  for (std::size_t read = 0; size > 0 && read < edge::kMostReadOut; read += buffer.size()) {
+  for (std::size_t read = 0; size > 0 && read < edge::kMaxDrainBytes; read += buffer.size()) {
     const auto found = connections_.find(id);
     if (found == connections_.end()) return;
     size = g_socket_receive(found->second->socket.get(), buffer.data(), buffer.size(), nullptr, nullptr);
@@ -288,18 +288,18 @@
 
 /// What another process of this edge proxy has said of members taken out by hand holds here too.
 void Server::read_kept() {
-  if (const auto text = kept_.read_if_new()) take(edge::KeptRead{*text});
+  if (const auto text = kept_.read_if_new()) take(edge::OverridesLoaded{*text});
 }
 
 void Server::accept() {
-  poll();                                                        // likewise before new clients
-  for (int i = 0; i < edge::kAcceptsAtOnce && listener_; ++i) {  // guards all others against a flood
+  poll();                                                         // likewise before new clients
+  for (int i = 0; i < edge::kAcceptsPerTurn && listener_; ++i) {  // guards all others against a flood
     if (!accept_one(listener_.get(), edge::kListener)) return;
   }
 }
 
 void Server::accept_admin() {
-  for (int i = 0; i < edge::kAcceptsAtOnce && admin_listener_; ++i) {
+  for (int i = 0; i < edge::kAcceptsPerTurn && admin_listener_; ++i) {
     if (!accept_one(admin_listener_.get(), edge::kAdminListener)) return;
   }
 }
@@ -316,16 +316,16 @@
     // only just come up: what they ask is read first, so that they are not taken for idle.
     if (error.is(G_IO_ERROR_TOO_MANY_OPEN_FILES) && !std::exchange(short_of_descriptors_, true)) {
       poll();
-      take(edge::OutOfDescriptors{});
+      take(edge::DescriptorsExhausted{});
       return true;
     }
     short_of_descriptors_ = false;
-    perform(edge::Log{std::string("accept failed: ") + error.text()});
+    perform(edge::LogLine{std::string("accept failed: ") + error.text()});
     accept_again_later();
     return false;
   }
   short_of_descriptors_ = false;
-  const edge::ConnectionId id = last_accepted_ += edge::kIdStep;
+  const edge::ConnectionId id = last_accepted_ += edge::kConnectionIdStep;
   adopt(id, std::move(socket), false, from == edge::kAdminListener);
   take(edge::Accepted{id, from});
   return true;
@@ -336,7 +336,7 @@
   accepting_.reset();
   admin_accepting_.reset();
   accepting_again_ = Source(g_timeout_source_new(static_cast<guint>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(edge::kAcceptAgainAfter).count())));
+      std::chrono::duration_cast<std::chrono::milliseconds>(edge::kAcceptRetryDelay).count())));
   g_source_set_callback(
       accepting_again_.get(),
       [](gpointer server) -> gboolean {
@@ -379,8 +379,8 @@
 }
 
 void Server::poll() {
-  std::array<epoll_event, edge::kReadyAtOnce> found;
-  const int count = epoll_wait(poller_.descriptor(), found.data(), edge::kReadyAtOnce, 0);
+  std::array<epoll_event, edge::kMaxReadyEvents> found;
+  const int count = epoll_wait(poller_.descriptor(), found.data(), edge::kMaxReadyEvents, 0);
   // The bulletin first, then the clients that have gone: guards the rules on purges and drains, when much has
   // come at once, against sending before reading what they bind, and caches against work that nobody waits
   // for.
@@ -402,10 +402,10 @@
 /// Guards what was written to it, which it may still read, against a reset over bytes that were not read.
 void Server::gone(edge::ConnectionId id) {
   const auto found = connections_.find(id);
-  std::array<char, edge::kReadAtOnce> buffer;
+  std::array<char, edge::kReadChunkBytes> buffer;
   gssize size = 1;
   Error error;
-  for (std::size_t read = 0; size > 0 && read < edge::kMostDiscarded; read += buffer.size()) {
+  for (std::size_t read = 0; size > 0 && read < edge::kMaxDiscardedBytes; read += buffer.size()) {
     size = g_socket_receive(found->second->socket.get(), buffer.data(), buffer.size(), nullptr, error.out());
   }
   connections_.erase(found);
@@ -430,19 +430,19 @@
   if ((events & EPOLLOUT) != 0) {
     flush(connection);
     watch(connection);
-    if (!pending_.empty()) take(edge::TimerDue{});
+    if (!pending_.empty()) take(edge::TimerExpired{});
   }
   if ((events & (EPOLLIN | EPOLLHUP | EPOLLERR)) != 0) read(id);
 }
 
 void Server::read(edge::ConnectionId id) {
-  std::array<char, edge::kReadAtOnce> buffer;
-  for (int i = 0; i < edge::kReadsAtOnce; ++i) {
+  std::array<char, edge::kReadChunkBytes> buffer;
+  for (int i = 0; i < edge::kReadsPerTurn; ++i) {
     const auto found = connections_.find(id);
     if (found == connections_.end()) return;
     // Guards all others against a client that sends at full speed: it has little of a turn.
     const bool client = found->second->client;
-    const std::size_t room = client ? edge::kReadFromClient : buffer.size();
+    const std::size_t room = client ? edge::kClientReadBytes : buffer.size();
     Error error;
     const gssize size =
         g_socket_receive(found->second->socket.get(), buffer.data(), room, nullptr, error.out());
@@ -484,7 +484,7 @@
     return;
   }
   connection.out.clear();
-  if (connection.out.capacity() > edge::kKeptOut)
+  if (connection.out.capacity() > edge::kRetainedWriteBufferBytes)
     std::string().swap(connection.out);  // guards the memory, over many clients
   connection.sent = 0;
   if (connection.finishing) g_socket_shutdown(connection.socket.get(), FALSE, TRUE, nullptr);
@@ -513,7 +513,7 @@
   // Guards the caches and the bulletin against clients that have taken the last descriptors: one of them
   // makes room, and it is tried once more.
   if (!socket && may_wait && error.is(G_IO_ERROR_TOO_MANY_OPEN_FILES)) {
-    pending_.push_back(edge::OutOfDescriptors{});
+    pending_.push_back(edge::DescriptorsExhausted{});
     to_connect_.push_back(wanted);
     return;
   }
@@ -522,10 +522,10 @@
     pending_.push_back(edge::ConnectFailed{wanted.connection});
     return;
   }
-  adopt(wanted.connection, std::move(socket), true, wanted.first);
+  adopt(wanted.connection, std::move(socket), true, wanted.high_priority);
 }
 
-void Server::perform(const edge::Finish& finish) {
+void Server::perform(const edge::ShutdownWrite& finish) {
   const auto found = connections_.find(finish.connection);
   if (found == connections_.end() || std::exchange(found->second->finishing, true)) return;
   if (found->second->out.empty()) g_socket_shutdown(found->second->socket.get(), FALSE, TRUE, nullptr);
@@ -537,7 +537,7 @@
     accepting_again_.reset();
     // Guards those that have connected and were not accepted yet against a reset.
     while (ObjectPtr<GSocket> socket{g_socket_accept(listener_.get(), nullptr, nullptr)}) {
-      adopt(last_accepted_ += edge::kIdStep, std::move(socket), false, false);
+      adopt(last_accepted_ += edge::kConnectionIdStep, std::move(socket), false, false);
       pending_.push_back(edge::Accepted{last_accepted_, edge::kListener});
     }
     listener_.reset();
@@ -552,14 +552,14 @@
   std::erase_if(to_connect_, [&close](const edge::Connect& c) { return c.connection == close.connection; });
 }
 
-void Server::perform(const edge::CloseWhenRead& close) { to_read_out_.push_back(close.connection); }
+void Server::perform(const edge::DrainAndClose& close) { to_read_out_.push_back(close.connection); }
 
 void Server::perform(const edge::ArmTimer& timer) {
   const auto wait = std::max<Time>(Time{0}, timer.at - clock_.now());
   g_source_set_ready_time(timer_.get(), g_get_monotonic_time() + wait.count());
 }
 
-void Server::perform(const edge::Log& log) {
+void Server::perform(const edge::LogLine& log) {
   const Time now = clock_.now();
   std::array<char, 48> stamp{};
   std::snprintf(stamp.data(), stamp.size(), "%lld.%03lld ", static_cast<long long>(now.count() / 1'000'000),
@@ -571,32 +571,32 @@
 /// has it take the second one. This process was there first, so that is the one started after it; where there
 /// is none, the filter names nobody and nothing changes. Guards clients against a connection that waits here
 /// unseen when this listening socket closes: it would be reset.
-void Server::perform(const edge::Yield&) {
+void Server::perform(const edge::StopAccepting&) {
   if (!listener_) return;
   sock_filter second{BPF_RET | BPF_K, 0, 0, 1};
   const sock_fprog filter{1, &second};
   if (setsockopt(g_socket_get_fd(listener_.get()), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &filter,
                  sizeof filter) != 0)
-    perform(edge::Log{"yield failed: the system takes no filter"});
+    perform(edge::LogLine{"yield failed: the system takes no filter"});
 }
 
-void Server::perform(const edge::Keep& keep) {
-  if (kept_.named()) kept_.write(keep.text);
+void Server::perform(const edge::PersistOverrides& keep) {
+  if (kept_.named()) kept_.write(keep.overrides);
 }
 
-void Server::perform(const edge::PeersEffect& effect) {
+void Server::perform(const edge::MembershipEffect& effect) {
   if (peers_) std::visit([this](const auto& e) { peers_->perform(e); }, effect.effect);
 }
 
-void Server::perform(const edge::PeersKeep& keep) {
+void Server::perform(const edge::PersistMembership& keep) {
   if (peers_) peers_->keep(keep.self, keep.members);
 }
 
-void Server::perform(const edge::PolicyEffect& effect) {
+void Server::perform(const edge::ConsensusEffect& effect) {
   if (policy_) policy_->perform(effect);
 }
 
-void Server::perform(const edge::PeersStop&) {
+void Server::perform(const edge::StopMembership&) {
   if (peers_) peers_->stop();
 }
 
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -78,17 +78,17 @@
   void feed(const edge::Input& input);
   void perform(const edge::Write& write);
   void perform(const edge::Connect& connect);
-  void perform(const edge::Finish& finish);
+  void perform(const edge::ShutdownWrite& finish);
   void perform(const edge::Close& close);
-  void perform(const edge::CloseWhenRead& close);
+  void perform(const edge::DrainAndClose& close);
   void perform(const edge::ArmTimer& timer);
-  void perform(const edge::Log& log);
-  void perform(const edge::Yield& yield);
-  void perform(const edge::Keep& keep);
-  void perform(const edge::PeersEffect& effect);
-  void perform(const edge::PeersKeep& keep);
-  void perform(const edge::PeersStop& stop);
-  void perform(const edge::PolicyEffect& effect);
+  void perform(const edge::LogLine& log);
+  void perform(const edge::StopAccepting& yield);
+  void perform(const edge::PersistOverrides& keep);
+  void perform(const edge::MembershipEffect& effect);
+  void perform(const edge::PersistMembership& keep);
+  void perform(const edge::StopMembership& stop);
+  void perform(const edge::ConsensusEffect& effect);
 
   void watch_clients();
   void watch_operators();
@@ -127,7 +127,7 @@
   std::deque<edge::ConnectionId> to_read_out_;  // then these, then
   std::deque<edge::Connect> to_connect_;        // these, for which another connection has made room
   bool short_of_descriptors_ = false;           // since the last client that was accepted
-  edge::ConnectionId last_accepted_ = edge::kBeforeAccepted;
+  edge::ConnectionId last_accepted_ = edge::kBeforeFirstAccepted;
 };
 
 }  // namespace dahliahall::net
--- a/tests/agreeing_test.cpp
+++ b/tests/agreeing_test.cpp
@@ -29,30 +29,30 @@
   }
   void ready() {
     const peers::Identity identity{1, peers::kEpochStep, false, {}};
-    peering_.ready(identity);
-    agreeing_.ready(identity);
+    peering_.start(identity);
+    agreeing_.start(identity);
   }
   /// It leads and has just been granted a lease by itself.
   void lead() {
-    agreeing_.take(agreed::BecameLeader{1, {"n1"}});
+    agreeing_.handle(agreed::BecameLeader{1, {"n1"}});
     context_.now += 100ms;
-    agreeing_.run_due();  // it asks itself
-    agreeing_.take(agreed::MessageReceived{"n1", agreed::LeadershipCheckReply{1, 1}});
+    agreeing_.run_timers();  // it asks itself
+    agreeing_.handle(agreed::MessageReceived{"n1", agreed::LeadershipCheckReply{1, 1}});
     ASSERT_EQ(agreeing_.epoch(), 0U);
   }
 
   config::Config config_;
   Context context_;
-  Peering peering_;
-  Agreeing agreeing_;
+  MembershipAdapter peering_;
+  PolicyController agreeing_;
 };
 
 TEST_F(AgreeingAlone, WhatTheLogToldBeforeThePeersWereReadyIsKept) {
-  PolicyOut out;
+  ConsensusOutput out;
   out.voters = {{"n1", 7}};
-  out.id = 7;
+  out.raft_id = 7;
   out.inputs = {agreed::EntryApplied{4, std::nullopt}};
-  agreeing_.take(out);
+  agreeing_.handle(out);
   EXPECT_FALSE(agreeing_.report());
   ready();
   const std::string report = agreeing_.report().value_or("");
@@ -65,11 +65,11 @@
   lead();
   context_.now += 5200ms;  // the lease of 5 s is over, and nothing has told it yet
   EXPECT_FALSE(agreeing_.epoch());
-  EXPECT_TRUE(agreeing_.may_attempt(0));
+  EXPECT_TRUE(agreeing_.can_attempt(0));
   context_.now += 60s;
-  EXPECT_FALSE(agreeing_.may_attempt(0));
-  agreeing_.run_due();
-  EXPECT_FALSE(agreeing_.may_attempt(0)) << "it ended when its lease did, not when that was seen";
+  EXPECT_FALSE(agreeing_.can_attempt(0));
+  agreeing_.run_timers();
+  EXPECT_FALSE(agreeing_.can_attempt(0)) << "it ended when its lease did, not when that was seen";
 }
 
 }  // namespace
--- a/tests/edge_test.cpp
+++ b/tests/edge_test.cpp
@@ -1090,7 +1090,7 @@
 
 TEST(Copies, TakeNoMoreThanTheirPartOfTheMemory) {
   config::Config config = config::parse(config_text({"main"}, {}, 16), {});
-  edge::Copies copies(config);
+  edge::LocalCache copies(config);
   codec::CacheAnswer answer;
   answer.word = codec::AnswerWord::hit;
   answer.fields = "ver=a,born=5";
@@ -1098,13 +1098,13 @@
   const Time now = std::chrono::hours(500000);
   std::size_t kept = 0;
   for (std::uint64_t object = 0; object < 10'000; ++object) {
-    copies.offer({0, object, 0}, 1, answer, now);
-    copies.offer({0, object, 0}, 1, answer, now);
+    copies.insert({0, object, 0}, 1, answer, now);
+    copies.insert({0, object, 0}, 1, answer, now);
   }
   for (std::uint64_t object = 0; object < 10'000; ++object)
     kept += copies.find({0, object, 0}, now, Time{0}) != nullptr ? 1 : 0;
   EXPECT_EQ(kept, 16U * 1024 * 1024 / 7 / 100'000);
-  EXPECT_LE(copies.held(), kept + 4096);
+  EXPECT_LE(copies.table_entries(), kept + 4096);
 }
 
 // ---- Replacing the process ----
--- a/tests/golden/proxy_golden_test.cpp
+++ b/tests/golden/proxy_golden_test.cpp
@@ -409,7 +409,7 @@
   void ready() {
     peers::Identity identity{7 + engine_() % 5, peers::kEpochStep, false, {}};
     identity.known_members = {member("n2"), member("n3")};
-    stage_.feed(edge::PeersReady{identity});
+    stage_.feed(edge::MembershipReady{identity});
   }
   void run_for(int steps) {
     for (int step = 0; step < steps; ++step) {
@@ -419,10 +419,10 @@
   }
   /// It has come to lead the log, and is granted a lease by a majority.
   void lead() {
-    edge::PolicyOut out;
+    edge::ConsensusOutput out;
     out.voters = {{"n1", 7}, {"n2", 8}, {"n3", 9}};
-    out.id = 7;
-    out.send = {{"n2", "bytes of the log"}};
+    out.raft_id = 7;
+    out.messages = {{"n2", "bytes of the log"}};
     out.inputs = {agreed::EntryApplied{1, std::nullopt}, agreed::BecameLeader{term_, {"n1", "n2", "n3"}}};
     stage_.feed(out);
   }
@@ -437,17 +437,17 @@
   void carry(const std::string& from, const agreed::Message& message) {
     peers::Message envelope = peer_message(from, peers::MessageKind::user_message);
     envelope.payload = agreed::encode(message, kLease);
-    stage_.feed(edge::PeersInput{peers::MessageReceived{envelope, 0}});
+    stage_.feed(edge::MembershipInput{peers::MessageReceived{envelope, 0}});
   }
   void carry_bytes(const std::string& from, const std::string& bytes) {
     peers::Message envelope = peer_message(from, peers::MessageKind::user_message);
     envelope.payload = bytes;
-    stage_.feed(edge::PeersInput{peers::MessageReceived{envelope, 0}});
+    stage_.feed(edge::MembershipInput{peers::MessageReceived{envelope, 0}});
   }
   void own(const agreed::Input& input) {
-    edge::PolicyOut out;
+    edge::ConsensusOutput out;
     out.voters = {{"n1", 7}, {"n2", 8}, {"n3", 9}};
-    out.id = 7;
+    out.raft_id = 7;
     out.inputs = {input};
     stage_.feed(out);
   }
@@ -480,7 +480,7 @@
       case 0:
         message.kind = peers::MessageKind::full_sync;
         message.updates = {member("n2"), member("n3")};
-        stage_.feed(edge::PeersInput{peers::MessageReceived{message, number_}});
+        stage_.feed(edge::MembershipInput{peers::MessageReceived{message, number_}});
         return;
       case 1: {
         message.kind = peers::MessageKind::gossip;
@@ -501,13 +501,13 @@
         message.confirmed = true;
         break;
       case 4:
-        stage_.feed(
-            edge::PeersInput{peers::MessageRejected{peers::DecodeError::checksum_mismatch, "127.0.0.1:99"}});
+        stage_.feed(edge::MembershipInput{
+            peers::MessageRejected{peers::DecodeError::checksum_mismatch, "127.0.0.1:99"}});
         return;
       default:
         break;
     }
-    stage_.feed(edge::PeersInput{peers::MessageReceived{message, 0}});
+    stage_.feed(edge::MembershipInput{peers::MessageReceived{message, 0}});
   }
 
   VirtualStage& stage_;
--- a/tests/golden/proxy_trace.cpp
+++ b/tests/golden/proxy_trace.cpp
@@ -317,10 +317,10 @@
 std::string item_text(const agreed::RaftMessage& e) {
   return TraceLine("raft_message").add("bytes", e.bytes).text();
 }
-std::string item_text(const edge::BirthFrom& e) {
+std::string item_text(const edge::BootstrapReceived& e) {
   return TraceLine("bootstrap_message").add("from", e.from).add("bytes", e.message.bytes).text();
 }
-std::string item_text(const edge::VoterWanted& e) {
+std::string item_text(const edge::VoterChangeCall& e) {
   return TraceLine("change_voter").add("call", e.call).add("name", e.name).add("add", e.add).text();
 }
 
@@ -329,7 +329,7 @@
 std::string input_text(const edge::Accepted& in) {
   return TraceLine("accepted").add("connection", in.connection).add("listener", in.listener).text();
 }
-std::string input_text(const edge::OutOfDescriptors&) { return "descriptors_exhausted"; }
+std::string input_text(const edge::DescriptorsExhausted&) { return "descriptors_exhausted"; }
 std::string input_text(const edge::BytesArrived& in) {
   return TraceLine("bytes_received").add("connection", in.connection).add("bytes", in.bytes).text();
 }
@@ -343,10 +343,10 @@
   return TraceLine("connect_failed").add("connection", in.connection).text();
 }
 std::string input_text(const edge::Closed& in) {
-  return TraceLine("closed").add("connection", in.connection).add("reset", in.reset).text();
+  return TraceLine("closed").add("connection", in.connection).add("reset", in.is_reset).text();
 }
-std::string input_text(const edge::TimerDue&) { return "timer_expired"; }
-std::string input_text(const edge::StopAsked&) { return "shutdown_requested"; }
+std::string input_text(const edge::TimerExpired&) { return "timer_expired"; }
+std::string input_text(const edge::ShutdownRequested&) { return "shutdown_requested"; }
 /// What a reload can change, and the settings; the whole of the configuration has tests of its own.
 std::string input_text(const edge::Reloaded& in) {
   const Config& config = in.config;
@@ -374,10 +374,10 @@
 std::string input_text(const edge::ReloadFailed& in) {
   return TraceLine("reload_failed").add("problem", in.problem).text();
 }
-std::string input_text(const edge::KeptRead& in) {
-  return TraceLine("overrides_loaded").add("text", in.text).text();
+std::string input_text(const edge::OverridesLoaded& in) {
+  return TraceLine("overrides_loaded").add("text", in.overrides).text();
 }
-std::string input_text(const edge::PeersReady& in) {
+std::string input_text(const edge::MembershipReady& in) {
   TraceLine line("membership_ready");
   line.add("disk", in.identity.disk_id)
       .add("incarnation", in.identity.incarnation)
@@ -386,18 +386,18 @@
     line.add_inner("known", item_text(update));
   return line.text();
 }
-std::string input_text(const edge::PeersInput& in) {
+std::string input_text(const edge::MembershipInput& in) {
   const std::string inner = std::visit([](const auto& i) { return item_text(i); }, in.input);
   return TraceLine("membership_input").add_inner("input", inner).text();
 }
-std::string input_text(const edge::PolicyOut& in) {
+std::string input_text(const edge::ConsensusOutput& in) {
   TraceLine line("consensus_output");
-  for (const auto& [to, bytes] : in.send) line.add("to", to).add("bytes", bytes);
+  for (const auto& [to, bytes] : in.messages) line.add("to", to).add("bytes", bytes);
   for (const agreed::Input& input : in.inputs) line.add_inner("input", item_text(input));
   for (const auto& [name, id] : in.voters) line.add("voter", name).add("id", id);
-  for (const auto& [connection, status, text] : in.answers)
+  for (const auto& [connection, status, text] : in.replies)
     line.add("answer_to", connection).add("status", status).add("text", text);
-  return line.add("own_id", in.id).text();
+  return line.add("own_id", in.raft_id).text();
 }
 
 // ---- Effects ----
@@ -409,36 +409,36 @@
   return TraceLine("connect")
       .add("connection", e.connection)
       .add("address", e.address)
-      .add("read_first", e.first)
+      .add("read_first", e.high_priority)
       .text();
 }
-std::string effect_text(const edge::Finish& e) {
+std::string effect_text(const edge::ShutdownWrite& e) {
   return TraceLine("shutdown_write").add("connection", e.connection).text();
 }
 std::string effect_text(const edge::Close& e) {
   return TraceLine("close").add("connection", e.connection).text();
 }
-std::string effect_text(const edge::CloseWhenRead& e) {
+std::string effect_text(const edge::DrainAndClose& e) {
   return TraceLine("drain_and_close").add("connection", e.connection).text();
 }
 std::string effect_text(const edge::ArmTimer& e) { return TraceLine("set_timer").add("at", e.at).text(); }
-std::string effect_text(const edge::Log&) { return {}; }
-std::string effect_text(const edge::Yield&) { return "stop_accepting"; }
-std::string effect_text(const edge::Keep& e) {
-  return TraceLine("persist_overrides").add("text", e.text).text();
+std::string effect_text(const edge::LogLine&) { return {}; }
+std::string effect_text(const edge::StopAccepting&) { return "stop_accepting"; }
+std::string effect_text(const edge::PersistOverrides& e) {
+  return TraceLine("persist_overrides").add("text", e.overrides).text();
 }
-std::string effect_text(const edge::PeersEffect& e) {
+std::string effect_text(const edge::MembershipEffect& e) {
   const std::string inner = std::visit([](const auto& i) { return item_text(i); }, e.effect);
   return TraceLine("membership").add_inner("effect", inner).text();
 }
-std::string effect_text(const edge::PeersKeep& e) {
+std::string effect_text(const edge::PersistMembership& e) {
   TraceLine line("persist_members");
   line.add_inner("self", item_text(e.self));
   for (const peers::MemberUpdate& update : e.members) line.add_inner("member", item_text(update));
   return line.text();
 }
-std::string effect_text(const edge::PeersStop&) { return "membership_stop"; }
-std::string effect_text(const edge::PolicyEffect& e) {
+std::string effect_text(const edge::StopMembership&) { return "membership_stop"; }
+std::string effect_text(const edge::ConsensusEffect& e) {
   const std::string inner = std::visit([](const auto& i) { return item_text(i); }, e.effect);
   return TraceLine("consensus").add_inner("effect", inner).text();
 }
--- a/tests/golden/stored_files_golden_test.cpp
+++ b/tests/golden/stored_files_golden_test.cpp
@@ -124,8 +124,8 @@
 TEST_F(GoldenStoredFile, AdminOverrides) {
   const codec::Roster all{true,
                           {endpoint("cache-a"), endpoint("cache-b"), endpoint("cache c"), endpoint("d")}};
-  edge::Membership writer;
-  writer.take(all, Microseconds{5'000'000});
+  edge::EndpointDirectory writer;
+  writer.apply(all, Microseconds{5'000'000});
   ASSERT_TRUE(writer.suspend("cache-b", Microseconds{1'700'000'000'000'123}));
   ASSERT_TRUE(writer.suspend("cache c", Microseconds{1'700'000'000'000'456}));
   ASSERT_TRUE(writer.suspend("d", Microseconds{7}));
@@ -133,7 +133,7 @@
   ASSERT_FALSE(writer.suspend("unknown", Microseconds{8}));
   std::string problem;
   net::KeptFile file(folder_ + "/overrides", [&problem](const char* why) { problem = why; });
-  file.write(writer.kept());
+  file.write(writer.serialized_overrides());
   expect_stored("admin_overrides", written("overrides"));
   EXPECT_EQ(problem, "");
 
@@ -143,20 +143,20 @@
   const std::optional<std::string> text = old.read_if_new();
   ASSERT_TRUE(text);
   EXPECT_FALSE(old.read_if_new());
-  edge::Membership reader;
-  reader.take(all, Microseconds{5'000'000});
-  add_endpoints(record, reader.read_kept(*text));
+  edge::EndpointDirectory reader;
+  reader.apply(all, Microseconds{5'000'000});
+  add_endpoints(record, reader.load_overrides(*text));
   for (const char* id : {"cache-a", "cache-b", "cache c", "d"})
-    record.add(std::string(id) + " suspended=" + (reader.suspended(id) ? "yes" : "no"));
-  EXPECT_EQ(reader.kept(), *text);
+    record.add(std::string(id) + " suspended=" + (reader.is_suspended(id) ? "yes" : "no"));
+  EXPECT_EQ(reader.serialized_overrides(), *text);
   // Lines that were cut off or that nobody knows are passed over.
   for (const char* damaged : {"", "out", "out 5", "out 5 ", "out x a\nin 6 b\n", "odd 5 a\nout 7 cache-a",
                               "out 9 cache-a\nin 10 cache-a\n", "out -1 cache-b\n"}) {
-    edge::Membership other;
-    other.take(all, Microseconds{5'000'000});
+    edge::EndpointDirectory other;
+    other.apply(all, Microseconds{5'000'000});
     record.add("damaged " + golden::quoted(damaged));
-    add_endpoints(record, other.read_kept(damaged));
-    record.add("  kept as " + golden::quoted(other.kept()));
+    add_endpoints(record, other.load_overrides(damaged));
+    record.add("  kept as " + golden::quoted(other.serialized_overrides()));
   }
   record.check();
 }
--- a/tests/virtual_stage.h
+++ b/tests/virtual_stage.h
@@ -29,12 +29,12 @@
                                              : edit(config_text(members, {}, memory_mb)),
                              {}),
                now_) {
-    feed(edge::TimerDue{});
+    feed(edge::TimerExpired{});
   }
 
   void send(const std::string& peer, const std::string& bytes) override {
     if (links_[peer].empty() && peer.rfind("bulletin", 0) != 0 && !is_listed(peer)) {
-      const edge::ConnectionId id = last_accepted_ += edge::kIdStep;
+      const edge::ConnectionId id = last_accepted_ += edge::kConnectionIdStep;
       add(peer, id);
       feed(edge::Accepted{id, is_operator(peer) ? edge::kAdminListener : edge::kListener});
     }
@@ -74,11 +74,11 @@
     const Time end = now_ + span;
     while (due_ <= end && due_ > Time{0}) {
       now_ = std::max(now_, std::exchange(due_, Time{0}));
-      feed(edge::TimerDue{});
+      feed(edge::TimerExpired{});
     }
     now_ = end;
   }
-  void terminate() override { feed(edge::StopAsked{}); }
+  void terminate() override { feed(edge::ShutdownRequested{}); }
   void reload(const std::string& bulletin) override {
     const std::string address = bulletin == "nowhere" ? bulletin : bulletin + ":1";
     try {
@@ -102,7 +102,7 @@
   }
   /// What the edge proxy keeps for the next process, and what another process kept.
   [[nodiscard]] const std::string& kept() const { return kept_; }
-  void read_kept(const std::string& text) { feed(edge::KeptRead{text}); }
+  void read_kept(const std::string& text) { feed(edge::OverridesLoaded{text}); }
   /// Whether it has asked for new connections to go to the next process.
   [[nodiscard]] bool yields() const { return yields_; }
   /// Time passes, but the reducer hears of nothing: the program stands still.
@@ -120,7 +120,7 @@
   /// From now on what is sent arrives at once.
   void arrive_whole() { whole_ = true; }
   /// The system has no descriptor for a connection.
-  void run_out_of_descriptors() { feed(edge::OutOfDescriptors{}); }
+  void run_out_of_descriptors() { feed(edge::DescriptorsExhausted{}); }
   /// Connections open or coming up: now, and at most so far.
   [[nodiscard]] std::size_t connections() const { return owner_.size(); }
   [[nodiscard]] std::size_t most_connections() const { return most_connections_; }
@@ -174,7 +174,7 @@
     } else if (manner_[peer] != Ends::silent)
       next.emplace_back(edge::Connected{e.connection});
   }
-  void perform(const edge::Finish& e, std::vector<edge::Input>& next) {
+  void perform(const edge::ShutdownWrite& e, std::vector<edge::Input>& next) {
     finished_.insert(e.connection);
     const std::string& peer = peers_[e.connection];
     if (is_operator(peer) || manner_[peer] == Ends::stays) return;
@@ -185,26 +185,26 @@
     if (e.connection == edge::kListener) listening_ = false;
     remove(e.connection);
   }
-  void perform(const edge::CloseWhenRead& e, std::vector<edge::Input>& next) {
+  void perform(const edge::DrainAndClose& e, std::vector<edge::Input>& next) {
     const auto unread = unread_.find(e.connection);
     if (unread != unread_.end()) next.emplace_back(edge::BytesArrived{e.connection, unread->second});
     remove(e.connection);
     next.emplace_back(edge::Closed{e.connection});
   }
   void perform(const edge::ArmTimer& e, std::vector<edge::Input>&) { due_ = std::max(e.at, Time{1}); }
-  void perform(const edge::Yield&, std::vector<edge::Input>&) { yields_ = true; }
-  void perform(const edge::Keep& e, std::vector<edge::Input>&) { kept_ = e.text; }
-  void perform(const edge::PeersEffect&, std::vector<edge::Input>&) {}
-  void perform(const edge::PeersKeep&, std::vector<edge::Input>&) {}
-  void perform(const edge::PeersStop&, std::vector<edge::Input>&) {}
-  void perform(const edge::PolicyEffect&, std::vector<edge::Input>&) {}
-  void perform(const edge::Log& e, std::vector<edge::Input>&) { log_ += e.line + "\n"; }
+  void perform(const edge::StopAccepting&, std::vector<edge::Input>&) { yields_ = true; }
+  void perform(const edge::PersistOverrides& e, std::vector<edge::Input>&) { kept_ = e.overrides; }
+  void perform(const edge::MembershipEffect&, std::vector<edge::Input>&) {}
+  void perform(const edge::PersistMembership&, std::vector<edge::Input>&) {}
+  void perform(const edge::StopMembership&, std::vector<edge::Input>&) {}
+  void perform(const edge::ConsensusEffect&, std::vector<edge::Input>&) {}
+  void perform(const edge::LogLine& e, std::vector<edge::Input>&) { log_ += e.line + "\n"; }
 
   Observer observer_;
   Time now_{std::chrono::hours(500000)};
   edge::State state_;
   Time due_{0};
-  edge::ConnectionId last_accepted_ = edge::kBeforeAccepted;
+  edge::ConnectionId last_accepted_ = edge::kBeforeFirstAccepted;
   bool listening_ = true;
   std::map<std::string, std::set<edge::ConnectionId>> links_;
   std::map<edge::ConnectionId, edge::ConnectionId> owner_;
