--- a/src/agreed/raft_log.cpp
+++ b/src/agreed/raft_log.cpp
@@ -106,7 +106,7 @@
 /// Passes on whether the disk has it. Where it has not, that is for good, and told once.
 bool RaftLog::on_write_finished(bool done) {
   if (done || !error_.empty()) return done;
-  error_ = journal_.why();
+  error_ = journal_.error();
   if (output_ != nullptr)
     output_->log_lines.push_back("policy storage failed: " + error_ +
                                  "; it takes no part in the log any more");
@@ -163,8 +163,8 @@
     out.log_lines.push_back("policy storage failed: " + error_ + "; it takes no part in the log");
     return false;
   }
-  if (journal_.mended() > 0)
-    out.log_lines.push_back("policy storage mended records=" + std::to_string(journal_.mended()) +
+  if (journal_.was_repaired() > 0)
+    out.log_lines.push_back("policy storage mended records=" + std::to_string(journal_.was_repaired()) +
                             ": one of two copies was damaged");
   if (disk_id_ == 0) {
     disk_id_ = random_() | 1U;
--- a/src/choice.cpp
+++ b/src/choice.cpp
@@ -103,8 +103,8 @@
   double limit = kLimitStart;  // requests under way that it answers in time, as learnt
   Time shut_until{0};
   Time rest{kShutFirst};
-  WorkWindow sent;  // work sent to it while cold, for the budget
-  Time sent_at{0};  // when it was last sent some while cold
+  SlidingWindowSum sent;  // work sent to it while cold, for the budget
+  Time sent_at{0};        // when it was last sent some while cold
 };
 
 struct Try {
@@ -945,7 +945,7 @@
   std::map<std::string, std::size_t> by_id_;
   std::map<std::string, Held> held_;
   std::set<std::string> ran_;  // requests of which an attempt may have run
-  WindowCounter counts_;
+  SlidingWindowCounter counts_;
   std::set<std::uint64_t> gold_;
   std::vector<double> mean_work_;  // by class
   double fill_delay_ = 0;          // time to a fill's first byte, lately, in seconds
--- a/src/codec/bulletin.cpp
+++ b/src/codec/bulletin.cpp
@@ -25,9 +25,9 @@
   return static_cast<int>(found - names.begin());
 }
 
-ListedMember read_member(const Fields& fields, const Names& names) {
-  ListedMember listed;
-  Endpoint& m = listed.member;
+ListedEndpoint read_member(const Fields& fields, const DiscoveryNames& names) {
+  ListedEndpoint listed;
+  Endpoint& m = listed.endpoint;
   m.id = fields.text("id");
   listed.address = fields.text("host_port", "");
   m.state = static_cast<EndpointState>(fields.word("phase", kPhases));
@@ -36,36 +36,36 @@
   m.zone = place(fields, "locality", names.zones);
   m.kind = place(fields, "flavor", names.kinds);
   m.started = unix_ms(fields, "up_since_ms", fields.integer("up_since_ms", 0));
-  listed.process = m.started;
+  listed.process_started = m.started;
   return listed;
 }
 
 }  // namespace
 
-BulletinEvent read_bulletin_event(const Fields& fields, const Names& names) {
-  BulletinEvent event;
+DiscoveryEvent read_discovery_event(const Fields& fields, const DiscoveryNames& names) {
+  DiscoveryEvent event;
   event.number = fields.integer("no");
   if (fields.find("roster") != nullptr) {
     const Fields list = fields.object("roster");
-    Roster roster;
-    roster.complete = list.boolean("complete", false);
-    for (const Fields& entry : list.objects("members")) roster.members.push_back(read_member(entry, names));
-    event.roster = std::move(roster);
+    EndpointUpdate roster;
+    roster.is_complete = list.boolean("complete", false);
+    for (const Fields& entry : list.objects("members")) roster.endpoints.push_back(read_member(entry, names));
+    event.endpoints = std::move(roster);
   }
   if (fields.find("recall") != nullptr) {
     const Fields purge = fields.object("recall");
-    Recall recall;
+    Invalidation recall;
     if (purge.find("item") != nullptr) {
       recall.object = object_id(purge, "item");
     }
     recall.group = purge.integer("lot", 0);
-    recall.issued = unix_ms(purge, "issued", purge.integer("issued")) + std::chrono::milliseconds(1);
-    event.recall = recall;
+    recall.issued_at = unix_ms(purge, "issued", purge.integer("issued")) + std::chrono::milliseconds(1);
+    event.invalidation = recall;
   }
   return event;
 }
 
-BulletinEvent parse_bulletin_event(std::string_view json, const Names& names) {
+DiscoveryEvent parse_discovery_event(std::string_view json, const DiscoveryNames& names) {
   rapidjson::Document document;
   // Iterative: guards against nesting that would use up the stack.
   document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
@@ -73,7 +73,7 @@
     throw FieldError(std::string("field '': not JSON: ") +
                      rapidjson::GetParseError_En(document.GetParseError()));
   }
-  return read_bulletin_event(Fields(document, 0), names);
+  return read_discovery_event(Fields(document, 0), names);
 }
 
 }  // namespace dahliahall::codec
--- a/src/codec/bulletin.h
+++ b/src/codec/bulletin.h
@@ -13,34 +13,35 @@
 namespace dahliahall::codec {
 
 /// A member as the bulletin names it, with where it listens. Zone and kind are places in the settings' lists.
-struct ListedMember {
-  Endpoint member;
+struct ListedEndpoint {
+  Endpoint endpoint;
   std::string address;
-  Time process{0};  ///< when its process started, as the bulletin tells; `member.started` may be put later
+  Time process_started{
+      0};  ///< when its process started, as the bulletin tells; `member.started` may be put later
 };
-struct Roster {
-  bool complete = false;
-  std::vector<ListedMember> members;
+struct EndpointUpdate {
+  bool is_complete = false;
+  std::vector<ListedEndpoint> endpoints;
 };
 /// A purge. `issued` is the latest moment it may mean: the bulletin rounds down to a millisecond.
-struct Recall {
+struct Invalidation {
   std::optional<std::uint64_t> object;
   std::int64_t group = 0;
-  Time issued{0};
+  Time issued_at{0};
 };
-struct BulletinEvent {
+struct DiscoveryEvent {
   std::int64_t number = 0;
-  std::optional<Roster> roster;
-  std::optional<Recall> recall;
+  std::optional<EndpointUpdate> endpoints;
+  std::optional<Invalidation> invalidation;
 };
 
 /// The names that the bulletin uses for zones and kinds, in the settings' order.
-struct Names {
+struct DiscoveryNames {
   std::vector<std::string> zones, kinds;
 };
 
 /// Throws FieldError.
-BulletinEvent read_bulletin_event(const Fields& fields, const Names& names);
-BulletinEvent parse_bulletin_event(std::string_view json, const Names& names);
+DiscoveryEvent read_discovery_event(const Fields& fields, const DiscoveryNames& names);
+DiscoveryEvent parse_discovery_event(std::string_view json, const DiscoveryNames& names);
 
 }  // namespace dahliahall::codec
--- a/src/codec/cache_lines.cpp
+++ b/src/codec/cache_lines.cpp
@@ -36,7 +36,7 @@
   return std::nullopt;
 }
 
-std::string write_serve(std::string_view id, const FieldList& fields, std::string_view body) {
+std::string write_request(std::string_view id, const FieldList& fields, std::string_view body) {
   std::string out;
   out.reserve(id.size() + fields.text().size() + body.size() + 32);
   out.append("serve ").append(id).append(" ").append(fields.text()).append(" ");
@@ -45,23 +45,25 @@
 }
 
 std::string write_cancel(std::string_view id) { return std::string("cancel ").append(id).append("\r\n"); }
-std::string write_gauges(std::string_view tag) { return std::string("gauges ").append(tag).append("\r\n"); }
+std::string write_health_check(std::string_view tag) {
+  return std::string("gauges ").append(tag).append("\r\n");
+}
 
-std::optional<CacheAnswer> AnswerReader::fail(LineError error) {
+std::optional<CacheResponse> CacheResponseReader::fail(LineError error) {
   error_ = error;
   return std::nullopt;
 }
 
 /// More bytes are needed. Guards the memory against room for the largest answer ever seen, kept on each of
 /// many connections.
-std::optional<CacheAnswer> AnswerReader::wait() {
-  buffer_.erase(0, std::exchange(used_, 0));
+std::optional<CacheResponse> CacheResponseReader::wait_for_body() {
+  buffer_.erase(0, std::exchange(consumed_, 0));
   if (buffer_.empty() && buffer_.capacity() > kMaxLine) std::string().swap(buffer_);
   return std::nullopt;
 }
 
-bool AnswerReader::read_head(std::string_view line) {
-  CacheAnswer answer;
+bool CacheResponseReader::read_head(std::string_view line) {
+  CacheResponse answer;
   answer.id = word_of(line);
   const std::string_view word = word_of(line);
   answer.fields = word_of(line);
@@ -69,7 +71,7 @@
   const auto [end, problem] = std::from_chars(length.data(), length.data() + length.size(), body_size_);
   if (answer.id.empty() || answer.fields.empty() || !line.empty() || problem != std::errc{} ||
       end != length.data() + length.size()) {
-    error_ = LineError::not_an_answer;
+    error_ = LineError::not_a_response;
     return false;
   }
   // Guards against a length that would have more buffered than any object holds.
@@ -79,30 +81,30 @@
   }
   for (std::size_t i = 0; i < kWords.size(); ++i) {
     if (kWords[i] != word) continue;
-    answer.word = static_cast<AnswerWord>(i);
-    open_ = std::move(answer);
+    answer.status = static_cast<CacheResponseStatus>(i);
+    partial_response_ = std::move(answer);
     return true;
   }
   error_ = LineError::unknown_word;
   return false;
 }
 
-std::optional<CacheAnswer> AnswerReader::next() {
+std::optional<CacheResponse> CacheResponseReader::next() {
   if (error_ != LineError::none) return std::nullopt;
-  if (!open_) {
-    const std::size_t end = buffer_.find("\r\n", used_);
-    if (end == std::string::npos || end - used_ > kMaxLine) {
-      if (buffer_.size() - used_ > kMaxLine) return fail(LineError::line_too_long);
-      return wait();
+  if (!partial_response_) {
+    const std::size_t end = buffer_.find("\r\n", consumed_);
+    if (end == std::string::npos || end - consumed_ > kMaxLine) {
+      if (buffer_.size() - consumed_ > kMaxLine) return fail(LineError::line_too_long);
+      return wait_for_body();
     }
-    if (!read_head(std::string_view(buffer_).substr(used_, end - used_))) return std::nullopt;
-    used_ = end + 2;
+    if (!read_head(std::string_view(buffer_).substr(consumed_, end - consumed_))) return std::nullopt;
+    consumed_ = end + 2;
   }
-  if (buffer_.size() - used_ < body_size_ + 2) return wait();
-  if (buffer_.compare(used_ + body_size_, 2, "\r\n") != 0) return fail(LineError::body_not_ended);
-  open_->body.assign(buffer_, used_, body_size_);
-  used_ += body_size_ + 2;
-  return std::exchange(open_, std::nullopt);
+  if (buffer_.size() - consumed_ < body_size_ + 2) return wait_for_body();
+  if (buffer_.compare(consumed_ + body_size_, 2, "\r\n") != 0) return fail(LineError::body_not_terminated);
+  partial_response_->body.assign(buffer_, consumed_, body_size_);
+  consumed_ += body_size_ + 2;
+  return std::exchange(partial_response_, std::nullopt);
 }
 
 }  // namespace dahliahall::codec
--- a/src/codec/cache_lines.h
+++ b/src/codec/cache_lines.h
@@ -26,38 +26,45 @@
 /// The value of a field in such a list, if it is there.
 std::optional<std::string_view> field_in(std::string_view list, std::string_view name);
 
-std::string write_serve(std::string_view id, const FieldList& fields, std::string_view body);
+std::string write_request(std::string_view id, const FieldList& fields, std::string_view body);
 std::string write_cancel(std::string_view id);
-std::string write_gauges(std::string_view tag);
+std::string write_health_check(std::string_view tag);
 
-enum class AnswerWord { hit, valid, none, shed, fault, late, pong, sick };
+enum class CacheResponseStatus { hit, not_modified, not_found, shed, fault, expired, healthy, unhealthy };
 
-struct CacheAnswer {
+struct CacheResponse {
   std::string id;
-  AnswerWord word = AnswerWord::fault;
+  CacheResponseStatus status = CacheResponseStatus::fault;
   std::string fields;
   std::string body;
 };
 
-enum class LineError { none, line_too_long, not_an_answer, unknown_word, body_too_long, body_not_ended };
+enum class LineError {
+  none,
+  line_too_long,
+  not_a_response,
+  unknown_word,
+  body_too_long,
+  body_not_terminated
+};
 
 /// Takes answers out of a stream of bytes, however it is split.
-class AnswerReader {
+class CacheResponseReader {
  public:
   void feed(std::string_view bytes) { buffer_.append(bytes); }
-  std::optional<CacheAnswer> next();
+  std::optional<CacheResponse> next();
   [[nodiscard]] LineError error() const { return error_; }
   /// Bytes of memory held.
-  [[nodiscard]] std::size_t held() const { return buffer_.capacity(); }
+  [[nodiscard]] std::size_t buffered_bytes() const { return buffer_.capacity(); }
 
  private:
-  std::optional<CacheAnswer> fail(LineError error);
+  std::optional<CacheResponse> fail(LineError error);
   bool read_head(std::string_view line);
-  std::optional<CacheAnswer> wait();
+  std::optional<CacheResponse> wait_for_body();
 
   std::string buffer_;
-  std::size_t used_ = 0;
-  std::optional<CacheAnswer> open_;  // its line is in, its body not yet
+  std::size_t consumed_ = 0;
+  std::optional<CacheResponse> partial_response_;  // its line is in, its body not yet
   std::size_t body_size_ = 0;
   LineError error_ = LineError::none;
 };
--- a/src/codec/http_call.cpp
+++ b/src/codec/http_call.cpp
@@ -70,37 +70,37 @@
 }  // namespace
 
 void HttpCallReader::feed(std::string_view bytes) {
-  if (done_ || broken_) return;
+  if (is_done_ || is_broken_) return;
   // Guards the memory against a head that never ends.
   constexpr std::size_t kMost = kMaxCallHead + kMaxCallBody + 1;
   head_.append(bytes.substr(0, kMost - std::min(head_.size(), kMost)));
 }
 
 std::optional<HttpCall> HttpCallReader::next() {
-  if (done_ || broken_) return std::nullopt;
+  if (is_done_ || is_broken_) return std::nullopt;
   const std::size_t end = head_.find("\r\n\r\n");
   if (end == std::string::npos) {
-    broken_ = head_.size() > kMaxCallHead;
+    is_broken_ = head_.size() > kMaxCallHead;
     return std::nullopt;
   }
   const std::string_view line = std::string_view(head_).substr(0, head_.find("\r\n"));
   const std::size_t first = line.find(' ');
   const std::size_t second = line.find(' ', first == std::string_view::npos ? first : first + 1);
-  broken_ = second == std::string_view::npos || first == 0 || line.substr(second + 1, 7) != "HTTP/1.";
-  if (broken_) return std::nullopt;
+  is_broken_ = second == std::string_view::npos || first == 0 || line.substr(second + 1, 7) != "HTTP/1.";
+  if (is_broken_) return std::nullopt;
   auto path = read_path(line.substr(first + 1, second - first - 1));
-  broken_ = !path || path->empty();
-  if (broken_) return std::nullopt;
+  is_broken_ = !path || path->empty();
+  if (is_broken_) return std::nullopt;
   const auto length = body_length(std::string_view(head_).substr(0, end + 2));
-  broken_ = !length || *length > kMaxCallBody || end > kMaxCallHead;
-  if (broken_ || head_.size() - end - 4 < *length) return std::nullopt;
+  is_broken_ = !length || *length > kMaxCallBody || end > kMaxCallHead;
+  if (is_broken_ || head_.size() - end - 4 < *length) return std::nullopt;
   HttpCall call{std::string(line.substr(0, first)), std::move(*path), head_.substr(end + 4, *length)};
-  done_ = true;
+  is_done_ = true;
   std::string().swap(head_);
   return call;
 }
 
-std::string write_http_answer(int status, std::string_view body) {
+std::string write_http_response(int status, std::string_view body) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
   out.append(reason_of(status))
       .append("\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: ");
--- a/src/codec/http_call.h
+++ b/src/codec/http_call.h
@@ -26,14 +26,14 @@
   /// The call, once, when its head and body are whole.
   std::optional<HttpCall> next();
   /// What came can't become a call.
-  [[nodiscard]] bool broken() const { return broken_; }
+  [[nodiscard]] bool is_broken() const { return is_broken_; }
 
  private:
   std::string head_;
-  bool done_ = false, broken_ = false;
+  bool is_done_ = false, is_broken_ = false;
 };
 
 /// A whole answer, after which the connection ends.
-std::string write_http_answer(int status, std::string_view body);
+std::string write_http_response(int status, std::string_view body);
 
 }  // namespace dahliahall::codec
--- a/src/codec/thrift.cpp
+++ b/src/codec/thrift.cpp
@@ -123,13 +123,13 @@
       return true;
     }
     if (id != 1 || type != kMap) {
-      call.readable = call.readable && id != 1 && id != 2;
+      call.is_readable = call.is_readable && id != 1 && id != 2;
       return false;
     }
     const std::uint8_t key = in.byte(), value = in.byte();
     std::uint32_t left = in.u32();
     const bool texts = left == 0 || (key == kString && value == kString);
-    call.readable = call.readable && texts;
+    call.is_readable = call.is_readable && texts;
     has_fields = true;
     call.fields.clear();
     for (; left > 0 && !in.failed; --left) {
@@ -143,7 +143,7 @@
     }
     return true;
   });
-  call.readable = call.readable && has_fields;
+  call.is_readable = call.is_readable && has_fields;
   return call;
 }
 
@@ -192,9 +192,9 @@
 }  // namespace
 
 std::optional<std::string_view> FrameReader::next() {
-  const std::string_view rest = std::string_view(buffer_).substr(used_);
+  const std::string_view rest = std::string_view(buffer_).substr(consumed_);
   const auto wait = [this] {  // what is read is dropped once for many frames, not for each
-    buffer_.erase(0, std::exchange(used_, 0));
+    buffer_.erase(0, std::exchange(consumed_, 0));
     if (buffer_.empty() && buffer_.capacity() > kKeptFrame)
       std::string().swap(buffer_);  // guards the memory, over many clients
     return std::nullopt;
@@ -208,11 +208,11 @@
     return std::nullopt;
   }
   if (rest.size() < 4 + length) return wait();
-  used_ += 4 + length;
+  consumed_ += 4 + length;
   return rest.substr(4, length);
 }
 
-std::int32_t seqid_of(std::string_view frame) {
+std::int32_t sequence_id_of(std::string_view frame) {
   Cursor in(frame);
   const bool strict = (in.u32() & 0xffff0000U) == kStrictVersion;
   in.text();
@@ -223,56 +223,56 @@
 std::variant<Message, MessageError> read_message(std::string_view frame) {
   Cursor in(frame);
   const std::uint32_t head = in.u32();
-  if (in.failed) return MessageError::cut_short;
+  if (in.failed) return MessageError::truncated;
   if ((head & 0xffff0000U) != kStrictVersion) return MessageError::not_strict;
   Message message;
   const std::uint32_t type = head & 0xffU;
   if (type != 1 && type != 4) return MessageError::bad_type;
   message.type = static_cast<MessageType>(type);
   const std::string_view method = in.text();
-  message.seqid = static_cast<std::int32_t>(in.u32());
-  if (in.failed) return MessageError::cut_short;
+  message.sequence_id = static_cast<std::int32_t>(in.u32());
+  if (in.failed) return MessageError::truncated;
   if (method == "process") {
     message.call = read_process(in);
   } else if (method == "giveUp") {
-    GiveUpCall call;
+    CancelCall call;
     each_field(in, [&](std::int16_t id, std::uint8_t field) {
       if (id != 1 || field != kI32) return false;
-      call.given_up = static_cast<std::int32_t>(in.u32());
+      call.sequence_id = static_cast<std::int32_t>(in.u32());
       return true;
     });
     message.call = call;
   } else {
     in.skip(kStruct, 0);
     if (method == "probe") {
-      message.call = ProbeCall{};
+      message.call = PingCall{};
     } else {
       message.call = UnknownCall{std::string(method)};
     }
   }
   if (in.too_deep) return MessageError::too_deep;
   if (in.bad_type) return MessageError::bad_type;
-  if (in.failed) return MessageError::cut_short;
+  if (in.failed) return MessageError::truncated;
   return message;
 }
 
-std::string write_answer(std::int32_t seqid, std::string_view method, std::string_view body,
-                         const StringMap& fields, bool good) {
-  Writer out(MessageType::reply, method, seqid, body.size() + 128);
+std::string write_reply(std::int32_t sequence_id, std::string_view method, std::string_view body,
+                        const StringMap& fields, bool is_good) {
+  Writer out(MessageType::reply, method, sequence_id, body.size() + 128);
   out.field(kStruct, 0);
   out.field(kString, 1);
   out.text(body);
   out.field(kMap, 2);
   out.map(fields);
   out.field(kBool, 3);
-  out.byte(good ? 1 : 0);
+  out.byte(is_good ? 1 : 0);
   out.byte(kStop);
   out.byte(kStop);
   return out.done();
 }
 
-std::string write_declared_exception(std::int32_t seqid, std::int16_t field, const StringMap& fields) {
-  Writer out(MessageType::reply, "process", seqid, 64);
+std::string write_declared_exception(std::int32_t sequence_id, std::int16_t field, const StringMap& fields) {
+  Writer out(MessageType::reply, "process", sequence_id, 64);
   out.field(kStruct, field);
   out.field(kMap, 1);
   out.map(fields);
@@ -281,9 +281,9 @@
   return out.done();
 }
 
-std::string write_application_exception(std::int32_t seqid, std::string_view method, ApplicationError error,
-                                        std::string_view text) {
-  Writer out(MessageType::exception, method, seqid, text.size() + 32);
+std::string write_application_exception(std::int32_t sequence_id, std::string_view method,
+                                        ApplicationError error, std::string_view text) {
+  Writer out(MessageType::exception, method, sequence_id, text.size() + 32);
   out.field(kString, 1);
   out.text(text);
   out.field(kI32, 2);
--- a/src/codec/thrift.h
+++ b/src/codec/thrift.h
@@ -27,16 +27,16 @@
   std::optional<std::string_view> next();
   [[nodiscard]] FrameError error() const { return error_; }
   /// What has come of a frame that is not whole, or is too large, after its length.
-  [[nodiscard]] std::string_view rest() const {
-    return std::string_view(buffer_).substr(std::min(buffer_.size(), used_ + 4));
+  [[nodiscard]] std::string_view partial_frame() const {
+    return std::string_view(buffer_).substr(std::min(buffer_.size(), consumed_ + 4));
   }
   /// Bytes of memory held.
-  [[nodiscard]] std::size_t held() const { return buffer_.capacity(); }
-  [[nodiscard]] bool halfway() const { return buffer_.size() > used_; }
+  [[nodiscard]] std::size_t buffered_bytes() const { return buffer_.capacity(); }
+  [[nodiscard]] bool has_partial_frame() const { return buffer_.size() > consumed_; }
 
  private:
   std::string buffer_;
-  std::size_t used_ = 0;
+  std::size_t consumed_ = 0;
   FrameError error_ = FrameError::none;
 };
 
@@ -48,36 +48,36 @@
 struct ProcessCall {
   StringMap fields;
   std::string body;
-  bool readable = true;  ///< false: its arguments have not the types of the service
+  bool is_readable = true;  ///< false: its arguments have not the types of the service
 };
-struct GiveUpCall {
-  std::int32_t given_up = 0;
+struct CancelCall {
+  std::int32_t sequence_id = 0;
 };
-struct ProbeCall {};
+struct PingCall {};
 struct UnknownCall {
   std::string method;
 };
 struct Message {
   MessageType type = MessageType::call;
-  std::int32_t seqid = 0;
-  std::variant<UnknownCall, ProcessCall, GiveUpCall, ProbeCall> call;
+  std::int32_t sequence_id = 0;
+  std::variant<UnknownCall, ProcessCall, CancelCall, PingCall> call;
 };
 
-enum class MessageError { not_strict, cut_short, bad_type, too_deep };
+enum class MessageError { not_strict, truncated, bad_type, too_deep };
 
 /// The number of the call that a frame begins with, if that much of it can be read; else 0.
-std::int32_t seqid_of(std::string_view frame);
+std::int32_t sequence_id_of(std::string_view frame);
 
 /// Reads one frame. An error means that the frame is no message: the connection can't go on.
 std::variant<Message, MessageError> read_message(std::string_view frame);
 
 // Each returns a whole frame.
-std::string write_answer(std::int32_t seqid, std::string_view method, std::string_view body,
-                         const StringMap& fields, bool good);
+std::string write_reply(std::int32_t sequence_id, std::string_view method, std::string_view body,
+                        const StringMap& fields, bool is_good);
 /// A declared exception of `process`: `field` 1 is Trylater, 2 is Aborted.
-std::string write_declared_exception(std::int32_t seqid, std::int16_t field, const StringMap& fields);
+std::string write_declared_exception(std::int32_t sequence_id, std::int16_t field, const StringMap& fields);
 enum class ApplicationError : std::int32_t { unknown_method = 1, protocol_error = 7 };
-std::string write_application_exception(std::int32_t seqid, std::string_view method, ApplicationError error,
-                                        std::string_view text);
+std::string write_application_exception(std::int32_t sequence_id, std::string_view method,
+                                        ApplicationError error, std::string_view text);
 
 }  // namespace dahliahall::codec
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -61,8 +61,8 @@
 
 void read_own_settings(Config& config, const Fields& settings) {
   config.settings = read_settings(settings);
-  config.names.zones = texts(settings, "azs");
-  config.names.kinds = texts(settings, "kinds");
+  config.discovery_names.zones = texts(settings, "azs");
+  config.discovery_names.kinds = texts(settings, "kinds");
   check_settings(settings, config.settings);
   const Fields bounds = settings.object_or_empty("bounds");
   config.connection_idle = positive(bounds, "conn_idle", config.connection_idle);
@@ -91,24 +91,25 @@
   const std::string name = from_environment(environment, "GW_NAME");
   const std::string listen = from_environment(environment, "GW_LISTEN");
   config.name = name.empty() ? root.text("name") : name;
-  config.listen = listen.empty() ? root.text("listen") : listen;
-  check_address(listen.empty() ? "listen" : "GW_LISTEN", config.listen);
-  config.bulletin = root.text("bulletin");
-  check_address("bulletin", config.bulletin);
+  config.listen_address = listen.empty() ? root.text("listen") : listen;
+  check_address(listen.empty() ? "listen" : "GW_LISTEN", config.listen_address);
+  config.discovery_address = root.text("bulletin");
+  check_address("bulletin", config.discovery_address);
   const std::string admin = from_environment(environment, "GW_ADMIN_ADDR");
-  config.admin = admin.empty() ? root.text("admin_addr", "") : admin;
-  if (!config.admin.empty()) check_address(admin.empty() ? "admin_addr" : "GW_ADMIN_ADDR", config.admin);
+  config.admin_address = admin.empty() ? root.text("admin_addr", "") : admin;
+  if (!config.admin_address.empty())
+    check_address(admin.empty() ? "admin_addr" : "GW_ADMIN_ADDR", config.admin_address);
   const std::string folder = from_environment(environment, "TMPDIR");
-  if (!folder.empty()) config.keep_in = folder + "/by-hand-" + file_name(config.name);
+  if (!folder.empty()) config.overrides_path = folder + "/by-hand-" + file_name(config.name);
   config.seed = read_seed(root);
   const Fields limits = root.object_or_empty("limits");
-  config.max_sockets = limits.small("sockets", config.max_sockets);
-  if (config.max_sockets < kLeastSockets)
+  config.max_descriptors = limits.small("sockets", config.max_descriptors);
+  if (config.max_descriptors < kLeastSockets)
     limits.fail("sockets", "should be " + std::to_string(kLeastSockets) + " or more");
-  const int memory_mb = limits.small("memory_mb", static_cast<int>(config.memory >> 20U));
+  const int memory_mb = limits.small("memory_mb", static_cast<int>(config.memory_bytes >> 20U));
   if (memory_mb < kLeastMemoryMb)
     limits.fail("memory_mb", "should be " + std::to_string(kLeastMemoryMb) + " or more");
-  config.memory = static_cast<std::size_t>(memory_mb) << 20U;
+  config.memory_bytes = static_cast<std::size_t>(memory_mb) << 20U;
   for (const auto& [key, value] : {std::pair{"flow_bytes_per_s", &config.flow_bytes_per_s},
                                    std::pair{"link_bytes_per_s", &config.link_bytes_per_s}}) {
     *value = root.number(key, 0);
@@ -116,34 +117,34 @@
   }
   read_own_settings(config, root.object("settings"));
   if (root.find("peers") != nullptr)
-    config.peers = read_peers(root.object("peers"), config.name, config.settings.zone,
-                              config.settings.router_count, config.max_sockets);
+    config.membership = read_membership_config(root.object("peers"), config.name, config.settings.zone,
+                                               config.settings.router_count, config.max_descriptors);
   if (root.find("policy") != nullptr) {
-    if (!config.peers) root.fail("policy", "needs the section peers");
-    config.policy = read_policy(root.object("policy"), config.name);
-    config.peers->most_carried = 4 * config.policy->settings.max_policy_bytes;
+    if (!config.membership) root.fail("policy", "needs the section peers");
+    config.policy = read_policy_config(root.object("policy"), config.name);
+    config.membership->max_user_message_bytes = 4 * config.policy->settings.max_policy_bytes;
   }
   rapidjson::StringBuffer text;
   rapidjson::Writer<rapidjson::StringBuffer> writer(text);
   root.need("settings").Accept(writer);
   config.settings_text = text.GetString();
   const Fields known = root.object_or_empty("known");
-  config.known_number = known.integer("no", 0);
+  config.last_known_event = known.integer("no", 0);
   if (known.find("items") != nullptr) {
     for (const Fields& item : known.objects("items"))
-      config.known.push_back(codec::read_bulletin_event(item, config.names));
+      config.known_events.push_back(codec::read_discovery_event(item, config.discovery_names));
   }
   return config;
 }
 
-std::vector<std::string> keys_for_a_start(const Config& running, const Config& read) {
+std::vector<std::string> restart_only_keys(const Config& running, const Config& read) {
   std::vector<std::string> keys;
   if (running.name != read.name) keys.emplace_back("name");
-  if (running.listen != read.listen) keys.emplace_back("listen");
-  if (running.admin != read.admin) keys.emplace_back("admin_addr");
+  if (running.listen_address != read.listen_address) keys.emplace_back("listen");
+  if (running.admin_address != read.admin_address) keys.emplace_back("admin_addr");
   if (running.flow_bytes_per_s != read.flow_bytes_per_s) keys.emplace_back("flow_bytes_per_s");
   if (running.link_bytes_per_s != read.link_bytes_per_s) keys.emplace_back("link_bytes_per_s");
-  if (running.peers != read.peers) keys.emplace_back("peers");
+  if (running.membership != read.membership) keys.emplace_back("peers");
   if (running.policy != read.policy) keys.emplace_back("policy");
   if (running.settings_text != read.settings_text) keys.emplace_back("settings");
   return keys;
--- a/src/config/peers_config.cpp
+++ b/src/config/peers_config.cpp
@@ -35,8 +35,9 @@
 
 }  // namespace
 
-Peers read_peers(const Fields& section, const std::string& name, int zone, int members, int sockets) {
-  Peers peers;
+MembershipConfig read_membership_config(const Fields& section, const std::string& name, int zone, int members,
+                                        int sockets) {
+  MembershipConfig peers;
   peers::Settings& s = peers.settings;
   s.cluster = section.text("cluster");
   if (!peers::is_valid_name(s.cluster))
@@ -45,8 +46,8 @@
   if (!peers::is_valid_name(name))
     section.fail("", "the proxy's name should be 1 to 64 of letters, digits, '-', '_', '.'");
   s.zone = zone;
-  peers.listen = address(section, "listen", section.text("listen"));
-  s.address = address(section, "address", section.text("address", peers.listen.c_str()));
+  peers.listen_address = address(section, "listen", section.text("listen"));
+  s.address = address(section, "address", section.text("address", peers.listen_address.c_str()));
   peers.folder = section.text("folder");
   if (peers.folder.empty()) section.fail("folder", "should name a folder");
   if (section.find("seeds") != nullptr) {
@@ -88,8 +89,8 @@
       within(section, "expected", std::max(1, members), 1, static_cast<int>(s.max_members)));
   // What is left to caches gives these up (edge/bounds.h): a small part.
   const int most_streams = std::max(1, sockets / 32);
-  peers.streams = within(section, "streams", std::min(peers.streams, most_streams), 1, most_streams);
-  peers.datagrams = within(section, "datagrams_per_s", peers.datagrams, 100, 1'000'000);
+  peers.max_streams = within(section, "streams", std::min(peers.max_streams, most_streams), 1, most_streams);
+  peers.max_datagrams_per_s = within(section, "datagrams_per_s", peers.max_datagrams_per_s, 100, 1'000'000);
   return peers;
 }
 
--- a/src/config/peers_config.h
+++ b/src/config/peers_config.h
@@ -10,19 +10,20 @@
 
 namespace dahliahall::config {
 
-struct Peers {
+struct MembershipConfig {
   peers::Settings settings;
-  std::string listen;            ///< host:port, of datagrams and streams alike
-  std::string folder;            ///< on the disk whose mark names this member; there has to be one
-  int streams = 16;              ///< whole exchanges open at once
-  int datagrams = 4000;          ///< read in a second; more are thrown away unread
-  std::size_t most_carried = 0;  ///< bytes of what another subsystem has carried, at most
-  bool operator==(const Peers&) const = default;
+  std::string listen_address;              ///< host:port, of datagrams and streams alike
+  std::string folder;                      ///< on the disk whose mark names this member; there has to be one
+  int max_streams = 16;                    ///< whole exchanges open at once
+  int max_datagrams_per_s = 4000;          ///< read in a second; more are thrown away unread
+  std::size_t max_user_message_bytes = 0;  ///< bytes of what another subsystem has carried, at most
+  bool operator==(const MembershipConfig&) const = default;
 };
 
 /// Reads and checks the section. `name` and `zone`: the proxy's own; `members`: proxies of the fleet, as the
 /// settings tell; `sockets`: descriptors it may hold.
 /// Throws FieldError, which names the key.
-Peers read_peers(const Fields& section, const std::string& name, int zone, int members, int sockets);
+MembershipConfig read_membership_config(const Fields& section, const std::string& name, int zone, int members,
+                                        int sockets);
 
 }  // namespace dahliahall::config
--- a/src/config/policy_config.cpp
+++ b/src/config/policy_config.cpp
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-Policy read_policy(const Fields& section, const std::string& name) {
-  Policy policy;
+PolicyConfig read_policy_config(const Fields& section, const std::string& name) {
+  PolicyConfig policy;
   agreed::Settings& s = policy.settings;
   s.name = name;
   const Json& voters = section.need("voters");
--- a/src/config/policy_config.h
+++ b/src/config/policy_config.h
@@ -11,11 +11,11 @@
 
 namespace dahliahall::config {
 
-struct Policy {
+struct PolicyConfig {
   agreed::Settings settings;
   std::string folder;  ///< on the disk of this proxy alone; there has to be one
   bool trace = false;  ///< a log line for each decision
-  bool operator==(const Policy& other) const {
+  bool operator==(const PolicyConfig& other) const {
     return settings.voters == other.settings.voters && settings.lease == other.settings.lease &&
            settings.serve_when_partitioned == other.settings.serve_when_partitioned &&
            folder == other.folder && trace == other.trace;
@@ -23,6 +23,6 @@
 };
 
 /// Reads and checks the section. Throws FieldError, which names the key.
-Policy read_policy(const Fields& section, const std::string& name);
+PolicyConfig read_policy_config(const Fields& section, const std::string& name);
 
 }  // namespace dahliahall::config
--- a/src/edge/admin.cpp
+++ b/src/edge/admin.cpp
@@ -63,7 +63,7 @@
   AdminConnection& link = connections_.at(connection);
   link.reader.feed(on_bytes);
   if (const auto call = link.reader.next()) return read_admin_call(*call);
-  if (link.reader.broken() && !link.answered_at) reply(connection, 400, "unreadable\n");
+  if (link.reader.is_broken() && !link.answered_at) reply(connection, 400, "unreadable\n");
   return std::nullopt;
 }
 
@@ -71,7 +71,7 @@
   AdminConnection& link = connections_.at(connection);
   ++link.call_count;
   link.answered_at = context_.now;
-  context_.write(connection, codec::write_http_answer(status, body));
+  context_.write(connection, codec::write_http_response(status, body));
   context_.shutdown_write(connection);
 }
 
--- a/src/edge/bounds.h
+++ b/src/edge/bounds.h
@@ -116,19 +116,19 @@
   std::size_t disconnect_unsent_bytes = 0;
 
   explicit ResourceLimits(const config::Config& config)
-      : descriptors(config.max_sockets),
-        client_connections(config.max_sockets / 2),
-        draining_connections(config.max_sockets / 16),
-        admin_connections(std::min(kMaxAdminConnections, config.max_sockets / 16)),
+      : descriptors(config.max_descriptors),
+        client_connections(config.max_descriptors / 2),
+        draining_connections(config.max_descriptors / 16),
+        admin_connections(std::min(kMaxAdminConnections, config.max_descriptors / 16)),
         upstream_connections(std::min(
-            descriptors / 3, descriptors - client_connections - draining_connections - admin_connections -
-                                 kOtherDescriptors -
-                                 (config.peers ? config.peers->streams + kMembershipDescriptors : 0))),
+            descriptors / 3,
+            descriptors - client_connections - draining_connections - admin_connections - kOtherDescriptors -
+                (config.membership ? config.membership->max_streams + kMembershipDescriptors : 0))),
         unread_timeout(longest_deadline(config.settings)),
-        body_bytes(config.memory / 8),
-        unsent_bytes(config.memory / 5),
-        reject_unsent_bytes(std::min<std::size_t>(2 * 1024 * 1024, config.memory / 16)),
-        disconnect_unsent_bytes(std::min<std::size_t>(9 * 1024 * 1024, config.memory / 8)) {}
+        body_bytes(config.memory_bytes / 8),
+        unsent_bytes(config.memory_bytes / 5),
+        reject_unsent_bytes(std::min<std::size_t>(2 * 1024 * 1024, config.memory_bytes / 16)),
+        disconnect_unsent_bytes(std::min<std::size_t>(9 * 1024 * 1024, config.memory_bytes / 8)) {}
 };
 
 }  // namespace dahliahall::edge
--- a/src/edge/bulletin_link.cpp
+++ b/src/edge/bulletin_link.cpp
@@ -27,9 +27,9 @@
 
 DiscoveryClient::DiscoveryClient(Context& context, const config::Config& config)
     : context_(context),
-      address_(config.bulletin),
-      field_names_(config.names),
-      last_event_(config.known_number),
+      address_(config.discovery_address),
+      field_names_(config.discovery_names),
+      last_event_(config.last_known_event),
       backoff_(kFirstWait),
       initial_timeout_(
           std::clamp(std::min(config.settings.invalidation_slack, config.settings.drain_grace) / 2,
@@ -52,16 +52,16 @@
   context_.write(connection_, codec::write_stream_request(address_, kPath, std::to_string(last_event_)));
 }
 
-std::vector<codec::BulletinEvent> DiscoveryClient::on_bytes(std::string_view on_bytes) {
+std::vector<codec::DiscoveryEvent> DiscoveryClient::on_bytes(std::string_view on_bytes) {
   last_heard_ = context_.now;
   has_data_ = true;
   timeout_ = initial_timeout_;
-  std::vector<codec::BulletinEvent> events;
+  std::vector<codec::DiscoveryEvent> events;
   const std::uint64_t lines = reader_.lines();
   reader_.feed(on_bytes);
   while (const auto read = reader_.next()) {
     try {
-      codec::BulletinEvent event = codec::parse_bulletin_event(read->data, field_names_);
+      codec::DiscoveryEvent event = codec::parse_discovery_event(read->data, field_names_);
       if (event.number <= last_event_) continue;  // told already: an event is never applied twice
       // Guards against a gap: a lost purge or drain would break a rule. The next connection asks for what is
       // missing. A bulletin that does not have it either would block all news for ever: then it is passed
--- a/src/edge/bulletin_link.h
+++ b/src/edge/bulletin_link.h
@@ -21,7 +21,7 @@
     return connection != 0 && connection == connection_;
   }
   void on_connected();
-  std::vector<codec::BulletinEvent> on_bytes(std::string_view on_bytes);
+  std::vector<codec::DiscoveryEvent> on_bytes(std::string_view on_bytes);
   /// The bulletin is elsewhere now: its numbers go on, so what is missing is asked for there at once.
   void set_address(const std::string& address);
   /// This program stood still: what has come meanwhile is still to be read.
@@ -43,7 +43,7 @@
 
   Context& context_;
   std::string address_;
-  codec::Names field_names_;
+  codec::DiscoveryNames field_names_;
   std::int64_t last_event_;
   std::int64_t gap_after_ = -1;  ///< the event after which one was missing
   ConnectionId connection_ = 0;
--- a/src/edge/copies.cpp
+++ b/src/edge/copies.cpp
@@ -23,7 +23,7 @@
           flow_bytes_per_s_ > 0
               ? static_cast<std::size_t>(std::clamp(config.link_bytes_per_s / flow_bytes_per_s_, 0.0, 64.0))
               : 0),
-      max_bytes_(config.memory / kLocalCacheMemoryDivisor),
+      max_bytes_(config.memory_bytes / kLocalCacheMemoryDivisor),
       invalidation_retention_(2 * config.settings.invalidation_settled_after) {}
 
 void LocalCache::resize(std::size_t memory) {
@@ -66,8 +66,10 @@
   return false;
 }
 
-void LocalCache::insert(const Key& key, std::int64_t group, const codec::CacheAnswer& answer, Time now) {
-  if (transfer_slots_free_at_.empty() || answer.body.empty() || answer.word != codec::AnswerWord::hit) return;
+void LocalCache::insert(const Key& key, std::int64_t group, const codec::CacheResponse& answer, Time now) {
+  if (transfer_slots_free_at_.empty() || answer.body.empty() ||
+      answer.status != codec::CacheResponseStatus::hit)
+    return;
   const auto tag = codec::field_in(answer.fields, "ver"), born = codec::field_in(answer.fields, "born");
   std::int64_t ms = 0;
   if (!tag || !born || std::from_chars(born->data(), born->data() + born->size(), ms).ec != std::errc{} ||
@@ -97,12 +99,12 @@
   evict();
 }
 
-void LocalCache::invalidate(const codec::Recall& recall, Time now) {
+void LocalCache::invalidate(const codec::Invalidation& recall, Time now) {
   const InvalidationKey what = recall.object
                                    ? InvalidationKey{true, *recall.object}
                                    : InvalidationKey{false, static_cast<std::uint64_t>(recall.group)};
   Time& issued = invalidations_[what];
-  issued = std::max(issued, recall.issued);
+  issued = std::max(issued, recall.issued_at);
   for (auto copy = lru_.begin(); copy != lru_.end();) {
     const auto next = std::next(copy);
     if (is_invalidated_since(copy->created_at, copy->key, copy->group)) erase(copy);
--- a/src/edge/copies.h
+++ b/src/edge/copies.h
@@ -44,8 +44,8 @@
   void record_sent(std::size_t bytes, Time now);
 
   /// A cache's good answer, to be kept or not.
-  void insert(const Key& key, std::int64_t group, const codec::CacheAnswer& answer, Time now);
-  void invalidate(const codec::Recall& recall, Time now);
+  void insert(const Key& key, std::int64_t group, const codec::CacheResponse& answer, Time now);
+  void invalidate(const codec::Invalidation& recall, Time now);
 
   [[nodiscard]] std::size_t table_entries() const {
     return lru_.size() + seen_once_.size() + invalidations_.size();
--- a/src/edge/membership.cpp
+++ b/src/edge/membership.cpp
@@ -9,42 +9,42 @@
 
 namespace dahliahall::edge {
 
-codec::ListedMember EndpointDirectory::effective(const codec::ListedMember& listed) const {
-  const auto found = overrides_.find(listed.member.id);
-  const bool agreed_out = policy_suspended_.count(listed.member.id) != 0;
+codec::ListedEndpoint EndpointDirectory::effective(const codec::ListedEndpoint& listed) const {
+  const auto found = overrides_.find(listed.endpoint.id);
+  const bool agreed_out = policy_suspended_.count(listed.endpoint.id) != 0;
   if (found == overrides_.end() && !agreed_out) return listed;
-  codec::ListedMember told = listed;
+  codec::ListedEndpoint told = listed;
   if (agreed_out || found->second.is_suspended) {
-    if (told.member.state == EndpointState::running) told.member.state = EndpointState::draining;
+    if (told.endpoint.state == EndpointState::running) told.endpoint.state = EndpointState::draining;
   } else {
     // Guards against pushing over a member that was restarted while it was out, of which the bulletin may not
     // have told yet: it counts as cold from the moment it was put back. Harm: one that was not restarted is
     // asked less than it could bear for a while.
-    told.member.started = std::max(told.member.started, found->second.changed_at);
+    told.endpoint.started = std::max(told.endpoint.started, found->second.changed_at);
   }
   return told;
 }
 
-codec::Roster EndpointDirectory::apply(const codec::Roster& told, Time now) {
+codec::EndpointUpdate EndpointDirectory::apply(const codec::EndpointUpdate& told, Time now) {
   const auto gone = [this](const std::string& id) {
     recently_removed_.push_back(id);
     if (recently_removed_.size() > kMaxRemovedEndpoints) recently_removed_.pop_front();
   };
-  if (told.complete) {
+  if (told.is_complete) {
     for (const auto& [id, listed] : std::exchange(endpoints_, {})) gone(id);
   }
-  codec::Roster out{told.complete, {}};
-  for (const codec::ListedMember& news : told.members) {
-    codec::ListedMember listed = news;
-    const auto before = endpoints_.find(news.member.id);
+  codec::EndpointUpdate out{told.is_complete, {}};
+  for (const codec::ListedEndpoint& news : told.endpoints) {
+    codec::ListedEndpoint listed = news;
+    const auto before = endpoints_.find(news.endpoint.id);
     if (listed.address.empty() && before != endpoints_.end()) listed.address = before->second.address;
-    if (news.member.state != EndpointState::removed) {
-      endpoints_[news.member.id] = listed;
+    if (news.endpoint.state != EndpointState::removed) {
+      endpoints_[news.endpoint.id] = listed;
     } else if (before != endpoints_.end()) {
       endpoints_.erase(before);
-      gone(news.member.id);
+      gone(news.endpoint.id);
     }
-    out.members.push_back(effective(listed));
+    out.endpoints.push_back(effective(listed));
   }
   drop_expired_overrides(now);
   return out;
@@ -55,32 +55,32 @@
          std::find(recently_removed_.begin(), recently_removed_.end(), id) != recently_removed_.end();
 }
 
-codec::Roster EndpointDirectory::update_for(const std::string& id) const {
+codec::EndpointUpdate EndpointDirectory::update_for(const std::string& id) const {
   const auto listed = endpoints_.find(id);
   if (listed == endpoints_.end()) return {};
   return {false, {effective(listed->second)}};
 }
 
-codec::Roster EndpointDirectory::set_policy_suspended(std::set<std::string> out, Time now) {
+codec::EndpointUpdate EndpointDirectory::set_policy_suspended(std::set<std::string> out, Time now) {
   const std::set<std::string> before = std::exchange(policy_suspended_, std::move(out));
   for (const std::string& id : before) {
     if (policy_suspended_.count(id) == 0 && !is_suspended(id) && overrides_.size() < kMaxOverrides)
       overrides_[id] = {false, now};
   }
-  codec::Roster changed;
+  codec::EndpointUpdate changed;
   for (const auto& [id, listed] : endpoints_) {
-    if (before.count(id) != policy_suspended_.count(id)) changed.members.push_back(effective(listed));
+    if (before.count(id) != policy_suspended_.count(id)) changed.endpoints.push_back(effective(listed));
   }
   return changed;
 }
 
-std::optional<codec::Roster> EndpointDirectory::suspend(const std::string& id, Time now) {
+std::optional<codec::EndpointUpdate> EndpointDirectory::suspend(const std::string& id, Time now) {
   if (!is_known(id) || (overrides_.size() >= kMaxOverrides && overrides_.count(id) == 0)) return std::nullopt;
   if (!is_suspended(id)) overrides_[id] = {true, now};  // said again, it changes nothing
   return update_for(id);
 }
 
-std::optional<codec::Roster> EndpointDirectory::resume(const std::string& id, Time now) {
+std::optional<codec::EndpointUpdate> EndpointDirectory::resume(const std::string& id, Time now) {
   if (!is_known(id)) return std::nullopt;
   if (is_suspended(id)) overrides_[id] = {false, now};
   return update_for(id);
@@ -102,7 +102,7 @@
   return text;
 }
 
-codec::Roster EndpointDirectory::load_overrides(std::string_view text) {
+codec::EndpointUpdate EndpointDirectory::load_overrides(std::string_view text) {
   std::map<std::string, AdminOverride> read;
   while (!text.empty() && read.size() < kMaxOverrides) {
     std::string_view line = text.substr(0, text.find('\n'));
@@ -118,12 +118,12 @@
     read[std::string(line.substr(used + 1))] = {out, Time{at}};
   }
   std::map<std::string, AdminOverride> before = std::exchange(overrides_, std::move(read));
-  codec::Roster changed;
+  codec::EndpointUpdate changed;
   for (const auto& [id, listed] : endpoints_) {
     const auto was = before.find(id), is = overrides_.find(id);
     const AdminOverride none{};
     if ((was == before.end() ? none : was->second) != (is == overrides_.end() ? none : is->second))
-      changed.members.push_back(effective(listed));
+      changed.endpoints.push_back(effective(listed));
   }
   return changed;
 }
--- a/src/edge/membership.h
+++ b/src/edge/membership.h
@@ -18,20 +18,20 @@
 class EndpointDirectory {
  public:
   /// Takes in the bulletin's news; what is to be told of it to all others.
-  codec::Roster apply(const codec::Roster& told, Time now);
+  codec::EndpointUpdate apply(const codec::EndpointUpdate& told, Time now);
 
   /// Takes a member out, or in again. What is to be told of it; none where no such member was ever listed.
-  std::optional<codec::Roster> suspend(const std::string& id, Time now);
-  std::optional<codec::Roster> resume(const std::string& id, Time now);
+  std::optional<codec::EndpointUpdate> suspend(const std::string& id, Time now);
+  std::optional<codec::EndpointUpdate> resume(const std::string& id, Time now);
 
   /// Those that the policy of the whole fleet takes out; what is to be told of the differences. One that
   /// comes back counts as started at that moment, as where an operator puts it back.
-  codec::Roster set_policy_suspended(std::set<std::string> out, Time now);
+  codec::EndpointUpdate set_policy_suspended(std::set<std::string> out, Time now);
 
   /// What outlives the process, and what another process has kept meanwhile. The latter gives what is to be
   /// told of the differences.
   [[nodiscard]] std::string serialized_overrides() const;
-  codec::Roster load_overrides(std::string_view text);
+  codec::EndpointUpdate load_overrides(std::string_view text);
 
   [[nodiscard]] bool is_suspended(const std::string& id) const {
     const auto found = overrides_.find(id);
@@ -46,12 +46,12 @@
     bool operator==(const AdminOverride&) const = default;
   };
 
-  [[nodiscard]] codec::ListedMember effective(const codec::ListedMember& listed) const;
-  [[nodiscard]] codec::Roster update_for(const std::string& id) const;
+  [[nodiscard]] codec::ListedEndpoint effective(const codec::ListedEndpoint& listed) const;
+  [[nodiscard]] codec::EndpointUpdate update_for(const std::string& id) const;
   [[nodiscard]] bool is_known(const std::string& id) const;
   void drop_expired_overrides(Time now);
 
-  std::map<std::string, codec::ListedMember> endpoints_;
+  std::map<std::string, codec::ListedEndpoint> endpoints_;
   std::map<std::string, AdminOverride> overrides_;
   std::set<std::string> policy_suspended_;
   std::deque<std::string> recently_removed_;  // the ids that left last
--- a/src/edge/operators.cpp
+++ b/src/edge/operators.cpp
@@ -3,7 +3,7 @@
 
 namespace dahliahall::edge {
 
-codec::Roster AdminHandler::execute(const AdminCall& call, Time now) {
+codec::EndpointUpdate AdminHandler::execute(const AdminCall& call, Time now) {
   if (call.operation != AdminOperation::suspend && call.operation != AdminOperation::resume) return {};
   const bool out = call.operation == AdminOperation::suspend;
   const auto changed = out ? dependencies_.endpoints.suspend(call.target, now)
--- a/src/edge/operators.h
+++ b/src/edge/operators.h
@@ -31,7 +31,7 @@
 
   /// Does what the call asks for. The members that are to be treated otherwise from now on: to be told to all
   /// before the call is answered.
-  codec::Roster execute(const AdminCall& call, Time now);
+  codec::EndpointUpdate execute(const AdminCall& call, Time now);
   /// The answer, after act: a yes comes once all is done. `ready`: whether the proxy can serve.
   void reply(ConnectionId connection, const AdminCall& call, bool ready);
 
--- a/src/edge/peering.cpp
+++ b/src/edge/peering.cpp
@@ -7,7 +7,7 @@
 
 MembershipAdapter::MembershipAdapter(Context& context, const config::Config& config)
     : context_(context), seed_(config.seed) {
-  if (config.peers) settings_ = config.peers->settings;
+  if (config.membership) settings_ = config.membership->settings;
 }
 
 void MembershipAdapter::start(const peers::Identity& identity) {
--- a/src/edge/pool.cpp
+++ b/src/edge/pool.cpp
@@ -40,7 +40,7 @@
   return report;
 }
 
-bool names(const codec::Recall& recall, const UpstreamRequest& order) {
+bool names(const codec::Invalidation& recall, const UpstreamRequest& order) {
   return recall.object ? *recall.object == order.object : recall.group == order.group;
 }
 
@@ -59,20 +59,21 @@
 
 // ---- Members ----
 
-void UpstreamPool::apply(const codec::Roster& update) {
-  if (update.complete) {  // who is not in it is gone
+void UpstreamPool::apply(const codec::EndpointUpdate& update) {
+  if (update.is_complete) {  // who is not in it is gone
     for (auto& [id, entry] : endpoints_) entry.endpoint.state = EndpointState::removed;
   }
-  for (const codec::ListedMember& listed : update.members) {
-    EndpointEntry& entry = endpoints_[listed.member.id];
+  for (const codec::ListedEndpoint& listed : update.endpoints) {
+    EndpointEntry& entry = endpoints_[listed.endpoint.id];
     // Guards against an id whose process or address is another one now: the old connections, which may be
     // silent for ever, are not its own.
     const bool moved = !listed.address.empty() && entry.address != listed.address;
-    if (listed.member.state != EndpointState::removed && (entry.process_started != listed.process || moved)) {
+    if (listed.endpoint.state != EndpointState::removed &&
+        (entry.process_started != listed.process_started || moved)) {
       retire_connections(entry, CloseReason::endpoint_replaced);
     }
-    entry.endpoint = listed.member;
-    entry.process_started = listed.process;
+    entry.endpoint = listed.endpoint;
+    entry.process_started = listed.process_started;
     if (!listed.address.empty()) entry.address = listed.address;
   }
   for (auto& [id, entry] : endpoints_) {
@@ -151,11 +152,11 @@
 
 /// Guards the rule on purges: an attempt decided before the purge and not written yet must not be served from
 /// an older copy.
-void UpstreamPool::invalidate(const codec::Recall& invalidation) {
+void UpstreamPool::invalidate(const codec::Invalidation& invalidation) {
   for (auto& [key, attempt] : attempts_) {
     UpstreamRequest& order = attempt.request;
     if (attempt.is_written || !names(invalidation, order)) continue;
-    const Time since = std::max(Time{1}, context_.now - invalidation.issued);
+    const Time since = std::max(Time{1}, context_.now - invalidation.issued_at);
     order.max_copy_age = order.max_copy_age.count() == 0 ? since : std::min(order.max_copy_age, since);
   }
   for (const ConnectionId id : connection_ids()) {
@@ -263,7 +264,7 @@
   if (request.source != request.endpoint) fields.add("from", request.source);
   if (request.max_copy_age.count() > 0)
     fields.add("oldest", std::to_string(std::max<std::int64_t>(1, whole_ms(request.max_copy_age))));
-  return codec::write_serve(request.request, fields, request.body);
+  return codec::write_request(request.request, fields, request.body);
 }
 
 /// Writes the next of what waits once all before it has gone: a send counts from its first byte, so what is
@@ -295,7 +296,7 @@
   context_.write(id, std::move(out));
 }
 
-void UpstreamPool::complete(const AttemptKey& key, AttemptResult result, codec::CacheAnswer response) {
+void UpstreamPool::complete(const AttemptKey& key, AttemptResult result, codec::CacheResponse response) {
   const auto found = attempts_.find(key);
   if (found == attempts_.end()) return;
   OutstandingAttempt& attempt = found->second;
@@ -363,7 +364,7 @@
   const std::string tag = std::string("g").append(std::to_string(++last_health_check_));
   UpstreamConnection& link = connections_.at(id);
   link.health_checks[tag] = context_.now;
-  link.commands += codec::write_gauges(tag);
+  link.commands += codec::write_health_check(tag);
   write_next(id);
 }
 
@@ -404,33 +405,33 @@
   }
 }
 
-void UpstreamPool::on_answer(ConnectionId id, codec::CacheAnswer answer) {
+void UpstreamPool::on_answer(ConnectionId id, codec::CacheResponse answer) {
   UpstreamConnection& link = connections_.at(id);
-  using codec::AnswerWord;
-  if (answer.word == AnswerWord::pong || answer.word == AnswerWord::sick) {
+  using codec::CacheResponseStatus;
+  if (answer.status == CacheResponseStatus::healthy || answer.status == CacheResponseStatus::unhealthy) {
     const auto probe = link.health_checks.find(answer.id);
     if (probe == link.health_checks.end()) return;
     const auto report = codec::field_in(answer.fields, "report");
-    health_results_.push_back({link.endpoint, answer.word == AnswerWord::pong, context_.now - probe->second,
-                               report ? read_report(*report) : std::nullopt});
+    health_results_.push_back({link.endpoint, answer.status == CacheResponseStatus::healthy,
+                               context_.now - probe->second, report ? read_report(*report) : std::nullopt});
     link.health_checks.erase(probe);
     return;
   }
   const auto open = link.open_attempts.find(answer.id);
   if (open == link.open_attempts.end()) return;  // a late answer to what was given up
   const AttemptKey key{open->first, open->second};
-  switch (answer.word) {
-    case AnswerWord::hit:
-    case AnswerWord::valid:
+  switch (answer.status) {
+    case CacheResponseStatus::hit:
+    case CacheResponseStatus::not_modified:
       complete(key, AttemptResult::served, std::move(answer));
       break;
-    case AnswerWord::none:
+    case CacheResponseStatus::not_found:
       complete(key, AttemptResult::cache_miss);
       break;
-    case AnswerWord::shed:
+    case CacheResponseStatus::shed:
       complete(key, AttemptResult::shed);
       break;
-    case AnswerWord::late:
+    case CacheResponseStatus::expired:
       complete(key, AttemptResult::not_sent);
       break;
     default:
--- a/src/edge/pool.h
+++ b/src/edge/pool.h
@@ -38,7 +38,7 @@
   std::string endpoint, source;
   AttemptResult result = AttemptResult::not_sent;
   Time duration{0};
-  codec::CacheAnswer response;  ///< of a served one
+  codec::CacheResponse response;  ///< of a served one
 };
 
 class UpstreamPool {
@@ -48,8 +48,8 @@
                std::function<bool(const std::string&)> is_owed);
 
   // ---- Members ----
-  void apply(const codec::Roster& update);
-  void invalidate(const codec::Recall& invalidation);
+  void apply(const codec::EndpointUpdate& update);
+  void invalidate(const codec::Invalidation& invalidation);
 
   // ---- Attempts and probes ----
   void start_attempt(UpstreamRequest request);
@@ -105,7 +105,7 @@
     std::optional<CloseReason> retired_for;           ///< it ends for this once what has come on it is read
     std::uint64_t request_count = 0;
     int unanswered_count = 0;  ///< given up or timed out since anything was heard
-    codec::AnswerReader reader;
+    codec::CacheResponseReader reader;
     std::map<std::string, int> open_attempts;                 ///< attempts written, by request
     std::deque<std::pair<std::string, int>> queued_attempts;  ///< attempts not written yet
     std::string commands;                                     ///< cancels and probes to be written
@@ -125,12 +125,12 @@
   void close_if_writing_stale(ConnectionId id, const std::function<bool(const UpstreamRequest&)>& stale);
   void write_next(ConnectionId id);
   std::string render(const UpstreamRequest& request) const;
-  void complete(const AttemptKey& key, AttemptResult result, codec::CacheAnswer response = {});
+  void complete(const AttemptKey& key, AttemptResult result, codec::CacheResponse response = {});
   void complete_later(const AttemptKey& key, AttemptResult result);
   void drop_stale_queued(ConnectionId id);
   void retire_connections(EndpointEntry& endpoint, CloseReason reason);
   void close(ConnectionId id, CloseReason reason, bool close_it);
-  void on_answer(ConnectionId id, codec::CacheAnswer answer);
+  void on_answer(ConnectionId id, codec::CacheResponse answer);
   void abandon_attempt(const AttemptKey& key, AttemptResult result);
 
   Context& context_;
--- a/src/edge/reducer.cpp
+++ b/src/edge/reducer.cpp
@@ -56,14 +56,14 @@
         agreeing_(context_, peering_, config),
         operators_({context_, admin_, requests_, pool_, router_, membership_, peering_, agreeing_}) {
     context_.now = now;
-    context_.log("starting name=" + config.name + " listen=" + config.listen +
-                 " known=" + std::to_string(config.known_number));
+    context_.log("starting name=" + config.name + " listen=" + config.listen_address +
+                 " known=" + std::to_string(config.last_known_event));
     bool remembered = true;
-    for (const codec::BulletinEvent& event : config.known) {
+    for (const codec::DiscoveryEvent& event : config.known_events) {
       apply(event, remembered);
-      remembered = remembered && !event.roster;
+      remembered = remembered && !event.endpoints;
     }
-    running_.known.clear();
+    running_.known_events.clear();
     bulletin_.open();
     context_.timers.add(now + kSweepEvery, {TimerKind::sweep, {}, 0, 0});
     context_.timers.add(now + kTellEvery, {TimerKind::log_stats, {}, 0, 0});
@@ -121,7 +121,7 @@
     } else if (admin_.owns(in.connection)) {
       if (const auto call = admin_.on_bytes(in.connection, in.bytes)) on_admin(in.connection, *call);
     } else if (bulletin_.owns(in.connection)) {
-      for (const codec::BulletinEvent& event : bulletin_.on_bytes(in.bytes)) apply(event, false);
+      for (const codec::DiscoveryEvent& event : bulletin_.on_bytes(in.bytes)) apply(event, false);
     }
   }
 
@@ -196,22 +196,22 @@
 
   /// Takes over what can change while it runs. Requests, connections and the place in the bulletin are kept.
   void on(const Reloaded& in) {
-    for (const std::string& key : config::keys_for_a_start(running_, in.config))
+    for (const std::string& key : config::restart_only_keys(running_, in.config))
       context_.log("reload kept key=" + key + " until the next start");
-    running_.bulletin = in.config.bulletin;
-    running_.max_sockets = in.config.max_sockets;
-    running_.memory = in.config.memory;
+    running_.discovery_address = in.config.discovery_address;
+    running_.max_descriptors = in.config.max_descriptors;
+    running_.memory_bytes = in.config.memory_bytes;
     context_.limits = ResourceLimits(running_);
-    copies_.resize(running_.memory);
-    context_.log("reloaded bulletin=" + running_.bulletin);
-    bulletin_.set_address(running_.bulletin);
+    copies_.resize(running_.memory_bytes);
+    context_.log("reloaded bulletin=" + running_.discovery_address);
+    bulletin_.set_address(running_.discovery_address);
   }
   // Guards against a faulty file ending what runs well.
   void on(const ReloadFailed& in) { context_.log("reload failed, nothing changed: " + in.problem); }
 
   void on(const OverridesLoaded& in) {
-    const codec::Roster changed = membership_.load_overrides(in.overrides);
-    if (!changed.members.empty()) spread(changed, ListKind::changes);
+    const codec::EndpointUpdate changed = membership_.load_overrides(in.overrides);
+    if (!changed.endpoints.empty()) spread(changed, ListKind::changes);
     settle();
   }
 
@@ -245,9 +245,9 @@
     running_.settings = std::move(terms->settings);
     refused_classes_ = std::move(terms->refused_classes);
     tell(SettingsChanged{settings_});
-    const codec::Roster changed =
+    const codec::EndpointUpdate changed =
         membership_.set_policy_suspended(std::move(terms->suspended_endpoints), context_.now);
-    if (!changed.members.empty()) spread(changed, ListKind::changes);
+    if (!changed.endpoints.empty()) spread(changed, ListKind::changes);
     settle();
   }
 
@@ -259,8 +259,8 @@
   void on(const MembershipInput& in) { peering_.handle(in.input); }
 
   void on_admin(ConnectionId connection, const AdminCall& call) {
-    const codec::Roster changed = operators_.execute(call, context_.now);
-    if (!changed.members.empty()) spread(changed, ListKind::changes);
+    const codec::EndpointUpdate changed = operators_.execute(call, context_.now);
+    if (!changed.endpoints.empty()) spread(changed, ListKind::changes);
     settle();
     operators_.reply(connection, call, listed_ && !stopping_ && agreeing_.can_decide());
   }
@@ -346,7 +346,7 @@
     stopped_ = true;
     pool_.stop();
     admin_.stop();
-    if (!running_.admin.empty()) context_.close(kAdminListener);
+    if (!running_.admin_address.empty()) context_.close(kAdminListener);
     bulletin_.stop();
     context_.log("stopped");
   }
@@ -458,36 +458,37 @@
 
   // ---- The bulletin ----
 
-  void apply(const codec::BulletinEvent& event, bool remembered) {
+  void apply(const codec::DiscoveryEvent& event, bool remembered) {
     // Guards against a list that is whole in name and empty, which would end all service: it names no member
     // that has gone either, so nothing that was heard of drains is lost with it. Where nothing was known, it
     // is the list.
-    const bool empty =
-        event.roster && event.roster->complete && event.roster->members.empty() && pool_.endpoint_count() > 0;
+    const bool empty = event.endpoints && event.endpoints->is_complete &&
+                       event.endpoints->endpoints.empty() && pool_.endpoint_count() > 0;
     if (empty) context_.log("list empty no=" + std::to_string(event.number) + " passed over");
-    if (event.roster && !empty) {
-      listed_ = listed_ || event.roster->complete;
+    if (event.endpoints && !empty) {
+      listed_ = listed_ || event.endpoints->is_complete;
       context_.log("list no=" + std::to_string(event.number) +
-                   " complete=" + (event.roster->complete ? "1" : "0") +
-                   " members=" + std::to_string(event.roster->members.size()));
-      spread(membership_.apply(*event.roster, context_.now), !event.roster->complete ? ListKind::changes
-                                                             : remembered ? ListKind::from_configuration
-                                                                          : ListKind::complete);
+                   " complete=" + (event.endpoints->is_complete ? "1" : "0") +
+                   " members=" + std::to_string(event.endpoints->endpoints.size()));
+      spread(membership_.apply(*event.endpoints, context_.now), !event.endpoints->is_complete
+                                                                    ? ListKind::changes
+                                                                : remembered ? ListKind::from_configuration
+                                                                             : ListKind::complete);
     }
-    if (event.recall) {
-      pool_.invalidate(*event.recall);
-      copies_.invalidate(*event.recall, context_.now);
-      tell(Invalidation{event.recall->object, event.recall->group,
-                        std::max(Time{0}, context_.now - event.recall->issued)});
+    if (event.invalidation) {
+      pool_.invalidate(*event.invalidation);
+      copies_.invalidate(*event.invalidation, context_.now);
+      tell(Invalidation{event.invalidation->object, event.invalidation->group,
+                        std::max(Time{0}, context_.now - event.invalidation->issued_at)});
     }
     settle();
   }
 
   /// Tells the pool and the module of members as they are to be treated from now on.
-  void spread(const codec::Roster& roster, ListKind kind) {
+  void spread(const codec::EndpointUpdate& roster, ListKind kind) {
     pool_.apply(roster);
     EndpointList list{kind, {}};
-    for (const codec::ListedMember& m : roster.members) list.endpoints.push_back(m.member);
+    for (const codec::ListedEndpoint& m : roster.endpoints) list.endpoints.push_back(m.endpoint);
     tell(list);
   }
 
@@ -522,7 +523,8 @@
     outcome.result = ended.result;
     // Guards clients against being told that the copy they hold is the one, where they hold none, or against
     // bytes that such an answer can't bring.
-    if (ended.result == AttemptResult::served && ended.response.word == codec::AnswerWord::valid) {
+    if (ended.result == AttemptResult::served &&
+        ended.response.status == codec::CacheResponseStatus::not_modified) {
       const PendingRequest* taken = requests_.find(ended.request);
       if (taken != nullptr && (taken->client_entity_tag.empty() || !ended.response.body.empty()))
         outcome.result = AttemptResult::malformed_response;
--- a/src/edge/requests.cpp
+++ b/src/edge/requests.cpp
@@ -138,9 +138,9 @@
   if (protocol != nullptr) clients_.reply(front, make_reply(*protocol, tag));
 }
 
-void PendingRequests::served(const std::string& request, const codec::CacheAnswer& answer) {
+void PendingRequests::served(const std::string& request, const codec::CacheResponse& answer) {
   served(request, answer.body, codec::field_in(answer.fields, "ver"),
-         answer.word == codec::AnswerWord::valid);
+         answer.status == codec::CacheResponseStatus::not_modified);
 }
 
 void PendingRequests::served(const std::string& request, std::string_view body,
--- a/src/edge/requests.h
+++ b/src/edge/requests.h
@@ -52,7 +52,7 @@
   [[nodiscard]] std::size_t open_count() const { return pending_.size(); }
 
   // Final answers, for a request that is still owed one; else nothing happens.
-  void served(const std::string& request, const codec::CacheAnswer& answer);
+  void served(const std::string& request, const codec::CacheResponse& answer);
   void served(const std::string& request, std::string_view body, std::optional<std::string_view> tag,
               bool unchanged);
   /// `retry_after`: when to come back; the site's bound on that stands above it. 0: not told.
--- a/src/edge/thrift_front.cpp
+++ b/src/edge/thrift_front.cpp
@@ -20,27 +20,27 @@
         calls.push_back(std::visit([read](auto& call) { return translate(*read, call); }, read->call));
       } else {
         broken_ = true;
-        broken_call_ = codec::seqid_of(*frame);
+        broken_call_ = codec::sequence_id_of(*frame);
       }
     }
     if (frames_.error() != codec::FrameError::none) {
       broken_ = true;
-      broken_call_ = codec::seqid_of(frames_.rest());
+      broken_call_ = codec::sequence_id_of(frames_.partial_frame());
     }
     return calls;
   }
   [[nodiscard]] bool is_broken() const override { return broken_; }
-  [[nodiscard]] bool has_partial_message() const override { return frames_.halfway(); }
+  [[nodiscard]] bool has_partial_message() const override { return frames_.has_partial_frame(); }
 
   std::string served(CallId tag, std::string_view body, const ClientFields& fields) override {
-    return codec::write_answer(tag, "process", body, fields, true);
+    return codec::write_reply(tag, "process", body, fields, true);
   }
   std::string rejected(CallId tag, const ClientFields& fields) override {
     return codec::write_declared_exception(tag, kTrylater, fields);
   }
   std::string failed(CallId tag) override { return codec::write_declared_exception(tag, kAborted, {}); }
   std::string readiness_reply(CallId tag, bool good) override {
-    return codec::write_answer(tag, "probe", "", {}, good);
+    return codec::write_reply(tag, "probe", "", {}, good);
   }
   std::string malformed_stream_reply() override {
     return codec::write_application_exception(broken_call_, "process",
@@ -53,16 +53,16 @@
 
  private:
   static ClientCall translate(const codec::Message& m, codec::ProcessCall& call) {
-    return ObjectRequest{m.seqid, std::move(call.fields), std::move(call.body), call.readable};
+    return ObjectRequest{m.sequence_id, std::move(call.fields), std::move(call.body), call.is_readable};
   }
-  static ClientCall translate(const codec::Message&, const codec::GiveUpCall& call) {
-    return CancelRequest{call.given_up};
+  static ClientCall translate(const codec::Message&, const codec::CancelCall& call) {
+    return CancelRequest{call.sequence_id};
   }
-  static ClientCall translate(const codec::Message& m, const codec::ProbeCall&) {
-    return ReadinessCheck{m.seqid};
+  static ClientCall translate(const codec::Message& m, const codec::PingCall&) {
+    return ReadinessCheck{m.sequence_id};
   }
   static ClientCall translate(const codec::Message& m, codec::UnknownCall& call) {
-    return UnknownMethod{m.seqid, std::move(call.method), m.type == codec::MessageType::call};
+    return UnknownMethod{m.sequence_id, std::move(call.method), m.type == codec::MessageType::call};
   }
 
   codec::FrameReader frames_;
--- a/src/net/glib_ptr.h
+++ b/src/net/glib_ptr.h
@@ -52,11 +52,11 @@
   Error(const Error&) = delete;
   Error& operator=(const Error&) = delete;
   ~Error() { g_clear_error(&error_); }
-  GError** out() {
+  GError** out_ptr() {
     g_clear_error(&error_);
     return &error_;
   }
-  [[nodiscard]] bool is(int code) const {
+  [[nodiscard]] bool matches(int code) const {
     return error_ != nullptr && g_error_matches(error_, G_IO_ERROR, code);
   }
   [[nodiscard]] const char* text() const { return error_ == nullptr ? "unknown error" : error_->message; }
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-struct PeerLink::Stream {
+struct MembershipSockets::Stream {
   std::uint64_t id = 0;
-  PeerLink* link = nullptr;
+  MembershipSockets* link = nullptr;
   ObjectPtr<GSocket> socket;
   std::string from;
   Source source, timeout;
@@ -62,19 +62,19 @@
   std::size_t sent = 0;
 };
 
-PeerLink::PeerLink(const config::Peers& config, Told told)
+MembershipSockets::MembershipSockets(const config::MembershipConfig& config, Callbacks told)
     : config_(config),
-      told_(std::move(told)),
-      store_(config.folder, config.settings.name, config.settings.cluster, told_.log) {
-  starting_ = watch_time<[](PeerLink* link) -> gboolean {
+      callbacks_(std::move(told)),
+      store_(config.folder, config.settings.name, config.settings.cluster, callbacks_.log) {
+  start_retry_ = watch_time<[](MembershipSockets* link) -> gboolean {
     link->try_to_start();
-    return link->datagrams_ ? G_SOURCE_REMOVE : G_SOURCE_CONTINUE;
+    return link->datagram_socket_ ? G_SOURCE_REMOVE : G_SOURCE_CONTINUE;
   }>(kTryEveryMs, this);
 }
 
-PeerLink::~PeerLink() = default;
+MembershipSockets::~MembershipSockets() = default;
 
-void PeerLink::try_to_start() {
+void MembershipSockets::try_to_start() {
   std::string why;
   std::optional<peers::Identity> identity;
   if (store_.lock(why) && bind(why)) {
@@ -82,117 +82,120 @@
     identity = store_.open({s.name, s.address, 0, 0, s.zone, peers::MemberStatus::alive, {}}, why);
   }
   if (!identity) {
-    datagrams_.reset();
+    datagram_socket_.reset();
     listener_.reset();
-    if (why != waits_for_) told_.log("peers wait: " + why);
-    waits_for_ = why;
+    if (why != waiting_for_) callbacks_.log("peers wait: " + why);
+    waiting_for_ = why;
     return;
   }
-  reading_ = watch_socket<[](PeerLink* link) -> gboolean {
+  read_source_ = watch_socket<[](MembershipSockets* link) -> gboolean {
     link->read_datagrams();
     return G_SOURCE_CONTINUE;
-  }>(datagrams_.get(), G_IO_IN, this);
-  accepting_ = watch_socket<[](PeerLink* link) -> gboolean {
+  }>(datagram_socket_.get(), G_IO_IN, this);
+  accept_source_ = watch_socket<[](MembershipSockets* link) -> gboolean {
     link->accept();
     return G_SOURCE_CONTINUE;
   }>(listener_.get(), G_IO_IN, this);
-  told_.ready(std::move(*identity));
+  callbacks_.ready(std::move(*identity));
 }
 
-bool PeerLink::bind(std::string& why) {
-  const auto where = address_of(config_.listen);
+bool MembershipSockets::bind(std::string& why) {
+  const auto where = address_of(config_.listen_address);
   Error error;
   const auto open = [&](GSocketType type, GSocketProtocol protocol) {
     ObjectPtr<GSocket> socket(
-        where ? g_socket_new(g_socket_address_get_family(where.get()), type, protocol, error.out())
+        where ? g_socket_new(g_socket_address_get_family(where.get()), type, protocol, error.out_ptr())
               : nullptr);
     if (!socket) return socket;
     g_socket_set_blocking(socket.get(), FALSE);
     // Streams may follow at an address at which old ones fade; two that bind at once are refused all the
     // same.
-    if (!g_socket_bind(socket.get(), where.get(), type == G_SOCKET_TYPE_STREAM, error.out())) socket.reset();
+    if (!g_socket_bind(socket.get(), where.get(), type == G_SOCKET_TYPE_STREAM, error.out_ptr()))
+      socket.reset();
     return socket;
   };
-  datagrams_ = open(G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP);
-  if (datagrams_) listener_ = open(G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP);
-  if (datagrams_ && listener_ && g_socket_listen(listener_.get(), error.out())) return true;
-  why = "can't listen on " + config_.listen + ": " + error.text();
+  datagram_socket_ = open(G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP);
+  if (datagram_socket_) listener_ = open(G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP);
+  if (datagram_socket_ && listener_ && g_socket_listen(listener_.get(), error.out_ptr())) return true;
+  why = "can't listen on " + config_.listen_address + ": " + error.text();
   return false;
 }
 
 // ---- Datagrams ----
 
-void PeerLink::read_datagrams() {
+void MembershipSockets::read_datagrams() {
   std::array<char, 16 * 1024> buffer;
-  for (int i = 0; i < kDatagramsAtOnce && datagrams_; ++i) {
+  for (int i = 0; i < kDatagramsAtOnce && datagram_socket_; ++i) {
     GSocketAddress* sender = nullptr;
     // One byte more than is allowed tells one that is too large.
     const std::size_t room = std::min(buffer.size(), config_.settings.max_datagram_bytes + 1);
     const gssize size =
-        g_socket_receive_from(datagrams_.get(), &sender, buffer.data(), room, nullptr, nullptr);
+        g_socket_receive_from(datagram_socket_.get(), &sender, buffer.data(), room, nullptr, nullptr);
     const ObjectPtr<GSocketAddress> from(sender);
     if (size < 0) return;
     const std::int64_t second = g_get_monotonic_time() / 1'000'000;
-    if (second != std::exchange(second_, second)) read_in_second_ = 0;
+    if (second != std::exchange(second_, second)) datagrams_in_second_ = 0;
     // Guards the clients against a flood: what comes beyond the bound costs no more than its reading.
-    if (++read_in_second_ > config_.datagrams) {
-      if (read_in_second_ == config_.datagrams + 1)
-        told_.log("peers flooded from=" + text_of(from.get()) + " more than " +
-                  std::to_string(config_.datagrams) + " a second");
+    if (++datagrams_in_second_ > config_.max_datagrams_per_s) {
+      if (datagrams_in_second_ == config_.max_datagrams_per_s + 1)
+        callbacks_.log("peers flooded from=" + text_of(from.get()) + " more than " +
+                       std::to_string(config_.max_datagrams_per_s) + " a second");
       continue;
     }
-    hear({buffer.data(), static_cast<std::size_t>(size)}, config_.settings.max_datagram_bytes,
-         text_of(from.get()), 0);
+    on_bytes({buffer.data(), static_cast<std::size_t>(size)}, config_.settings.max_datagram_bytes,
+             text_of(from.get()), 0);
   }
 }
 
-void PeerLink::hear(std::string_view bytes, std::size_t most, const std::string& from, std::uint64_t stream) {
+void MembershipSockets::on_bytes(std::string_view bytes, std::size_t most, const std::string& from,
+                                 std::uint64_t stream) {
   auto decoded = peers::decode(bytes, config_.settings.cluster, most);
   if (const auto* reason = std::get_if<peers::DecodeError>(&decoded)) {
-    told_.input(peers::MessageRejected{*reason, from});
+    callbacks_.input(peers::MessageRejected{*reason, from});
     return;
   }
-  told_.input(peers::MessageReceived{std::move(std::get<peers::Message>(decoded)), stream});
+  callbacks_.input(peers::MessageReceived{std::move(std::get<peers::Message>(decoded)), stream});
 }
 
-void PeerLink::perform(const peers::SendDatagram& send) {
+void MembershipSockets::perform(const peers::SendDatagram& send) {
   const auto where = address_of(send.address);
-  if (!datagrams_ || !where) return;
+  if (!datagram_socket_ || !where) return;
   const std::string bytes = peers::encode(send.message, config_.settings.cluster);
   // One that the system does not take is as good as lost on the way.
-  g_socket_send_to(datagrams_.get(), where.get(), bytes.data(), bytes.size(), nullptr, nullptr);
+  g_socket_send_to(datagram_socket_.get(), where.get(), bytes.data(), bytes.size(), nullptr, nullptr);
 }
 
 // ---- Streams ----
 
-void PeerLink::accept() {
+void MembershipSockets::accept() {
   while (listener_) {
     ObjectPtr<GSocket> socket(g_socket_accept(listener_.get(), nullptr, nullptr));
     if (!socket) return;
     // Guards the descriptors that clients and caches need: who comes beyond the bound asks again later.
-    if (streams_.size() >= static_cast<std::size_t>(config_.streams)) continue;
+    if (streams_.size() >= static_cast<std::size_t>(config_.max_streams)) continue;
     const ObjectPtr<GSocketAddress> from(g_socket_get_remote_address(socket.get(), nullptr));
-    adopt(std::move(socket), false).from = text_of(from.get());
+    add_stream(std::move(socket), false).from = text_of(from.get());
   }
 }
 
-void PeerLink::perform(const peers::SendFullSync& exchange) {
+void MembershipSockets::perform(const peers::SendFullSync& exchange) {
   const auto where = address_of(exchange.address);
-  if (!datagrams_ || !where || streams_.size() >= static_cast<std::size_t>(config_.streams)) return;
+  if (!datagram_socket_ || !where || streams_.size() >= static_cast<std::size_t>(config_.max_streams)) return;
   ObjectPtr<GSocket> socket(
       g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, nullptr));
   if (!socket) return;
   g_socket_set_blocking(socket.get(), FALSE);
   Error error;
-  if (!g_socket_connect(socket.get(), where.get(), nullptr, error.out()) && !error.is(G_IO_ERROR_PENDING))
+  if (!g_socket_connect(socket.get(), where.get(), nullptr, error.out_ptr()) &&
+      !error.matches(G_IO_ERROR_PENDING))
     return;
-  Stream& stream = adopt(std::move(socket), true);
+  Stream& stream = add_stream(std::move(socket), true);
   stream.from = exchange.address;
   stream.out = peers::encode(exchange.message, config_.settings.cluster);
   watch(stream);
 }
 
-void PeerLink::perform(const peers::FullSyncReply& answer) {
+void MembershipSockets::perform(const peers::FullSyncReply& answer) {
   const auto found = streams_.find(answer.stream);
   if (found == streams_.end()) return;
   Stream& stream = *found->second;
@@ -201,44 +204,44 @@
   watch(stream);
 }
 
-PeerLink::Stream& PeerLink::adopt(ObjectPtr<GSocket> socket, bool asked_here) {
+MembershipSockets::Stream& MembershipSockets::add_stream(ObjectPtr<GSocket> socket, bool is_initiator) {
   g_socket_set_blocking(socket.get(), FALSE);
   auto stream = std::make_unique<Stream>();
   stream->id = ++last_stream_;
   stream->link = this;
   stream->socket = std::move(socket);
-  stream->asked_here = stream->connecting = stream->writing = asked_here;
+  stream->asked_here = stream->connecting = stream->writing = is_initiator;
   // Guards the bound on streams against those that say nothing.
   stream->timeout = watch_time<[](Stream* late) -> gboolean {
-    late->link->end(late->id);
+    late->link->close_stream(late->id);
     return G_SOURCE_REMOVE;
   }>(kStreamWithinMs, stream.get());
   Stream& adopted = *stream;
   streams_[adopted.id] = std::move(stream);
-  if (!asked_here) watch(adopted);
+  if (!is_initiator) watch(adopted);
   return adopted;
 }
 
-void PeerLink::watch(Stream& stream) {
+void MembershipSockets::watch(Stream& stream) {
   stream.source = watch_socket<[](Stream* s) -> gboolean {
-    PeerLink* link = s->link;
+    MembershipSockets* link = s->link;
     const std::uint64_t id = s->id;
-    if (!link->ready(*s)) link->end(id);
+    if (!link->on_stream_ready(*s)) link->close_stream(id);
     return G_SOURCE_CONTINUE;
   }>(stream.socket.get(), stream.writing ? G_IO_OUT : G_IO_IN, &stream);
 }
 
 /// False: the stream is over.
-bool PeerLink::ready(Stream& stream) {
+bool MembershipSockets::on_stream_ready(Stream& stream) {
   Error error;
   if (std::exchange(stream.connecting, false) &&
-      !g_socket_check_connect_result(stream.socket.get(), error.out()))
+      !g_socket_check_connect_result(stream.socket.get(), error.out_ptr()))
     return false;
   if (stream.writing) {
     while (stream.sent < stream.out.size()) {
       const gssize size = g_socket_send(stream.socket.get(), stream.out.data() + stream.sent,
-                                        stream.out.size() - stream.sent, nullptr, error.out());
-      if (size < 0) return error.is(G_IO_ERROR_WOULD_BLOCK);
+                                        stream.out.size() - stream.sent, nullptr, error.out_ptr());
+      if (size < 0) return error.matches(G_IO_ERROR_WOULD_BLOCK);
       stream.sent += static_cast<std::size_t>(size);
     }
     g_socket_shutdown(stream.socket.get(), FALSE, TRUE, nullptr);
@@ -248,12 +251,12 @@
     return true;
   }
   const std::size_t most =
-      std::max((2 * config_.settings.max_members + 2) * kBytesOfMember, config_.most_carried);
+      std::max((2 * config_.settings.max_members + 2) * kBytesOfMember, config_.max_user_message_bytes);
   std::array<char, kReadAtOnce> buffer;
   while (true) {
     const gssize size =
-        g_socket_receive(stream.socket.get(), buffer.data(), buffer.size(), nullptr, error.out());
-    if (size < 0) return error.is(G_IO_ERROR_WOULD_BLOCK);
+        g_socket_receive(stream.socket.get(), buffer.data(), buffer.size(), nullptr, error.out_ptr());
+    if (size < 0) return error.matches(G_IO_ERROR_WOULD_BLOCK);
     if (size == 0) break;
     stream.in.append(buffer.data(), static_cast<std::size_t>(size));
     if (stream.in.size() > most) break;
@@ -264,24 +267,24 @@
   if (asked_here && stream.in.empty()) return false;
   stream.source.reset();
   const std::string bytes = std::move(stream.in);
-  hear(bytes, most, stream.from, asked_here ? 0 : id);
+  on_bytes(bytes, most, stream.from, asked_here ? 0 : id);
   // An answer that is owed is being written now.
   const auto found = streams_.find(id);
   return found != streams_.end() && !asked_here && found->second->writing;
 }
 
-void PeerLink::end(std::uint64_t stream) { streams_.erase(stream); }
+void MembershipSockets::close_stream(std::uint64_t stream) { streams_.erase(stream); }
 
-void PeerLink::keep(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members) {
-  store_.keep(self, std::move(members));
+void MembershipSockets::persist(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members) {
+  store_.persist(self, std::move(members));
 }
 
-void PeerLink::stop() {
-  starting_.reset();
-  reading_.reset();
-  accepting_.reset();
+void MembershipSockets::stop() {
+  start_retry_.reset();
+  read_source_.reset();
+  accept_source_.reset();
   streams_.clear();
-  datagrams_.reset();
+  datagram_socket_.reset();
   listener_.reset();
 }
 
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -19,22 +19,22 @@
 
 namespace dahliahall::net {
 
-class PeerLink {
+class MembershipSockets {
  public:
-  struct Told {
+  struct Callbacks {
     std::function<void(peers::Identity)> ready;  ///< it is bound and its identity is on the disk
     std::function<void(peers::Input)> input;
     std::function<void(const std::string&)> log;
   };
-  PeerLink(const config::Peers& config, Told told);
-  ~PeerLink();
-  PeerLink(const PeerLink&) = delete;
-  PeerLink& operator=(const PeerLink&) = delete;
+  MembershipSockets(const config::MembershipConfig& config, Callbacks told);
+  ~MembershipSockets();
+  MembershipSockets(const MembershipSockets&) = delete;
+  MembershipSockets& operator=(const MembershipSockets&) = delete;
 
   void perform(const peers::SendDatagram& send);
   void perform(const peers::SendFullSync& exchange);
   void perform(const peers::FullSyncReply& answer);
-  void keep(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members);
+  void persist(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members);
   /// Nothing comes or goes any more.
   void stop();
 
@@ -45,22 +45,22 @@
   bool bind(std::string& why);
   void read_datagrams();
   void accept();
-  Stream& adopt(ObjectPtr<GSocket> socket, bool asked_here);
+  Stream& add_stream(ObjectPtr<GSocket> socket, bool is_initiator);
   void watch(Stream& stream);
-  bool ready(Stream& stream);
-  void end(std::uint64_t stream);
-  void hear(std::string_view bytes, std::size_t most, const std::string& from, std::uint64_t stream);
+  bool on_stream_ready(Stream& stream);
+  void close_stream(std::uint64_t stream);
+  void on_bytes(std::string_view bytes, std::size_t most, const std::string& from, std::uint64_t stream);
 
-  const config::Peers config_;
-  Told told_;
-  PeerStore store_;
-  ObjectPtr<GSocket> datagrams_, listener_;
-  Source reading_, accepting_, starting_;
-  std::string waits_for_;  // as it was logged last
+  const config::MembershipConfig config_;
+  Callbacks callbacks_;
+  MembershipStore store_;
+  ObjectPtr<GSocket> datagram_socket_, listener_;
+  Source read_source_, accept_source_, start_retry_;
+  std::string waiting_for_;  // as it was logged last
   std::map<std::uint64_t, std::unique_ptr<Stream>> streams_;
   std::uint64_t last_stream_ = 0;
   std::int64_t second_ = 0;
-  int read_in_second_ = 0;
+  int datagrams_in_second_ = 0;
 };
 
 }  // namespace dahliahall::net
--- a/src/net/peer_store.cpp
+++ b/src/net/peer_store.cpp
@@ -35,19 +35,19 @@
 
 }  // namespace
 
-PeerStore::PeerStore(const std::string& folder, const std::string& name, std::string cluster,
-                     std::function<void(const std::string&)> log)
+MembershipStore::MembershipStore(const std::string& folder, const std::string& name, std::string cluster,
+                                 std::function<void(const std::string&)> log)
     : folder_(folder),
       path_(folder + "/peers-" + name),
       cluster_(std::move(cluster)),
       log_(std::move(log)),
       file_(path_, [this](const char* why) { log_(std::string("peers keep failed: ") + why); }) {}
 
-PeerStore::~PeerStore() {
+MembershipStore::~MembershipStore() {
   if (locked_ >= 0) close(locked_);
 }
 
-bool PeerStore::lock(std::string& why) {
+bool MembershipStore::lock(std::string& why) {
   if (locked_ >= 0) return true;
   const int file = ::open((path_ + ".lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
   if (file < 0) {
@@ -64,7 +64,7 @@
   return true;
 }
 
-std::optional<peers::Message> PeerStore::read() const {
+std::optional<peers::Message> MembershipStore::read() const {
   std::ifstream file(path_, std::ios::binary);
   if (!file) return std::nullopt;
   const std::string all(std::istreambuf_iterator<char>(file), {});
@@ -78,7 +78,8 @@
   return std::nullopt;
 }
 
-std::string PeerStore::text(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members) const {
+std::string MembershipStore::text(const peers::MemberUpdate& self,
+                                  std::vector<peers::MemberUpdate> members) const {
   peers::Message kept;
   kept.kind = peers::MessageKind::full_sync;
   kept.from = self;
@@ -87,7 +88,7 @@
   return sum_of(bytes) + bytes;
 }
 
-std::optional<peers::Identity> PeerStore::open(const peers::MemberUpdate& self, std::string& why) {
+std::optional<peers::Identity> MembershipStore::open(const peers::MemberUpdate& self, std::string& why) {
   peers::Identity identity;
   peers::MemberUpdate mine = self;
   if (auto kept = read()) {
@@ -105,7 +106,7 @@
   return identity;
 }
 
-bool PeerStore::write_durably(const std::string& bytes, std::string& why) const {
+bool MembershipStore::write_durably(const std::string& bytes, std::string& why) const {
   const std::string beside = path_ + ".new";
   const int file = ::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
   bool good = file >= 0;
@@ -126,7 +127,7 @@
   return good;
 }
 
-void PeerStore::keep(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members) {
+void MembershipStore::persist(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members) {
   file_.write(text(self, std::move(members)));
 }
 
--- a/src/net/peer_store.h
+++ b/src/net/peer_store.h
@@ -13,14 +13,14 @@
 
 namespace dahliahall::net {
 
-class PeerStore {
+class MembershipStore {
  public:
   /// `log` is told of a file that can't be read or written.
-  PeerStore(const std::string& folder, const std::string& name, std::string cluster,
-            std::function<void(const std::string&)> log);
-  ~PeerStore();
-  PeerStore(const PeerStore&) = delete;
-  PeerStore& operator=(const PeerStore&) = delete;
+  MembershipStore(const std::string& folder, const std::string& name, std::string cluster,
+                  std::function<void(const std::string&)> log);
+  ~MembershipStore();
+  MembershipStore(const MembershipStore&) = delete;
+  MembershipStore& operator=(const MembershipStore&) = delete;
 
   /// Takes the folder for this process alone. False: another one has it, or it can't be opened (`why`).
   bool lock(std::string& why);
@@ -28,7 +28,7 @@
   /// part, since it could not tell its own past later on (`why`).
   std::optional<peers::Identity> open(const peers::MemberUpdate& self, std::string& why);
   /// Writes beside the loop; the newest counts.
-  void keep(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members);
+  void persist(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members);
 
  private:
   [[nodiscard]] std::string text(const peers::MemberUpdate& self,
@@ -38,7 +38,7 @@
 
   std::string folder_, path_, cluster_;
   std::function<void(const std::string&)> log_;
-  KeptFile file_;
+  OverridesFile file_;
   int locked_ = -1;
 };
 
--- a/src/net/policy_log.cpp
+++ b/src/net/policy_log.cpp
@@ -24,14 +24,17 @@
 
 }  // namespace
 
-PolicyLog::PolicyLog(const config::Policy& config, std::uint64_t seed,
-                     std::function<void(edge::ConsensusOutput)> told)
-    : config_(config), seed_(seed), told_(std::move(told)), alive_(std::make_shared<PolicyLog*>(this)) {
+ConsensusThread::ConsensusThread(const config::PolicyConfig& config, std::uint64_t seed,
+                                 std::function<void(edge::ConsensusOutput)> told)
+    : config_(config),
+      seed_(seed),
+      on_output_(std::move(told)),
+      is_alive_(std::make_shared<ConsensusThread*>(this)) {
   thread_ = std::thread([this] { run(); });
 }
 
-PolicyLog::~PolicyLog() {
-  *alive_ = nullptr;
+ConsensusThread::~ConsensusThread() {
+  *is_alive_ = nullptr;
   {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
@@ -40,22 +43,22 @@
   thread_.join();
 }
 
-void PolicyLog::push(Work work) {
+void ConsensusThread::push(Task work) {
   {
     const std::lock_guard lock(mutex_);
     // Guards the memory against a disk that hangs: what is lost here is as good as lost on the way.
-    if (work_.size() >= kMostWork) return;
-    work_.push_back(std::move(work));
+    if (tasks_.size() >= kMostWork) return;
+    tasks_.push_back(std::move(work));
   }
   wake_.notify_one();
 }
 
-void PolicyLog::tell(edge::ConsensusOutput out) {
+void ConsensusThread::deliver(edge::ConsensusOutput out) {
   struct Parcel {
-    std::shared_ptr<PolicyLog*> to;
+    std::shared_ptr<ConsensusThread*> to;
     edge::ConsensusOutput out;
   };
-  auto* parcel = new Parcel{alive_, std::move(out)};
+  auto* parcel = new Parcel{is_alive_, std::move(out)};
   // Always by a source of the loop's. Guards against GLib's own call for this, which runs it on this thread
   // as long as the main loop has not begun: two threads in one reducer (seen as a crash at the start of 3 of
   // 25 fleets).
@@ -65,7 +68,7 @@
       source,
       [](gpointer data) -> gboolean {
         auto* p = static_cast<Parcel*>(data);
-        if (*p->to != nullptr) (*p->to)->told_(std::move(p->out));
+        if (*p->to != nullptr) (*p->to)->on_output_(std::move(p->out));
         return G_SOURCE_REMOVE;
       },
       parcel, [](gpointer data) { delete static_cast<Parcel*>(data); });
@@ -73,7 +76,7 @@
   g_source_unref(source);
 }
 
-void PolicyLog::perform(const edge::ConsensusEffect& effect) {
+void ConsensusThread::perform(const edge::ConsensusEffect& effect) {
   if (const auto* append = std::get_if<agreed::AppendEntry>(&effect.effect)) {
     push([entry = append->entry](auto& log, auto at, auto&, auto& out) { log.append(at, entry, out); });
   } else if (const auto* ask = std::get_if<agreed::CheckTerm>(&effect.effect)) {
@@ -109,7 +112,7 @@
   }
 }
 
-void PolicyLog::run() {
+void ConsensusThread::run() {
   storage::SystemFolder folder(config_.folder);
   std::string waits_for;
   const auto wait = [this](std::chrono::milliseconds span) {
@@ -120,7 +123,7 @@
   // The process that this one replaces has it until it ends.
   while (const int error = folder.lock()) {
     const std::string why = std::strerror(error);
-    if (why != waits_for) tell({{}, {}, {"policy wait: the folder can't be taken: " + why}, {}, {}, 0});
+    if (why != waits_for) deliver({{}, {}, {"policy wait: the folder can't be taken: " + why}, {}, {}, 0});
     waits_for = why;
     if (!wait(kTryEvery)) return;
   }
@@ -144,7 +147,7 @@
       return;
     told.voters = voters;
     told.raft_id = log.id();
-    tell(std::move(told));
+    deliver(std::move(told));
   };
   {
     agreed::RaftLog::Output out;
@@ -154,16 +157,16 @@
     pass_on({}, out);
   }
   while (true) {
-    std::deque<Work> work;
+    std::deque<Task> work;
     {
       std::unique_lock lock(mutex_);
-      wake_.wait_for(lock, kTick, [this] { return stopping_ || !work_.empty(); });
+      wake_.wait_for(lock, kTick, [this] { return stopping_ || !tasks_.empty(); });
       if (stopping_) return;
-      work.swap(work_);
+      work.swap(tasks_);
     }
     edge::ConsensusOutput told;
     agreed::RaftLog::Output out;
-    for (const Work& w : work) w(log, now(), told, out);
+    for (const Task& w : work) w(log, now(), told, out);
     log.tick(now(), out);
     pass_on(std::move(told), out);
   }
--- a/src/net/policy_log.h
+++ b/src/net/policy_log.h
@@ -19,33 +19,34 @@
 
 namespace dahliahall::net {
 
-class PolicyLog {
+class ConsensusThread {
  public:
   /// `told` is called on the main loop.
-  PolicyLog(const config::Policy& config, std::uint64_t seed,
-            std::function<void(edge::ConsensusOutput)> told);
-  ~PolicyLog();
-  PolicyLog(const PolicyLog&) = delete;
-  PolicyLog& operator=(const PolicyLog&) = delete;
+  ConsensusThread(const config::PolicyConfig& config, std::uint64_t seed,
+                  std::function<void(edge::ConsensusOutput)> told);
+  ~ConsensusThread();
+  ConsensusThread(const ConsensusThread&) = delete;
+  ConsensusThread& operator=(const ConsensusThread&) = delete;
 
   void perform(const edge::ConsensusEffect& effect);
 
  private:
-  using Work =
+  using Task =
       std::function<void(agreed::RaftLog&, agreed::Time, edge::ConsensusOutput&, agreed::RaftLog::Output&)>;
 
   void run();
-  void tell(edge::ConsensusOutput out);
-  void push(Work work);
+  void deliver(edge::ConsensusOutput out);
+  void push(Task work);
 
-  const config::Policy config_;
+  const config::PolicyConfig config_;
   const std::uint64_t seed_;
-  std::function<void(edge::ConsensusOutput)> told_;
+  std::function<void(edge::ConsensusOutput)> on_output_;
   std::mutex mutex_;
   std::condition_variable wake_;
-  std::deque<Work> work_;
+  std::deque<Task> tasks_;
   bool stopping_ = false;
-  std::shared_ptr<PolicyLog*> alive_;  // what is on its way to the loop finds nothing once this has gone
+  std::shared_ptr<ConsensusThread*>
+      is_alive_;  // what is on its way to the loop finds nothing once this has gone
   std::thread thread_;
 };
 
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -24,7 +24,7 @@
 
 ObjectPtr<GSocket> new_socket(GSocketAddress* address, Error& error) {
   ObjectPtr<GSocket> socket(g_socket_new(g_socket_address_get_family(address), G_SOCKET_TYPE_STREAM,
-                                         G_SOCKET_PROTOCOL_TCP, error.out()));
+                                         G_SOCKET_PROTOCOL_TCP, error.out_ptr()));
   if (socket) g_socket_set_blocking(socket.get(), FALSE);
   return socket;
 }
@@ -80,103 +80,106 @@
 }
 
 void LogWriter::line(const std::string& text) {
-  if (waiting_.size() + text.size() > edge::kMaxBufferedLogBytes) {
-    ++dropped_;
+  if (buffer_.size() + text.size() > edge::kMaxBufferedLogBytes) {
+    ++dropped_lines_;
   } else {
-    if (const std::size_t dropped = std::exchange(dropped_, 0); dropped > 0)
-      waiting_ += "log dropped=" + std::to_string(dropped) + "\n";
-    waiting_ += text + "\n";
+    if (const std::size_t dropped = std::exchange(dropped_lines_, 0); dropped > 0)
+      buffer_ += "log dropped=" + std::to_string(dropped) + "\n";
+    buffer_ += text + "\n";
   }
   flush();
 }
 
 void LogWriter::flush() {
   std::size_t sent = 0;
-  while (sent < waiting_.size()) {
+  while (sent < buffer_.size()) {
     // A pipe that is ready takes PIPE_BUF bytes at least without waiting.
     pollfd out{STDOUT_FILENO, POLLOUT, 0};
     if (::poll(&out, 1, 0) <= 0 || (out.revents & POLLOUT) == 0) break;
-    const std::size_t part = std::min<std::size_t>(waiting_.size() - sent, PIPE_BUF);
-    const ssize_t size = ::write(STDOUT_FILENO, waiting_.data() + sent, part);
+    const std::size_t part = std::min<std::size_t>(buffer_.size() - sent, PIPE_BUF);
+    const ssize_t size = ::write(STDOUT_FILENO, buffer_.data() + sent, part);
     if (size <= 0) break;
     sent += static_cast<std::size_t>(size);
   }
-  waiting_.erase(0, sent);
+  buffer_.erase(0, sent);
 }
 
 Server::Server(const config::Config& config, std::function<config::Config()> reload)
     : reload_(std::move(reload)),
       state_(config, clock_.now()),
       loop_(g_main_loop_new(nullptr, FALSE)),
-      kept_(config.keep_in,
-            [this](const char* why) { perform(edge::LogLine{std::string("keep failed: ") + why}); }) {
-  listener_ = listen("listen", config.listen);
+      overrides_file_(config.overrides_path, [this](const char* why) {
+        perform(edge::LogLine{std::string("keep failed: ") + why});
+      }) {
+  listener_ = listen("listen", config.listen_address);
   watch_clients();
-  if (!config.admin.empty()) {
-    admin_listener_ = listen("admin_addr", config.admin);
-    watch_operators();
+  if (!config.admin_address.empty()) {
+    admin_listener_ = listen("admin_addr", config.admin_address);
+    watch_admin();
   }
-  if (kept_.named()) {
-    looking_ = Source(g_timeout_source_new(static_cast<guint>(
+  if (overrides_file_.temporary_path()) {
+    overrides_poll_source_ = Source(g_timeout_source_new(static_cast<guint>(
         std::chrono::duration_cast<std::chrono::milliseconds>(edge::kOverridesPollInterval).count())));
     g_source_set_callback(
-        looking_.get(),
+        overrides_poll_source_.get(),
         [](gpointer server) -> gboolean {
-          static_cast<Server*>(server)->read_kept();
+          static_cast<Server*>(server)->load_overrides();
           return G_SOURCE_CONTINUE;
         },
         this, nullptr);
-    g_source_attach(looking_.get(), nullptr);
+    g_source_attach(overrides_poll_source_.get(), nullptr);
   }
-  polling_ = Source(g_unix_fd_source_new(poller_.descriptor(), G_IO_IN));
+  poll_source_ = Source(g_unix_fd_source_new(poller_.descriptor(), G_IO_IN));
   const GUnixFDSourceFunc dispatch = [](gint, GIOCondition, gpointer server) -> gboolean {
     static_cast<Server*>(server)->poll();
     return G_SOURCE_CONTINUE;
   };
-  g_source_set_callback(polling_.get(), reinterpret_cast<GSourceFunc>(reinterpret_cast<void (*)()>(dispatch)),
-                        this, nullptr);
-  g_source_attach(polling_.get(), nullptr);
-  timer_ = Source(g_source_new(&timer_funcs, sizeof(GSource)));
+  g_source_set_callback(poll_source_.get(),
+                        reinterpret_cast<GSourceFunc>(reinterpret_cast<void (*)()>(dispatch)), this, nullptr);
+  g_source_attach(poll_source_.get(), nullptr);
+  timer_source_ = Source(g_source_new(&timer_funcs, sizeof(GSource)));
   g_source_set_callback(
-      timer_.get(),
+      timer_source_.get(),
       [](gpointer server) -> gboolean {
         static_cast<Server*>(server)->poll();  // what has come goes before what is due
-        static_cast<Server*>(server)->take(edge::TimerExpired{});
+        static_cast<Server*>(server)->handle(edge::TimerExpired{});
         return G_SOURCE_CONTINUE;
       },
       this, nullptr);
-  g_source_attach(timer_.get(), nullptr);
-  for (const auto& [source, number] : {std::pair{&term_, SIGTERM}, std::pair{&interrupt_, SIGINT}}) {
+  g_source_attach(timer_source_.get(), nullptr);
+  for (const auto& [source, number] :
+       {std::pair{&terminate_source_, SIGTERM}, std::pair{&interrupt_source_, SIGINT}}) {
     *source = Source(g_unix_signal_source_new(number));
     g_source_set_callback(
         source->get(),
         [](gpointer server) -> gboolean {
-          static_cast<Server*>(server)->take(edge::ShutdownRequested{});
+          static_cast<Server*>(server)->handle(edge::ShutdownRequested{});
           return G_SOURCE_CONTINUE;
         },
         this, nullptr);
     g_source_attach(source->get(), nullptr);
   }
-  if (config.peers) {
-    peers_ = std::make_unique<PeerLink>(
-        *config.peers,
-        PeerLink::Told{[this](peers::Identity identity) { take(edge::MembershipReady{std::move(identity)}); },
-                       [this](peers::Input input) { take(edge::MembershipInput{std::move(input)}); },
-                       [this](const std::string& line) { perform(edge::LogLine{line}); }});
+  if (config.membership) {
+    membership_sockets_ = std::make_unique<MembershipSockets>(
+        *config.membership,
+        MembershipSockets::Callbacks{
+            [this](peers::Identity identity) { handle(edge::MembershipReady{std::move(identity)}); },
+            [this](peers::Input input) { handle(edge::MembershipInput{std::move(input)}); },
+            [this](const std::string& line) { perform(edge::LogLine{line}); }});
   }
   if (config.policy) {
-    policy_ = std::make_unique<PolicyLog>(*config.policy, config.seed,
-                                          [this](edge::ConsensusOutput out) { take(std::move(out)); });
+    consensus_ = std::make_unique<ConsensusThread>(
+        *config.policy, config.seed, [this](edge::ConsensusOutput out) { handle(std::move(out)); });
   }
-  hangup_ = Source(g_unix_signal_source_new(SIGHUP));
+  hangup_source_ = Source(g_unix_signal_source_new(SIGHUP));
   g_source_set_callback(
-      hangup_.get(),
+      hangup_source_.get(),
       [](gpointer server) -> gboolean {
         static_cast<Server*>(server)->reload();
         return G_SOURCE_CONTINUE;
       },
       this, nullptr);
-  g_source_attach(hangup_.get(), nullptr);
+  g_source_attach(hangup_source_.get(), nullptr);
 }
 
 Server::~Server() = default;
@@ -190,7 +193,7 @@
   if (!listener || !bind_shared(listener.get(), where.get()))
     throw std::runtime_error(field + "can't bind " + address + ": " + g_strerror(errno));
   g_socket_set_listen_backlog(listener.get(), edge::kListenBacklog);
-  if (!g_socket_listen(listener.get(), error.out()))
+  if (!g_socket_listen(listener.get(), error.out_ptr()))
     throw std::runtime_error(field + "can't listen on " + address + ": " + error.text());
   return listener;
 }
@@ -205,55 +208,55 @@
 }
 
 /// Guards operators against waiting behind clients: their calls come first at each turn.
-void Server::watch_operators() {
-  admin_accepting_ = watch_listener(admin_listener_.get(), G_PRIORITY_HIGH,
-                                    [](GSocket*, GIOCondition, gpointer server) -> gboolean {
-                                      static_cast<Server*>(server)->accept_admin();
-                                      return G_SOURCE_CONTINUE;
-                                    });
+void Server::watch_admin() {
+  admin_accept_source_ = watch_listener(admin_listener_.get(), G_PRIORITY_HIGH,
+                                        [](GSocket*, GIOCondition, gpointer server) -> gboolean {
+                                          static_cast<Server*>(server)->accept_admin();
+                                          return G_SOURCE_CONTINUE;
+                                        });
 }
 
 void Server::watch_clients() {
-  accepting_ = watch_listener(listener_.get(), G_PRIORITY_DEFAULT,
-                              [](GSocket*, GIOCondition, gpointer server) -> gboolean {
-                                static_cast<Server*>(server)->accept();
-                                return G_SOURCE_CONTINUE;
-                              });
+  accept_source_ = watch_listener(listener_.get(), G_PRIORITY_DEFAULT,
+                                  [](GSocket*, GIOCondition, gpointer server) -> gboolean {
+                                    static_cast<Server*>(server)->accept();
+                                    return G_SOURCE_CONTINUE;
+                                  });
 }
 
 void Server::run() {
-  read_kept();
-  take(edge::TimerExpired{});  // what the start itself asks for
+  load_overrides();
+  handle(edge::TimerExpired{});  // what the start itself asks for
   perform(edge::LogLine{"listening"});
   g_main_loop_run(loop_.get());
 }
 
 // ---- Inputs ----
 
-void Server::take(const edge::Input& input) {
-  feed(input);
+void Server::handle(const edge::Input& input) {
+  dispatch(input);
   while (true) {
-    if (!pending_.empty()) {
-      const edge::Input next = std::move(pending_.front());
-      pending_.pop_front();
-      feed(next);
-    } else if (!to_read_out_.empty()) {
-      const edge::ConnectionId id = to_read_out_.front();
-      to_read_out_.pop_front();
-      read_out(id);
-    } else if (!to_connect_.empty()) {
-      const edge::Connect again = std::move(to_connect_.front());
-      to_connect_.pop_front();
+    if (!pending_inputs_.empty()) {
+      const edge::Input next = std::move(pending_inputs_.front());
+      pending_inputs_.pop_front();
+      dispatch(next);
+    } else if (!connections_to_drain_.empty()) {
+      const edge::ConnectionId id = connections_to_drain_.front();
+      connections_to_drain_.pop_front();
+      drain_and_close(id);
+    } else if (!pending_connects_.empty()) {
+      const edge::Connect again = std::move(pending_connects_.front());
+      pending_connects_.pop_front();
       connect(again, false);
     } else {
       break;
     }
   }
-  end_if_empty();
+  quit_if_idle();
 }
 
 /// What has come on the connection so far is told, then its end.
-void Server::read_out(edge::ConnectionId id) {
+void Server::drain_and_close(edge::ConnectionId id) {
   std::array<char, edge::kReadChunkBytes> buffer;
   gssize size = 1;
   for (std::size_t read = 0; size > 0 && read < edge::kMaxDrainBytes; read += buffer.size()) {
@@ -261,18 +264,18 @@
     if (found == connections_.end()) return;
     size = g_socket_receive(found->second->socket.get(), buffer.data(), buffer.size(), nullptr, nullptr);
     if (size > 0)
-      feed(edge::BytesArrived{id, std::string_view(buffer.data(), static_cast<std::size_t>(size))});
+      dispatch(edge::BytesArrived{id, std::string_view(buffer.data(), static_cast<std::size_t>(size))});
   }
-  if (connections_.erase(id) > 0) feed(edge::Closed{id});
+  if (connections_.erase(id) > 0) dispatch(edge::Closed{id});
 }
 
-void Server::feed(const edge::Input& input) {
+void Server::dispatch(const edge::Input& input) {
   for (const edge::Effect& effect : edge::reduce(state_, clock_.now(), input)) {
     std::visit([this](const auto& e) { perform(e); }, effect);
   }
 }
 
-void Server::end_if_empty() {
+void Server::quit_if_idle() {
   if (!listener_ && connections_.empty()) g_main_loop_quit(loop_.get());
 }
 
@@ -283,12 +286,12 @@
   } catch (const std::exception& problem) {
     input = edge::ReloadFailed{problem.what()};
   }
-  take(input);
+  handle(input);
 }
 
 /// What another process of this edge proxy has said of members taken out by hand holds here too.
-void Server::read_kept() {
-  if (const auto text = kept_.read_if_new()) take(edge::OverridesLoaded{*text});
+void Server::load_overrides() {
+  if (const auto text = overrides_file_.read_if_new()) handle(edge::OverridesLoaded{*text});
 }
 
 void Server::accept() {
@@ -306,59 +309,59 @@
 
 bool Server::accept_one(GSocket* listener, edge::ConnectionId from) {
   Error error;
-  ObjectPtr<GSocket> socket(g_socket_accept(listener, nullptr, error.out()));
+  ObjectPtr<GSocket> socket(g_socket_accept(listener, nullptr, error.out_ptr()));
   if (!socket) {
-    if (error.is(G_IO_ERROR_WOULD_BLOCK)) return false;
+    if (error.matches(G_IO_ERROR_WOULD_BLOCK)) return false;
     // Guards the clients against making room for nobody: the system looks for a descriptor first, and says
     // that there is none also where nobody waits.
     if (g_socket_condition_check(listener, G_IO_IN) == 0) return false;
     // The first time another client makes room, and the one that waits is tried again. Guards those that have
     // only just come up: what they ask is read first, so that they are not taken for idle.
-    if (error.is(G_IO_ERROR_TOO_MANY_OPEN_FILES) && !std::exchange(short_of_descriptors_, true)) {
+    if (error.matches(G_IO_ERROR_TOO_MANY_OPEN_FILES) && !std::exchange(descriptors_exhausted_, true)) {
       poll();
-      take(edge::DescriptorsExhausted{});
+      handle(edge::DescriptorsExhausted{});
       return true;
     }
-    short_of_descriptors_ = false;
+    descriptors_exhausted_ = false;
     perform(edge::LogLine{std::string("accept failed: ") + error.text()});
-    accept_again_later();
+    schedule_accept_retry();
     return false;
   }
-  short_of_descriptors_ = false;
+  descriptors_exhausted_ = false;
   const edge::ConnectionId id = last_accepted_ += edge::kConnectionIdStep;
   adopt(id, std::move(socket), false, from == edge::kAdminListener);
-  take(edge::Accepted{id, from});
+  handle(edge::Accepted{id, from});
   return true;
 }
 
 /// Guards the loop and the log against a client that can't be accepted: its connection stays ready for ever.
-void Server::accept_again_later() {
-  accepting_.reset();
-  admin_accepting_.reset();
-  accepting_again_ = Source(g_timeout_source_new(static_cast<guint>(
+void Server::schedule_accept_retry() {
+  accept_source_.reset();
+  admin_accept_source_.reset();
+  accept_retry_source_ = Source(g_timeout_source_new(static_cast<guint>(
       std::chrono::duration_cast<std::chrono::milliseconds>(edge::kAcceptRetryDelay).count())));
   g_source_set_callback(
-      accepting_again_.get(),
+      accept_retry_source_.get(),
       [](gpointer server) -> gboolean {
         auto* self = static_cast<Server*>(server);
         if (self->listener_) self->watch_clients();
-        if (self->admin_listener_) self->watch_operators();
+        if (self->admin_listener_) self->watch_admin();
         return G_SOURCE_REMOVE;
       },
       this, nullptr);
-  g_source_attach(accepting_again_.get(), nullptr);
+  g_source_attach(accept_retry_source_.get(), nullptr);
 }
 
-void Server::adopt(edge::ConnectionId id, ObjectPtr<GSocket> socket, bool connecting, bool first) {
+void Server::adopt(edge::ConnectionId id, ObjectPtr<GSocket> socket, bool is_connecting, bool high_priority) {
   g_socket_set_blocking(socket.get(), FALSE);
   g_socket_set_option(socket.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
   auto connection = std::make_unique<Connection>();
   connection->id = id;
   connection->server = this;
   connection->socket = std::move(socket);
-  connection->connecting = connecting;
-  connection->client = !connecting;
-  connection->first = first;
+  connection->connecting = is_connecting;
+  connection->client = !is_connecting;
+  connection->first = high_priority;
   watch(*connection);
   connections_[id] = std::move(connection);
 }
@@ -393,23 +396,24 @@
       const epoll_event& event = found.at(static_cast<std::size_t>(i));
       const auto connection = connections_.find(event.data.u64);  // an earlier event may have ended it
       if (connection == connections_.end() || turn(*connection->second, event.events) != now) continue;
-      now == 1 ? gone(event.data.u64) : ready(event.data.u64, event.events);
+      now == 1 ? remove_connection(event.data.u64) : ready(event.data.u64, event.events);
     }
   }
 }
 
 /// A client that has ended its half, or all of its connection, has gone: what it sent before is not served.
 /// Guards what was written to it, which it may still read, against a reset over bytes that were not read.
-void Server::gone(edge::ConnectionId id) {
+void Server::remove_connection(edge::ConnectionId id) {
   const auto found = connections_.find(id);
   std::array<char, edge::kReadChunkBytes> buffer;
   gssize size = 1;
   Error error;
   for (std::size_t read = 0; size > 0 && read < edge::kMaxDiscardedBytes; read += buffer.size()) {
-    size = g_socket_receive(found->second->socket.get(), buffer.data(), buffer.size(), nullptr, error.out());
+    size =
+        g_socket_receive(found->second->socket.get(), buffer.data(), buffer.size(), nullptr, error.out_ptr());
   }
   connections_.erase(found);
-  take(edge::Closed{id, size < 0 && !error.is(G_IO_ERROR_WOULD_BLOCK)});
+  handle(edge::Closed{id, size < 0 && !error.matches(G_IO_ERROR_WOULD_BLOCK)});
 }
 
 void Server::ready(edge::ConnectionId id, std::uint32_t events) {
@@ -420,17 +424,17 @@
     connection.connecting = false;
     if (g_socket_check_connect_result(connection.socket.get(), nullptr)) {
       watch(connection);
-      take(edge::Connected{id});
+      handle(edge::Connected{id});
     } else {
       connections_.erase(found);
-      take(edge::ConnectFailed{id});
+      handle(edge::ConnectFailed{id});
     }
     return;
   }
   if ((events & EPOLLOUT) != 0) {
     flush(connection);
     watch(connection);
-    if (!pending_.empty()) take(edge::TimerExpired{});
+    if (!pending_inputs_.empty()) handle(edge::TimerExpired{});
   }
   if ((events & (EPOLLIN | EPOLLHUP | EPOLLERR)) != 0) read(id);
 }
@@ -445,17 +449,17 @@
     const std::size_t room = client ? edge::kClientReadBytes : buffer.size();
     Error error;
     const gssize size =
-        g_socket_receive(found->second->socket.get(), buffer.data(), room, nullptr, error.out());
+        g_socket_receive(found->second->socket.get(), buffer.data(), room, nullptr, error.out_ptr());
     if (size > 0) {
       if (client && found->second->first)
-        read_kept();  // an operator: the other process may have been told more
-      take(edge::BytesArrived{id, std::string_view(buffer.data(), static_cast<std::size_t>(size))});
+        load_overrides();  // an operator: the other process may have been told more
+      handle(edge::BytesArrived{id, std::string_view(buffer.data(), static_cast<std::size_t>(size))});
       if (client || static_cast<std::size_t>(size) < room) return;
       continue;
     }
-    if (size < 0 && error.is(G_IO_ERROR_WOULD_BLOCK)) return;
+    if (size < 0 && error.matches(G_IO_ERROR_WOULD_BLOCK)) return;
     connections_.erase(found);
-    take(edge::Closed{id, size < 0});
+    handle(edge::Closed{id, size < 0});
     return;
   }
 }
@@ -464,12 +468,12 @@
   while (connection.sent < connection.out.size()) {
     Error error;
     const gssize size = g_socket_send(connection.socket.get(), connection.out.data() + connection.sent,
-                                      connection.out.size() - connection.sent, nullptr, error.out());
+                                      connection.out.size() - connection.sent, nullptr, error.out_ptr());
     if (size >= 0) {
       connection.sent += static_cast<std::size_t>(size);
       continue;
     }
-    if (error.is(G_IO_ERROR_WOULD_BLOCK)) {
+    if (error.matches(G_IO_ERROR_WOULD_BLOCK)) {
       // What is sent need not be kept; a large rest is moved only now and then.
       if (connection.sent > connection.out.size() / 2) {
         connection.out.erase(0, std::exchange(connection.sent, 0));
@@ -488,7 +492,7 @@
     std::string().swap(connection.out);  // guards the memory, over many clients
   connection.sent = 0;
   if (connection.finishing) g_socket_shutdown(connection.socket.get(), FALSE, TRUE, nullptr);
-  pending_.push_back(edge::WriteDrained{connection.id});
+  pending_inputs_.push_back(edge::WriteDrained{connection.id});
 }
 
 // ---- Effects ----
@@ -512,14 +516,14 @@
   ObjectPtr<GSocket> socket = where ? new_socket(where.get(), error) : nullptr;
   // Guards the caches and the bulletin against clients that have taken the last descriptors: one of them
   // makes room, and it is tried once more.
-  if (!socket && may_wait && error.is(G_IO_ERROR_TOO_MANY_OPEN_FILES)) {
-    pending_.push_back(edge::DescriptorsExhausted{});
-    to_connect_.push_back(wanted);
+  if (!socket && may_wait && error.matches(G_IO_ERROR_TOO_MANY_OPEN_FILES)) {
+    pending_inputs_.push_back(edge::DescriptorsExhausted{});
+    pending_connects_.push_back(wanted);
     return;
   }
-  if (!socket ||
-      (!g_socket_connect(socket.get(), where.get(), nullptr, error.out()) && !error.is(G_IO_ERROR_PENDING))) {
-    pending_.push_back(edge::ConnectFailed{wanted.connection});
+  if (!socket || (!g_socket_connect(socket.get(), where.get(), nullptr, error.out_ptr()) &&
+                  !error.matches(G_IO_ERROR_PENDING))) {
+    pending_inputs_.push_back(edge::ConnectFailed{wanted.connection});
     return;
   }
   adopt(wanted.connection, std::move(socket), true, wanted.high_priority);
@@ -533,30 +537,31 @@
 
 void Server::perform(const edge::Close& close) {
   if (close.connection == edge::kListener) {
-    accepting_.reset();
-    accepting_again_.reset();
+    accept_source_.reset();
+    accept_retry_source_.reset();
     // Guards those that have connected and were not accepted yet against a reset.
     while (ObjectPtr<GSocket> socket{g_socket_accept(listener_.get(), nullptr, nullptr)}) {
       adopt(last_accepted_ += edge::kConnectionIdStep, std::move(socket), false, false);
-      pending_.push_back(edge::Accepted{last_accepted_, edge::kListener});
+      pending_inputs_.push_back(edge::Accepted{last_accepted_, edge::kListener});
     }
     listener_.reset();
     return;
   }
   if (close.connection == edge::kAdminListener) {
-    admin_accepting_.reset();
+    admin_accept_source_.reset();
     admin_listener_.reset();
     return;
   }
   connections_.erase(close.connection);
-  std::erase_if(to_connect_, [&close](const edge::Connect& c) { return c.connection == close.connection; });
+  std::erase_if(pending_connects_,
+                [&close](const edge::Connect& c) { return c.connection == close.connection; });
 }
 
-void Server::perform(const edge::DrainAndClose& close) { to_read_out_.push_back(close.connection); }
+void Server::perform(const edge::DrainAndClose& close) { connections_to_drain_.push_back(close.connection); }
 
 void Server::perform(const edge::ArmTimer& timer) {
   const auto wait = std::max<Time>(Time{0}, timer.at - clock_.now());
-  g_source_set_ready_time(timer_.get(), g_get_monotonic_time() + wait.count());
+  g_source_set_ready_time(timer_source_.get(), g_get_monotonic_time() + wait.count());
 }
 
 void Server::perform(const edge::LogLine& log) {
@@ -581,23 +586,24 @@
 }
 
 void Server::perform(const edge::PersistOverrides& keep) {
-  if (kept_.named()) kept_.write(keep.overrides);
+  if (overrides_file_.temporary_path()) overrides_file_.write(keep.overrides);
 }
 
 void Server::perform(const edge::MembershipEffect& effect) {
-  if (peers_) std::visit([this](const auto& e) { peers_->perform(e); }, effect.effect);
+  if (membership_sockets_)
+    std::visit([this](const auto& e) { membership_sockets_->perform(e); }, effect.effect);
 }
 
 void Server::perform(const edge::PersistMembership& keep) {
-  if (peers_) peers_->keep(keep.self, keep.members);
+  if (membership_sockets_) membership_sockets_->persist(keep.self, keep.members);
 }
 
 void Server::perform(const edge::ConsensusEffect& effect) {
-  if (policy_) policy_->perform(effect);
+  if (consensus_) consensus_->perform(effect);
 }
 
 void Server::perform(const edge::StopMembership&) {
-  if (peers_) peers_->stop();
+  if (membership_sockets_) membership_sockets_->stop();
 }
 
 }  // namespace dahliahall::net
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -54,8 +54,8 @@
  private:
   void flush();
 
-  std::string waiting_;
-  std::size_t dropped_ = 0;
+  std::string buffer_;
+  std::size_t dropped_lines_ = 0;
 };
 
 class Server {
@@ -74,8 +74,8 @@
   struct Connection;
 
   ObjectPtr<GSocket> listen(const std::string& key, const std::string& address);
-  void take(const edge::Input& input);
-  void feed(const edge::Input& input);
+  void handle(const edge::Input& input);
+  void dispatch(const edge::Input& input);
   void perform(const edge::Write& write);
   void perform(const edge::Connect& connect);
   void perform(const edge::ShutdownWrite& finish);
@@ -91,24 +91,24 @@
   void perform(const edge::ConsensusEffect& effect);
 
   void watch_clients();
-  void watch_operators();
+  void watch_admin();
   Source watch_listener(GSocket* listener, int priority, GSocketSourceFunc dispatch);
   void accept();
   void accept_admin();
-  void accept_again_later();
+  void schedule_accept_retry();
   bool accept_one(GSocket* listener, edge::ConnectionId from);
-  void adopt(edge::ConnectionId id, ObjectPtr<GSocket> socket, bool connecting, bool first);
+  void adopt(edge::ConnectionId id, ObjectPtr<GSocket> socket, bool is_connecting, bool high_priority);
   void watch(Connection& connection);
   void poll();
   void ready(edge::ConnectionId id, std::uint32_t events);
-  void gone(edge::ConnectionId id);
+  void remove_connection(edge::ConnectionId id);
   void read(edge::ConnectionId id);
-  void read_out(edge::ConnectionId id);
+  void drain_and_close(edge::ConnectionId id);
   void connect(const edge::Connect& wanted, bool may_wait);
   void flush(Connection& connection);
-  void end_if_empty();
+  void quit_if_idle();
   void reload();
-  void read_kept();
+  void load_overrides();
 
   LogWriter log_;
   Clock clock_;
@@ -117,16 +117,16 @@
   LoopPtr loop_;
   ObjectPtr<GSocket> listener_, admin_listener_;
   Poller poller_;
-  Source polling_, accepting_, admin_accepting_, timer_, accepting_again_, term_, interrupt_, hangup_,
-      looking_;
-  KeptFile kept_;
-  std::unique_ptr<PeerLink> peers_;    // none unless configured
-  std::unique_ptr<PolicyLog> policy_;  // likewise
+  Source poll_source_, accept_source_, admin_accept_source_, timer_source_, accept_retry_source_,
+      terminate_source_, interrupt_source_, hangup_source_, overrides_poll_source_;
+  OverridesFile overrides_file_;
+  std::unique_ptr<MembershipSockets> membership_sockets_;  // none unless configured
+  std::unique_ptr<ConsensusThread> consensus_;             // likewise
   std::map<edge::ConnectionId, std::unique_ptr<Connection>> connections_;
-  std::deque<edge::Input> pending_;             // inputs that effects themselves gave rise to
-  std::deque<edge::ConnectionId> to_read_out_;  // then these, then
-  std::deque<edge::Connect> to_connect_;        // these, for which another connection has made room
-  bool short_of_descriptors_ = false;           // since the last client that was accepted
+  std::deque<edge::Input> pending_inputs_;               // inputs that effects themselves gave rise to
+  std::deque<edge::ConnectionId> connections_to_drain_;  // then these, then
+  std::deque<edge::Connect> pending_connects_;           // these, for which another connection has made room
+  bool descriptors_exhausted_ = false;                   // since the last client that was accepted
   edge::ConnectionId last_accepted_ = edge::kBeforeFirstAccepted;
 };
 
--- a/src/purge/ledger.cpp
+++ b/src/purge/ledger.cpp
@@ -5,16 +5,18 @@
 
 namespace dahliahall::purge {
 
-void Ledger::applied(const PurgeCommand& command) { purges_.push_back(command); }
+void InvalidationLog::record(const InvalidationCommand& command) { invalidations_.push_back(command); }
 
-bool Ledger::may_serve(const std::string& key, const std::vector<std::string>& tags, UnixMs born) const {
-  return std::none_of(purges_.begin(), purges_.end(),
-                      [&](const PurgeCommand& p) { return p.issued > born && names(p.selector, key, tags); });
+bool InvalidationLog::can_serve(const std::string& key, const std::vector<std::string>& tags,
+                                UnixMs created_at) const {
+  return std::none_of(invalidations_.begin(), invalidations_.end(), [&](const InvalidationCommand& p) {
+    return p.issued_at > created_at && names(p.selector, key, tags);
+  });
 }
 
-void Ledger::forget_before(UnixMs oldest_servable) {
+void InvalidationLog::forget_before(UnixMs oldest_servable) {
   // Issued times may come out of order between numbers; only purges older than the bound are dropped.
-  std::erase_if(purges_, [&](const PurgeCommand& p) { return p.issued < oldest_servable; });
+  std::erase_if(invalidations_, [&](const InvalidationCommand& p) { return p.issued_at < oldest_servable; });
 }
 
 }  // namespace dahliahall::purge
--- a/src/purge/ledger.h
+++ b/src/purge/ledger.h
@@ -16,19 +16,19 @@
 
 namespace dahliahall::purge {
 
-class Ledger {
+class InvalidationLog {
  public:
   /// Records an applied purge; they come in the sequencer's order.
-  void applied(const PurgeCommand& command);
+  void record(const InvalidationCommand& command);
   /// Whether a copy of `key`, carrying `tags`, born at `born`, survives every purge recorded.
-  [[nodiscard]] bool may_serve(const std::string& key, const std::vector<std::string>& tags,
-                               UnixMs born) const;
+  [[nodiscard]] bool can_serve(const std::string& key, const std::vector<std::string>& tags,
+                               UnixMs created_at) const;
   /// Forgets purges issued before `oldest_servable`: no copy born before them is young enough to serve.
   void forget_before(UnixMs oldest_servable);
-  [[nodiscard]] std::size_t size() const { return purges_.size(); }
+  [[nodiscard]] std::size_t size() const { return invalidations_.size(); }
 
  private:
-  std::deque<PurgeCommand> purges_;
+  std::deque<InvalidationCommand> invalidations_;
 };
 
 }  // namespace dahliahall::purge
--- a/src/purge/sequencer.cpp
+++ b/src/purge/sequencer.cpp
@@ -6,50 +6,52 @@
 namespace dahliahall::purge {
 namespace {
 
-void on(SequencerState& state, const Arrived& in, std::vector<SequencerEffect>& out) {
-  const PurgeCommand& c = in.command;
+void on(SequencerState& state, const CommandArrived& in, std::vector<SequencerEffect>& out) {
+  const InvalidationCommand& c = in.command;
   state.highest_seen = std::max(state.highest_seen, c.number);
   if (c.number <= state.applied) {
-    out.emplace_back(Dropped{c.number, "duplicate"});
+    out.emplace_back(CommandDropped{c.number, "duplicate"});
     return;
   }
-  if (const auto found = state.held.find(c.number); found != state.held.end()) {
-    out.emplace_back(Dropped{c.number, found->second == c ? "duplicate" : "conflict"});
+  if (const auto found = state.out_of_order.find(c.number); found != state.out_of_order.end()) {
+    out.emplace_back(CommandDropped{c.number, found->second == c ? "duplicate" : "conflict"});
     return;
   }
   if (c.number > state.applied + 1) {
     // Guards memory against a feed that runs far ahead or numbers wildly: what is dropped is asked again.
-    if (state.held.size() >= state.most_held || c.number - state.applied > state.most_held) {
-      out.emplace_back(Dropped{c.number, "too_far_ahead"});
+    if (state.out_of_order.size() >= state.max_out_of_order ||
+        c.number - state.applied > state.max_out_of_order) {
+      out.emplace_back(CommandDropped{c.number, "too_far_ahead"});
     } else {
-      state.held.emplace(c.number, c);
+      state.out_of_order.emplace(c.number, c);
     }
-    if (!state.asked) {
-      state.asked = true;
-      out.emplace_back(AskFrom{state.applied + 1});
+    if (!state.gap_requested) {
+      state.gap_requested = true;
+      out.emplace_back(RequestFrom{state.applied + 1});
     }
     return;
   }
-  out.emplace_back(Apply{c});
+  out.emplace_back(ApplyInvalidation{c});
   state.applied = c.number;
-  for (auto next = state.held.begin(); next != state.held.end() && next->first == state.applied + 1;
-       next = state.held.erase(next)) {
-    out.emplace_back(Apply{next->second});
+  for (auto next = state.out_of_order.begin();
+       next != state.out_of_order.end() && next->first == state.applied + 1;
+       next = state.out_of_order.erase(next)) {
+    out.emplace_back(ApplyInvalidation{next->second});
     state.applied = next->first;
   }
   // Guards against losing what was dropped for the bound, and against asking again for each number that a
   // stream sent on asking brings: one ask is out until the gap up to the highest number seen is closed.
   if (state.highest_seen <= state.applied) {
-    state.asked = false;
-  } else if (!state.asked) {
-    state.asked = true;
-    out.emplace_back(AskFrom{state.applied + 1});
+    state.gap_requested = false;
+  } else if (!state.gap_requested) {
+    state.gap_requested = true;
+    out.emplace_back(RequestFrom{state.applied + 1});
   }
 }
 
-void on(SequencerState& state, const FeedUp&, std::vector<SequencerEffect>& out) {
-  state.asked = true;
-  out.emplace_back(AskFrom{state.applied + 1});
+void on(SequencerState& state, const FeedConnected&, std::vector<SequencerEffect>& out) {
+  state.gap_requested = true;
+  out.emplace_back(RequestFrom{state.applied + 1});
 }
 
 }  // namespace
--- a/src/purge/sequencer.h
+++ b/src/purge/sequencer.h
@@ -21,46 +21,46 @@
 using UnixMs = std::chrono::milliseconds;
 
 /// One purge as the feed numbers it: from 1 upward without gaps.
-struct PurgeCommand {
+struct InvalidationCommand {
   Sequence number = 0;
   Selector selector;
-  UnixMs issued{0};  ///< when it was ordered, Unix milliseconds
-  bool operator==(const PurgeCommand&) const = default;
+  UnixMs issued_at{0};  ///< when it was ordered, Unix milliseconds
+  bool operator==(const InvalidationCommand&) const = default;
 };
 
 // ---- Inputs ----
-struct Arrived {
-  PurgeCommand command;
+struct CommandArrived {
+  InvalidationCommand command;
 };
 /// The feed connection came (back) up: what is missing is asked for again.
-struct FeedUp {};
+struct FeedConnected {};
 
-using SequencerInput = std::variant<Arrived, FeedUp>;
+using SequencerInput = std::variant<CommandArrived, FeedConnected>;
 
 // ---- Effects ----
 /// Apply this purge now: every earlier number has been applied.
-struct Apply {
-  PurgeCommand command;
+struct ApplyInvalidation {
+  InvalidationCommand command;
 };
 /// Ask the feed for everything from this number on (a gap, or a restart).
-struct AskFrom {
+struct RequestFrom {
   Sequence number = 0;
 };
 /// This command is not used: `reason` is `duplicate` (applied or held already), `conflict` (the same number
 /// with another selector: the feed is faulty), or `too_far_ahead` (beyond the bound on held commands).
-struct Dropped {
+struct CommandDropped {
   Sequence number = 0;
   std::string reason;
 };
 
-using SequencerEffect = std::variant<Apply, AskFrom, Dropped>;
+using SequencerEffect = std::variant<ApplyInvalidation, RequestFrom, CommandDropped>;
 
 struct SequencerState {
-  Sequence applied = 0;                   ///< the highest number applied; all below it are applied too
-  Sequence highest_seen = 0;              ///< the highest number that arrived, held or dropped
-  std::map<Sequence, PurgeCommand> held;  ///< arrived early, waiting for a gap to fill
-  std::size_t most_held = 1024;           ///< bound on `held`, from configuration
-  bool asked = false;                     ///< a gap has been asked for and not filled yet
+  Sequence applied = 0;       ///< the highest number applied; all below it are applied too
+  Sequence highest_seen = 0;  ///< the highest number that arrived, held or dropped
+  std::map<Sequence, InvalidationCommand> out_of_order;  ///< arrived early, waiting for a gap to fill
+  std::size_t max_out_of_order = 1024;                   ///< bound on `held`, from configuration
+  bool gap_requested = false;                            ///< a gap has been asked for and not filled yet
 };
 
 /// The one place where the order of purges changes. Effects come in the order they are to be carried out.
--- a/src/purge/snapshot.cpp
+++ b/src/purge/snapshot.cpp
@@ -55,15 +55,16 @@
 std::string write_snapshot(const SequencerState& state) {
   std::string text(kHeader);
   text += "\napplied " + std::to_string(state.applied) + "\nseen " + std::to_string(state.highest_seen) +
-          "\nheld " + std::to_string(state.held.size()) + "\n";
-  for (const auto& [number, c] : state.held) {
-    text += std::to_string(number) + " " + std::to_string(c.issued.count()) + " " +
+          "\nheld " + std::to_string(state.out_of_order.size()) + "\n";
+  for (const auto& [number, c] : state.out_of_order) {
+    text += std::to_string(number) + " " + std::to_string(c.issued_at.count()) + " " +
             std::string(kKinds[static_cast<std::size_t>(c.selector.kind)]) + " " + c.selector.text + "\n";
   }
   return text + "checksum " + hex_of(checksum(text)) + "\n";
 }
 
-std::variant<SequencerState, SnapshotError> read_snapshot(std::string_view text, std::size_t most_held) {
+std::variant<SequencerState, SnapshotError> read_snapshot(std::string_view text,
+                                                          std::size_t max_out_of_order) {
   const auto mark = text.rfind("checksum ");
   if (mark == std::string_view::npos || (mark != 0 && text[mark - 1] != '\n'))
     return SnapshotError{"purge snapshot: no checksum line (torn?)"};
@@ -82,7 +83,7 @@
   }
   if (lines.empty() || lines[0] != kHeader) return error(1, "want '" + std::string(kHeader) + "'");
   SequencerState state;
-  state.most_held = most_held;
+  state.max_out_of_order = max_out_of_order;
   auto field = [&](std::size_t at, std::string_view name) -> std::optional<std::uint64_t> {
     if (at >= lines.size()) return std::nullopt;
     const auto words = words_of(lines[at]);
@@ -93,7 +94,8 @@
   if (!applied) return error(2, "want 'applied N'");
   if (!seen || *seen < *applied) return error(3, "want 'seen N', N at least the applied number");
   if (!held || *held != lines.size() - 4) return error(4, "want 'held N', N the number of lines that follow");
-  if (*held > most_held) return error(4, "holds more than the bound of " + std::to_string(most_held));
+  if (*held > max_out_of_order)
+    return error(4, "holds more than the bound of " + std::to_string(max_out_of_order));
   state.applied = *applied;
   state.highest_seen = *seen;
   for (std::size_t i = 4; i < lines.size(); ++i) {
@@ -101,11 +103,12 @@
     const auto number = words.size() == 4 ? number_of<Sequence>(words[0]) : std::nullopt;
     const auto issued = words.size() == 4 ? number_of<long long>(words[1]) : std::nullopt;
     if (!number || !issued) return error(i + 1, "want 'NUMBER ISSUED_MS KIND TEXT'");
-    if (*number <= state.applied || *number > state.highest_seen || state.held.count(*number) != 0)
+    if (*number <= state.applied || *number > state.highest_seen || state.out_of_order.count(*number) != 0)
       return error(i + 1, "number " + std::to_string(*number) + " is applied, unseen or twice");
     auto selector = parse_selector(std::string(words[2]) + ":" + std::string(words[3]));
     if (const auto* bad = std::get_if<SelectorError>(&selector)) return error(i + 1, bad->message);
-    state.held.emplace(*number, PurgeCommand{*number, std::get<Selector>(selector), UnixMs{*issued}});
+    state.out_of_order.emplace(*number,
+                               InvalidationCommand{*number, std::get<Selector>(selector), UnixMs{*issued}});
   }
   return state;
 }
--- a/src/purge/snapshot.h
+++ b/src/purge/snapshot.h
@@ -32,6 +32,7 @@
 /// Reads a snapshot back. `most_held` is the bound from configuration; a snapshot holding more is refused.
 /// Errors: wrong header or version, a line that can't be read, a number out of order, a checksum that does
 /// not match (torn or changed), text after the checksum.
-std::variant<SequencerState, SnapshotError> read_snapshot(std::string_view text, std::size_t most_held);
+std::variant<SequencerState, SnapshotError> read_snapshot(std::string_view text,
+                                                          std::size_t max_out_of_order);
 
 }  // namespace dahliahall::purge
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -62,11 +62,11 @@
 std::optional<std::string> Journal::framed(const std::vector<std::string>& records) {
   std::string bytes;
   for (const std::string& record : records) {
-    if (record.size() > most_) {
+    if (record.size() > max_bytes_) {
       fail("a record is too long", 0);
       return std::nullopt;
     }
-    const std::string copy = copy_of(record, next_++);
+    const std::string copy = copy_of(record, next_sequence_++);
     bytes.append(copy).append(copy);
   }
   return bytes;
@@ -75,7 +75,7 @@
 bool Journal::fail(const std::string& what, int error) {
   failed_ = true;
   file_.reset();
-  why_ = name_ + ": " + what + (error == 0 ? "" : std::string(": ") + std::strerror(error));
+  error_ = name_ + ": " + what + (error == 0 ? "" : std::string(": ") + std::strerror(error));
   return false;
 }
 
@@ -87,34 +87,34 @@
   const std::string_view all = *text;
   std::size_t at = 0;
   while (at < all.size()) {
-    std::optional<std::string_view> first = read_copy(all, at, next_, most_), second;
+    std::optional<std::string_view> first = read_copy(all, at, next_sequence_, max_bytes_), second;
     if (first) {
-      second = read_copy(all, at + kHead + first->size(), next_, most_);
+      second = read_copy(all, at + kHead + first->size(), next_sequence_, max_bytes_);
     } else {
       // The second copy tells by itself where it begins: as far behind as the first is long.
-      for (std::size_t length = 0; !second && at + 2 * (kHead + length) <= all.size() && length <= most_;
+      for (std::size_t length = 0; !second && at + 2 * (kHead + length) <= all.size() && length <= max_bytes_;
            ++length) {
-        second = read_copy(all, at + kHead + length, next_, most_);
+        second = read_copy(all, at + kHead + length, next_sequence_, max_bytes_);
         if (second && second->size() != length) second.reset();
       }
     }
     if (!first && !second) {
       // Being written when all ended; unless there is more behind it: then it was durable and has been
       // damaged.
-      if (goes_on(all, at + 1, next_, most_))
-        return fail("record " + std::to_string(next_) + " at byte " + std::to_string(at) +
+      if (goes_on(all, at + 1, next_sequence_, max_bytes_))
+        return fail("record " + std::to_string(next_sequence_) + " at byte " + std::to_string(at) +
                         " is damaged in both copies",
                     0);
       break;
     }
     const std::size_t length = (first ? first : second)->size();
-    if (!first || !second) ++mended_;
+    if (!first || !second) ++was_repaired_;
     records.emplace_back(first ? *first : *second);
-    ++next_;
+    ++next_sequence_;
     at = std::min(all.size(), at + 2 * (kHead + length));
   }
   // Written anew, whole: guards against the other copy's going bad as well.
-  if (mended_ > 0) return replace(records);
+  if (was_repaired_ > 0) return replace(records);
   if (const int error = folder_.extend(name_, at, file_)) return fail("can't be opened", error);
   return true;
 }
@@ -138,7 +138,7 @@
 
 bool Journal::replace(const std::vector<std::string>& records) {
   if (failed_) return false;
-  next_ = 0;
+  next_sequence_ = 0;
   const auto bytes = framed(records);
   if (!bytes) return false;
   const std::string fresh = name_ + ".new";
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -19,8 +19,8 @@
 class Journal {
  public:
   /// `most`: bytes of a record, at most.
-  Journal(Folder& folder, std::string name, std::size_t most)
-      : folder_(folder), name_(std::move(name)), most_(most) {}
+  Journal(Folder& folder, std::string name, std::size_t max_bytes)
+      : folder_(folder), name_(std::move(name)), max_bytes_(max_bytes) {}
 
   /// All records, oldest first; none where there is no file yet: then the first write makes it. False: why()
   /// says what is wrong, and nothing of it is to be used. A record at the very end that was being written
@@ -33,9 +33,9 @@
   bool replace(const std::vector<std::string>& records);
 
   [[nodiscard]] bool failed() const { return failed_; }
-  [[nodiscard]] const std::string& why() const { return why_; }
+  [[nodiscard]] const std::string& error() const { return error_; }
   /// Records of which one of the two copies was bad when it was opened.
-  [[nodiscard]] std::size_t mended() const { return mended_; }
+  [[nodiscard]] std::size_t was_repaired() const { return was_repaired_; }
 
  private:
   std::optional<std::string> framed(const std::vector<std::string>& records);
@@ -43,11 +43,12 @@
   bool fail(const std::string& what, int error);
 
   Folder& folder_;
-  std::string name_, why_;
-  std::size_t most_;
+  std::string name_, error_;
+  std::size_t max_bytes_;
   std::unique_ptr<File> file_;
-  std::uint64_t next_ = 0;  // number of the next record: guards against one that stands in a wrong place
-  std::size_t mended_ = 0;
+  std::uint64_t next_sequence_ =
+      0;  // number of the next record: guards against one that stands in a wrong place
+  std::size_t was_repaired_ = 0;
   bool failed_ = false;
 };
 
--- a/src/window_counter.h
+++ b/src/window_counter.h
@@ -15,11 +15,11 @@
 namespace dahliahall {
 
 /// Holds the newest `capacity` entries of the last `span`; older ones leave as new ones come.
-class WindowCounter {
+class SlidingWindowCounter {
  public:
   using Time = std::chrono::microseconds;
 
-  WindowCounter(Time span, std::size_t capacity) : span_(span), capacity_(capacity) {}
+  SlidingWindowCounter(Time span, std::size_t capacity) : span_(span), capacity_(capacity) {}
 
   void add(Time now, std::uint64_t key) {
     entries_.emplace_back(now, key);
--- a/src/work_window.h
+++ b/src/work_window.h
@@ -9,7 +9,7 @@
 
 namespace dahliahall {
 
-class WorkWindow {
+class SlidingWindowSum {
  public:
   using Time = std::chrono::microseconds;
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -32,23 +32,23 @@
 }
 
 TEST(Memory, ReadersKeepNoRoomForTheLargestThatEverCame) {
-  codec::AnswerReader answers;
+  codec::CacheResponseReader answers;
   answers.feed("a HIT - 200000\r\n" + std::string(200'000, 'x') + "\r\n");
   ASSERT_TRUE(answers.next());
   EXPECT_FALSE(answers.next());
-  EXPECT_LE(answers.held(), codec::kMaxLine);
+  EXPECT_LE(answers.buffered_bytes(), codec::kMaxLine);
   codec::FrameReader frames;
   frames.feed(std::string("\0\0\xc0\0", 4) + std::string(0xc000, 'x'));
   ASSERT_TRUE(frames.next());
   EXPECT_FALSE(frames.next());
-  EXPECT_LE(frames.held(), 4096U);
+  EXPECT_LE(frames.buffered_bytes(), 4096U);
 }
 
 TEST(Thrift, TheNumberOfACallIsFoundInTheBeginningOfItsFrame) {
   const std::string head("\x80\x01\0\x01\0\0\0\x01p\0\0\0\x05", 13);
-  EXPECT_EQ(codec::seqid_of(head), 5);
-  EXPECT_EQ(codec::seqid_of(head.substr(0, 12)), 0);
-  EXPECT_EQ(codec::seqid_of(std::string(20, 'x')), 0);
+  EXPECT_EQ(codec::sequence_id_of(head), 5);
+  EXPECT_EQ(codec::sequence_id_of(head.substr(0, 12)), 0);
+  EXPECT_EQ(codec::sequence_id_of(std::string(20, 'x')), 0);
 }
 
 TEST(Frames, AreCutOutOfAnySplit) {
@@ -74,17 +74,17 @@
 TEST(Thrift, AProcessCallIsRead) {
   const auto read = read_message(process("pages", "some\0bytes"s));
   const auto& message = std::get<Message>(read);
-  EXPECT_EQ(message.seqid, 7);
+  EXPECT_EQ(message.sequence_id, 7);
   const auto& call = std::get<ProcessCall>(message.call);
-  EXPECT_TRUE(call.readable);
+  EXPECT_TRUE(call.is_readable);
   EXPECT_EQ(call.fields, (StringMap{{"verb", "pages"}}));
   EXPECT_EQ(call.body, "some\0bytes"s);
 }
 
 TEST(Thrift, OtherCallsAreRead) {
   const auto give_up = read_message(head("giveUp", 4) + "\x08\0\1"s + be32(3) + kStop);
-  EXPECT_EQ(std::get<GiveUpCall>(std::get<Message>(give_up).call).given_up, 3);
-  EXPECT_TRUE(std::holds_alternative<ProbeCall>(
+  EXPECT_EQ(std::get<CancelCall>(std::get<Message>(give_up).call).sequence_id, 3);
+  EXPECT_TRUE(std::holds_alternative<PingCall>(
       std::get<Message>(read_message(head("probe") + "\x02\0\1\1"s + kStop)).call));
   const auto unknown = read_message(head("dance") + "\x0f\0\1\x0c"s + be32(1) + "\x0a\0\1"s +
                                     std::string(8, 'x') + kStop + kStop);
@@ -94,7 +94,7 @@
 TEST(Thrift, ACallOfOtherTypesIsNotReadable) {
   const auto of = [](const std::string& arguments) {
     return std::get<ProcessCall>(std::get<Message>(read_message(head("process") + arguments + kStop)).call)
-        .readable;
+        .is_readable;
   };
   EXPECT_FALSE(of(""));                                                      // no fields at all
   EXPECT_FALSE(of("\x08\0\1"s + be32(5)));                                   // a number for the map
@@ -106,14 +106,14 @@
   for (std::size_t size = 0; size < whole.size(); ++size) {
     const auto read = read_message(std::string_view(whole).substr(0, size));
     ASSERT_TRUE(std::holds_alternative<MessageError>(read)) << "cut at " << size;
-    EXPECT_EQ(std::get<MessageError>(read), MessageError::cut_short);
+    EXPECT_EQ(std::get<MessageError>(read), MessageError::truncated);
   }
   const auto error = [](const std::string& frame) { return std::get<MessageError>(read_message(frame)); };
   EXPECT_EQ(error(text("old style") + kStop), MessageError::not_strict);
   EXPECT_EQ(error(head("process", 2)), MessageError::bad_type);
   EXPECT_EQ(error(head("dance") + "\x7f\0\1"s), MessageError::bad_type);
   // A map that says it holds four thousand million entries.
-  EXPECT_EQ(error(head("process") + "\x0d\0\1\x0b\x0b"s + be32(0xffffffffU)), MessageError::cut_short);
+  EXPECT_EQ(error(head("process") + "\x0d\0\1\x0b\x0b"s + be32(0xffffffffU)), MessageError::truncated);
   std::string deep = head("dance");
   for (int i = 0; i < 100000; ++i) deep += "\x0c\0\1"s;
   EXPECT_EQ(error(deep), MessageError::too_deep);
@@ -127,8 +127,8 @@
   const std::string with_body =
       "a HIT ver=t1,born=5 6\r\nx\r\ny\0z\r\n"s + stream.substr(stream.find("b NONE"));
   for (std::size_t split = 0; split <= with_body.size(); ++split) {
-    AnswerReader reader;
-    std::vector<CacheAnswer> answers;
+    CacheResponseReader reader;
+    std::vector<CacheResponse> answers;
     for (const auto& part : {with_body.substr(0, split), with_body.substr(split)}) {
       reader.feed(part);
       while (auto answer = reader.next()) answers.push_back(*answer);
@@ -136,10 +136,10 @@
     ASSERT_EQ(answers.size(), 3U) << "split at " << split;
     EXPECT_EQ(reader.error(), LineError::none);
     EXPECT_EQ(answers[0].id, "a");
-    EXPECT_EQ(answers[0].word, AnswerWord::hit);
+    EXPECT_EQ(answers[0].status, CacheResponseStatus::hit);
     EXPECT_EQ(answers[0].body, "x\r\ny\0z"s);
     EXPECT_EQ(field_in(answers[0].fields, "born"), "5");
-    EXPECT_EQ(answers[1].word, AnswerWord::none);
+    EXPECT_EQ(answers[1].status, CacheResponseStatus::not_found);
     EXPECT_EQ(field_in(answers[1].fields, "ver"), std::nullopt);
     EXPECT_EQ(field_in(answers[2].fields, "report"), "inflight:7");
   }
@@ -147,27 +147,27 @@
 
 TEST(CacheLines, WhatIsNoAnswerIsATypedError) {
   const auto error = [](const std::string& bytes) {
-    AnswerReader reader;
+    CacheResponseReader reader;
     reader.feed(bytes);
     EXPECT_FALSE(reader.next());
     return reader.error();
   };
-  EXPECT_EQ(error("a HIT - x\r\n"), LineError::not_an_answer);
-  EXPECT_EQ(error("a HIT - -1\r\n"), LineError::not_an_answer);
-  EXPECT_EQ(error("a HIT\r\n"), LineError::not_an_answer);
-  EXPECT_EQ(error("a HIT - 1 2\r\n"), LineError::not_an_answer);
+  EXPECT_EQ(error("a HIT - x\r\n"), LineError::not_a_response);
+  EXPECT_EQ(error("a HIT - -1\r\n"), LineError::not_a_response);
+  EXPECT_EQ(error("a HIT\r\n"), LineError::not_a_response);
+  EXPECT_EQ(error("a HIT - 1 2\r\n"), LineError::not_a_response);
   EXPECT_EQ(error("a WHAT - 0\r\n"), LineError::unknown_word);
   EXPECT_EQ(error("a HIT - 99999999\r\n"), LineError::body_too_long);
-  EXPECT_EQ(error("a HIT - 1\r\nxyz"), LineError::body_not_ended);
+  EXPECT_EQ(error("a HIT - 1\r\nxyz"), LineError::body_not_terminated);
   EXPECT_EQ(error(std::string(kMaxLine + 10, 'x')), LineError::line_too_long);
 }
 
 TEST(CacheLines, CommandsAreWritten) {
   FieldList fields;
-  EXPECT_EQ(write_serve("a", fields, ""), "serve a - 0\r\n\r\n");
+  EXPECT_EQ(write_request("a", fields, ""), "serve a - 0\r\n\r\n");
   fields.add("x", "1");
   fields.add("y", "2");
-  EXPECT_EQ(write_serve("a", fields, "hi"), "serve a x=1,y=2 2\r\nhi\r\n");
+  EXPECT_EQ(write_request("a", fields, "hi"), "serve a x=1,y=2 2\r\nhi\r\n");
   EXPECT_EQ(write_cancel("a"), "cancel a\r\n");
 }
 
@@ -219,30 +219,30 @@
 }
 
 TEST(Bulletin, EventsAreReadAndFaultsNameTheField) {
-  const Names names{{"north", "east"}, {"std", "origin"}};
-  const auto list = parse_bulletin_event(
+  const DiscoveryNames names{{"north", "east"}, {"std", "origin"}};
+  const auto list = parse_discovery_event(
       R"({"no":41,"roster":{"revision":7,"complete":true,"members":[{"id":"s-1","host_port":"10.1.0.9:9090",)"
       R"("locality":"east","flavor":"std","cell":2,"phase":"leaving","size":4,"up_since_ms":1764576000123}]}})",
       names);
   EXPECT_EQ(list.number, 41);
-  ASSERT_TRUE(list.roster && list.roster->complete);
-  const ListedMember& m = list.roster->members.at(0);
+  ASSERT_TRUE(list.endpoints && list.endpoints->is_complete);
+  const ListedEndpoint& m = list.endpoints->endpoints.at(0);
   EXPECT_EQ(m.address, "10.1.0.9:9090");
-  EXPECT_EQ(m.member.zone, 1);
-  EXPECT_EQ(m.member.kind, 0);
-  EXPECT_EQ(m.member.state, EndpointState::draining);
-  EXPECT_EQ(m.member.started, std::chrono::milliseconds(1764576000123));
+  EXPECT_EQ(m.endpoint.zone, 1);
+  EXPECT_EQ(m.endpoint.kind, 0);
+  EXPECT_EQ(m.endpoint.state, EndpointState::draining);
+  EXPECT_EQ(m.endpoint.started, std::chrono::milliseconds(1764576000123));
 
-  const auto purge = parse_bulletin_event(R"({"no":43,"recall":{"lot":17,"issued":1000}})", names);
-  ASSERT_TRUE(purge.recall);
-  EXPECT_FALSE(purge.recall->object);
-  EXPECT_EQ(purge.recall->group, 17);
+  const auto purge = parse_discovery_event(R"({"no":43,"recall":{"lot":17,"issued":1000}})", names);
+  ASSERT_TRUE(purge.invalidation);
+  EXPECT_FALSE(purge.invalidation->object);
+  EXPECT_EQ(purge.invalidation->group, 17);
   // The moment was rounded down: a copy made within that millisecond may be older than the purge.
-  EXPECT_EQ(purge.recall->issued, std::chrono::milliseconds(1001));
+  EXPECT_EQ(purge.invalidation->issued_at, std::chrono::milliseconds(1001));
 
   const auto problem = [&names](const char* json) -> std::string {
     try {
-      parse_bulletin_event(json, names);
+      parse_discovery_event(json, names);
     } catch (const FieldError& error) {
       return error.what();
     }
@@ -283,7 +283,7 @@
     HttpCallReader reader;
     reader.feed(bytes);
     EXPECT_FALSE(reader.next());
-    EXPECT_TRUE(reader.broken()) << bytes.substr(0, 40);
+    EXPECT_TRUE(reader.is_broken()) << bytes.substr(0, 40);
   }
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -31,34 +31,34 @@
 TEST(Config, AllIsRead) {
   const Config config = parse(config_text({"box-1", "main"}, kAddresses), {});
   EXPECT_EQ(config.name, "n1");
-  EXPECT_EQ(config.listen, "10.0.0.4:9090");
-  EXPECT_EQ(config.bulletin, "10.2.0.1:9092");
+  EXPECT_EQ(config.listen_address, "10.0.0.4:9090");
+  EXPECT_EQ(config.discovery_address, "10.2.0.1:9092");
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964U);
-  EXPECT_EQ(config.max_sockets, 256);
+  EXPECT_EQ(config.max_descriptors, 256);
   EXPECT_EQ(config.requests_per_connection, 32);
   EXPECT_EQ(config.connect_timeout, std::chrono::milliseconds(400));
   EXPECT_EQ(config.settings.classes.size(), 3U);
   EXPECT_EQ(config.settings.classes[2].idempotency, Idempotency::with_key);
-  EXPECT_EQ(config.known_number, 1);
-  ASSERT_EQ(config.known.size(), 1U);
-  EXPECT_EQ(config.known[0].roster->members[1].member.kind, config.settings.origin_kind);
+  EXPECT_EQ(config.last_known_event, 1);
+  ASSERT_EQ(config.known_events.size(), 1U);
+  EXPECT_EQ(config.known_events[0].endpoints->endpoints[1].endpoint.kind, config.settings.origin_kind);
 }
 
 TEST(Config, TheEnvironmentStandsAboveTheFile) {
   const Config config =
       parse(config_text({"main"}, kAddresses), {{"GW_NAME", "n9"}, {"GW_LISTEN", "10.0.0.5:1"}});
   EXPECT_EQ(config.name, "n9");
-  EXPECT_EQ(config.listen, "10.0.0.5:1");
+  EXPECT_EQ(config.listen_address, "10.0.0.5:1");
 }
 
 TEST(Config, TheSecondAddressAndWhatIsKeptAreOptional) {
   const std::string text = changed(R"("admin_addr":"admin:1",)", "");
-  EXPECT_EQ(parse(text, {}).admin, "");
-  EXPECT_EQ(parse(text, {}).keep_in, "");
+  EXPECT_EQ(parse(text, {}).admin_address, "");
+  EXPECT_EQ(parse(text, {}).overrides_path, "");
   const Config config =
       parse(text, {{"GW_ADMIN_ADDR", "10.0.0.4:9091"}, {"TMPDIR", "/t"}, {"GW_NAME", "../n3"}});
-  EXPECT_EQ(config.admin, "10.0.0.4:9091");
-  EXPECT_EQ(config.keep_in, "/t/by-hand-___n3");
+  EXPECT_EQ(config.admin_address, "10.0.0.4:9091");
+  EXPECT_EQ(config.overrides_path, "/t/by-hand-___n3");
   EXPECT_EQ(problem(text, {{"GW_ADMIN_ADDR", "here"}}),
             "field 'GW_ADMIN_ADDR': should be host:port, not 'here'");
 }
--- a/tests/containers_test.cpp
+++ b/tests/containers_test.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 TEST(WindowCounter, ForgetsWhatLeftTheWindow) {
-  WindowCounter counter(10s, 100);
+  SlidingWindowCounter counter(10s, 100);
   counter.add(0s, 7);
   counter.add(4s, 7);
   EXPECT_EQ(counter.count(7), 2U);
@@ -22,7 +22,7 @@
 }
 
 TEST(WindowCounter, StaysWithinItsCapacity) {
-  WindowCounter counter(10s, 100);
+  SlidingWindowCounter counter(10s, 100);
   for (std::uint64_t key = 0; key < 10000; ++key) counter.add(1s, key);
   EXPECT_EQ(counter.entries(), 100U);
   EXPECT_EQ(counter.count(0), 0U);
@@ -30,7 +30,7 @@
 }
 
 TEST(WindowCounter, RanksByCountThenKey) {
-  WindowCounter counter(10s, 100);
+  SlidingWindowCounter counter(10s, 100);
   for (const std::uint64_t key : {5, 3, 9, 9, 4}) counter.add(1s, key);
   EXPECT_EQ(counter.top(3), (std::vector<std::uint64_t>{9, 3, 4}));
   EXPECT_EQ(counter.top(50).size(), 4U);
@@ -50,7 +50,7 @@
 }
 
 TEST(WorkWindow, SumsTheSpan) {
-  WorkWindow window;
+  SlidingWindowSum window;
   window.add(1s, 2);
   window.add(2s, 3);
   EXPECT_DOUBLE_EQ(window.sum(3s, 2s), 5);
--- a/tests/edge_test.cpp
+++ b/tests/edge_test.cpp
@@ -1091,8 +1091,8 @@
 TEST(Copies, TakeNoMoreThanTheirPartOfTheMemory) {
   config::Config config = config::parse(config_text({"main"}, {}, 16), {});
   edge::LocalCache copies(config);
-  codec::CacheAnswer answer;
-  answer.word = codec::AnswerWord::hit;
+  codec::CacheResponse answer;
+  answer.status = codec::CacheResponseStatus::hit;
   answer.fields = "ver=a,born=5";
   answer.body = std::string(100'000, 'y');
   const Time now = std::chrono::hours(500000);
--- a/tests/golden/codec_golden_test.cpp
+++ b/tests/golden/codec_golden_test.cpp
@@ -127,7 +127,7 @@
   switch (error) {
     case codec::MessageError::not_strict:
       return "not_strict";
-    case codec::MessageError::cut_short:
+    case codec::MessageError::truncated:
       return "cut_short";
     case codec::MessageError::bad_type:
       return "bad_type";
@@ -154,17 +154,17 @@
 std::string thrift_read(const std::string& frame) {
   const auto read = codec::read_message(frame);
   Line line("read");
-  line.whole("seqid_of_frame", codec::seqid_of(frame));
+  line.whole("seqid_of_frame", codec::sequence_id_of(frame));
   if (const auto* error = std::get_if<codec::MessageError>(&read))
     return line.word("error", name_of_message_error(*error)).text();
   const auto& message = std::get<codec::Message>(read);
-  line.word("type", name_of_message_type(message.type)).whole("seqid", message.seqid);
+  line.word("type", name_of_message_type(message.type)).whole("seqid", message.sequence_id);
   if (const auto* object = std::get_if<codec::ProcessCall>(&message.call)) {
-    line.word("method", "object_request").flag("readable", object->readable).bytes("body", object->body);
+    line.word("method", "object_request").flag("readable", object->is_readable).bytes("body", object->body);
     for (const auto& [key, value] : object->fields) line.bytes("key", key).bytes("value", value);
-  } else if (const auto* cancel = std::get_if<codec::GiveUpCall>(&message.call)) {
-    line.word("method", "cancel_request").whole("cancelled_seqid", cancel->given_up);
-  } else if (std::holds_alternative<codec::ProbeCall>(message.call)) {
+  } else if (const auto* cancel = std::get_if<codec::CancelCall>(&message.call)) {
+    line.word("method", "cancel_request").whole("cancelled_seqid", cancel->sequence_id);
+  } else if (std::holds_alternative<codec::PingCall>(message.call)) {
     line.word("method", "readiness_check");
   } else {
     line.word("method", "unknown").bytes("name", std::get<codec::UnknownCall>(message.call).method);
@@ -176,8 +176,8 @@
   GoldenRecord record("codec_thrift_written");
   const codec::StringMap fields{{"how", "cached"}, {"", ""}, {"x", std::string("\0\x01", 2)}};
   for (const bool good : {true, false}) {
-    record.add(golden::quoted(codec::write_answer(7, "process", "body", fields, good)));
-    record.add(golden::quoted(codec::write_answer(-1, "probe", "", {}, good)));
+    record.add(golden::quoted(codec::write_reply(7, "process", "body", fields, good)));
+    record.add(golden::quoted(codec::write_reply(-1, "probe", "", {}, good)));
   }
   record.add(golden::quoted(codec::write_declared_exception(8, 1, {{"not_before_ms", "250"}})));
   record.add(golden::quoted(codec::write_declared_exception(9, 2, {})));
@@ -233,8 +233,8 @@
     const bool too_large = reader.error() == codec::FrameError::too_large;
     lines.push_back(Line("end")
                         .word("error", too_large ? "too_large" : "none")
-                        .flag("incomplete", reader.halfway())
-                        .bytes("rest", reader.rest())
+                        .flag("incomplete", reader.has_partial_frame())
+                        .bytes("rest", reader.partial_frame())
                         .text());
     return lines;
   };
@@ -249,23 +249,23 @@
 
 // ---- Cache lines ----
 
-const char* name_of_cache_status(codec::AnswerWord word) {
+const char* name_of_cache_status(codec::CacheResponseStatus word) {
   switch (word) {
-    case codec::AnswerWord::hit:
+    case codec::CacheResponseStatus::hit:
       return "hit";
-    case codec::AnswerWord::valid:
+    case codec::CacheResponseStatus::not_modified:
       return "valid";
-    case codec::AnswerWord::none:
+    case codec::CacheResponseStatus::not_found:
       return "none";
-    case codec::AnswerWord::shed:
+    case codec::CacheResponseStatus::shed:
       return "shed";
-    case codec::AnswerWord::fault:
+    case codec::CacheResponseStatus::fault:
       return "fault";
-    case codec::AnswerWord::late:
+    case codec::CacheResponseStatus::expired:
       return "late";
-    case codec::AnswerWord::pong:
+    case codec::CacheResponseStatus::healthy:
       return "pong";
-    case codec::AnswerWord::sick:
+    case codec::CacheResponseStatus::unhealthy:
       return "sick";
   }
   return "?";
@@ -277,27 +277,27 @@
       return "none";
     case codec::LineError::line_too_long:
       return "line_too_long";
-    case codec::LineError::not_an_answer:
+    case codec::LineError::not_a_response:
       return "not_an_answer";
     case codec::LineError::unknown_word:
       return "unknown_word";
     case codec::LineError::body_too_long:
       return "body_too_long";
-    case codec::LineError::body_not_ended:
+    case codec::LineError::body_not_terminated:
       return "body_not_ended";
   }
   return "?";
 }
 
 Lines cache_lines_read(const Lines& pieces) {
-  codec::AnswerReader reader;
+  codec::CacheResponseReader reader;
   Lines lines;
   for (const std::string& piece : pieces) {
     reader.feed(piece);
     while (const auto answer = reader.next()) {
       lines.push_back(Line("response")
                           .bytes("id", answer->id)
-                          .word("status", name_of_cache_status(answer->word))
+                          .word("status", name_of_cache_status(answer->status))
                           .bytes("fields", answer->fields)
                           .bytes("body", answer->body)
                           .text());
@@ -310,13 +310,13 @@
 TEST(GoldenCodec, CacheLines) {
   GoldenRecord record("codec_cache_lines");
   codec::FieldList fields;
-  record.add(golden::quoted(codec::write_serve("1", fields, "")));
+  record.add(golden::quoted(codec::write_request("1", fields, "")));
   fields.add("part", "0");
-  record.add(golden::quoted(codec::write_serve("2", fields, std::string("a\r\n\0b", 5))));
+  record.add(golden::quoted(codec::write_request("2", fields, std::string("a\r\n\0b", 5))));
   fields.add("empty", "");
-  record.add(golden::quoted(codec::write_serve("3", fields, std::string(300, 'x'))));
+  record.add(golden::quoted(codec::write_request("3", fields, std::string(300, 'x'))));
   record.add(golden::quoted(codec::write_cancel("4")));
-  record.add(golden::quoted(codec::write_gauges("t5")));
+  record.add(golden::quoted(codec::write_health_check("t5")));
   for (const char* list : {"a=1,bb=2,b=3", "", "-", "a", "a=", "=1", "b=1,b=2", ",,b=9"}) {
     for (const char* name : {"a", "b", "bb", ""}) {
       const auto value = codec::field_in(list, name);
@@ -428,14 +428,14 @@
                           .bytes("body", call->body)
                           .text());
   }
-  lines.push_back(Line("end").flag("malformed", reader.broken()).text());
+  lines.push_back(Line("end").flag("malformed", reader.is_broken()).text());
   return lines;
 }
 
 TEST(GoldenCodec, HttpCalls) {
   GoldenRecord record("codec_http_call");
   for (const int status : {200, 202, 400, 404, 405, 409, 413, 422, 503, 500})
-    record.add(golden::quoted(codec::write_http_answer(status, status % 2 == 0 ? "body\n" : "")));
+    record.add(golden::quoted(codec::write_http_response(status, status % 2 == 0 ? "body\n" : "")));
   const std::string post =
       "POST /v1/policy?x=%zz HTTP/1.1\r\nHost: a\r\ncontent-LENGTH:   5\r\n\r\nab\r\ncMORE";
   record_splits(record, "post", post, http_call_read);
@@ -454,8 +454,8 @@
 
 // ---- Discovery events ----
 
-const codec::Names& names() {
-  static const codec::Names value{{"north", "edge-1"}, {"small-box", "parent", "origin"}};
+const codec::DiscoveryNames& names() {
+  static const codec::DiscoveryNames value{{"north", "edge-1"}, {"small-box", "parent", "origin"}};
   return value;
 }
 
@@ -471,16 +471,16 @@
   return "?";
 }
 
-Lines discovery_event_lines(const codec::BulletinEvent& event) {
+Lines discovery_event_lines(const codec::DiscoveryEvent& event) {
   Lines lines{Line("event")
                   .whole("number", event.number)
-                  .flag("endpoints", event.roster.has_value())
-                  .flag("invalidation", event.recall.has_value())
+                  .flag("endpoints", event.endpoints.has_value())
+                  .flag("invalidation", event.invalidation.has_value())
                   .text()};
-  if (event.roster) {
-    lines.push_back(Line("endpoint_list").flag("complete", event.roster->complete).text());
-    for (const codec::ListedMember& listed : event.roster->members) {
-      const Endpoint& m = listed.member;
+  if (event.endpoints) {
+    lines.push_back(Line("endpoint_list").flag("complete", event.endpoints->is_complete).text());
+    for (const codec::ListedEndpoint& listed : event.endpoints->endpoints) {
+      const Endpoint& m = listed.endpoint;
       lines.push_back(Line("endpoint")
                           .bytes("id", m.id)
                           .word("state", name_of_endpoint_state(m.state))
@@ -490,16 +490,16 @@
                           .whole("kind", m.kind)
                           .time("started", m.started)
                           .bytes("address", listed.address)
-                          .time("process_started", listed.process)
+                          .time("process_started", listed.process_started)
                           .text());
     }
   }
-  if (event.recall) {
+  if (event.invalidation) {
     lines.push_back(Line("invalidation")
-                        .flag("of_object", event.recall->object.has_value())
-                        .whole("object", event.recall->object.value_or(0))
-                        .whole("group", event.recall->group)
-                        .time("issued", event.recall->issued)
+                        .flag("of_object", event.invalidation->object.has_value())
+                        .whole("object", event.invalidation->object.value_or(0))
+                        .whole("group", event.invalidation->group)
+                        .time("issued", event.invalidation->issued_at)
                         .text());
   }
   return lines;
@@ -507,7 +507,7 @@
 
 Lines discovery_read(const std::string& json) {
   try {
-    return discovery_event_lines(codec::parse_bulletin_event(json, names()));
+    return discovery_event_lines(codec::parse_discovery_event(json, names()));
   } catch (const FieldError& error) {
     return {Line("error").bytes("text", error.what()).text()};
   }
@@ -750,10 +750,10 @@
   return lines;
 }
 
-Lines peers_lines(const config::Peers& p) {
+Lines peers_lines(const config::MembershipConfig& p) {
   const peers::Settings& s = p.settings;
   Line addresses("membership_addresses");
-  addresses.bytes("listen", p.listen).bytes("advertised", s.address);
+  addresses.bytes("listen", p.listen_address).bytes("advertised", s.address);
   for (const std::string& seed : s.seeds) addresses.bytes("seed", seed);
   for (const auto& [from, to] : s.address_overrides)
     addresses.bytes("override_of", from).bytes("override", to);
@@ -762,9 +762,9 @@
               .bytes("name", s.name)
               .whole("zone", s.zone)
               .bytes("folder", p.folder)
-              .whole("max_streams", p.streams)
-              .whole("max_datagrams_per_s", p.datagrams)
-              .whole("max_user_message_bytes", p.most_carried)
+              .whole("max_streams", p.max_streams)
+              .whole("max_datagrams_per_s", p.max_datagrams_per_s)
+              .whole("max_user_message_bytes", p.max_user_message_bytes)
               .whole("max_members", s.max_members)
               .whole("max_datagram_bytes", s.max_datagram_bytes)
               .whole("expected_members", s.expected_members)
@@ -789,7 +789,7 @@
               .text()};
 }
 
-std::string policy_line(const config::Policy& p) {
+std::string policy_line(const config::PolicyConfig& p) {
   const agreed::Settings& s = p.settings;
   Line line("policy");
   line.bytes("name", s.name).bytes("folder", p.folder).flag("trace", p.trace);
@@ -810,13 +810,13 @@
   Lines lines;
   lines.push_back(Line("process")
                       .bytes("name", c.name)
-                      .bytes("listen", c.listen)
-                      .bytes("discovery", c.bulletin)
-                      .bytes("admin", c.admin)
-                      .bytes("overrides_file", c.keep_in)
+                      .bytes("listen", c.listen_address)
+                      .bytes("discovery", c.discovery_address)
+                      .bytes("admin", c.admin_address)
+                      .bytes("overrides_file", c.overrides_path)
                       .whole("seed", c.seed)
-                      .whole("max_sockets", c.max_sockets)
-                      .whole("memory_bytes", c.memory)
+                      .whole("max_sockets", c.max_descriptors)
+                      .whole("memory_bytes", c.memory_bytes)
                       .text());
   lines.push_back(Line("connections")
                       .time("idle_timeout", c.connection_idle)
@@ -826,18 +826,22 @@
                       .real("link_bytes_per_s", c.link_bytes_per_s)
                       .text());
   Line lists("names");
-  for (const std::string& zone : c.names.zones) lists.bytes("zone", zone);
-  for (const std::string& kind : c.names.kinds) lists.bytes("kind", kind);
+  for (const std::string& zone : c.discovery_names.zones) lists.bytes("zone", zone);
+  for (const std::string& kind : c.discovery_names.kinds) lists.bytes("kind", kind);
   lines.push_back(lists.text());
   for (std::string& line : settings_lines(c.settings)) lines.push_back(std::move(line));
-  lines.push_back(
-      Line("known_at_start").whole("number", c.known_number).whole("events", c.known.size()).text());
-  for (const codec::BulletinEvent& event : c.known)
+  lines.push_back(Line("known_at_start")
+                      .whole("number", c.last_known_event)
+                      .whole("events", c.known_events.size())
+                      .text());
+  for (const codec::DiscoveryEvent& event : c.known_events)
     for (std::string& line : discovery_event_lines(event)) lines.push_back(std::move(line));
-  lines.push_back(
-      Line("sections").flag("membership", c.peers.has_value()).flag("policy", c.policy.has_value()).text());
-  if (c.peers)
-    for (std::string& line : peers_lines(*c.peers)) lines.push_back(std::move(line));
+  lines.push_back(Line("sections")
+                      .flag("membership", c.membership.has_value())
+                      .flag("policy", c.policy.has_value())
+                      .text());
+  if (c.membership)
+    for (std::string& line : peers_lines(*c.membership)) lines.push_back(std::move(line));
   if (c.policy) lines.push_back(policy_line(*c.policy));
   lines.push_back(Line("settings_text").bytes("json", c.settings_text).text());
   return lines;
@@ -888,7 +892,7 @@
   try {
     const config::Config read = config::parse(json, environment);
     Line keys("accepted");
-    for (const std::string& key : config::keys_for_a_start(full, read)) keys.bytes("restart_key", key);
+    for (const std::string& key : config::restart_only_keys(full, read)) keys.bytes("restart_key", key);
     Lines lines{keys.text()};
     for (const std::string& line : config_lines(read))
       if (known.count(line) == 0 && line.rfind("settings_text", 0) != 0) lines.push_back(line);
--- a/tests/golden/stored_files_golden_test.cpp
+++ b/tests/golden/stored_files_golden_test.cpp
@@ -92,10 +92,10 @@
 
 // ---- Admin overrides ----
 
-codec::ListedMember endpoint(const std::string& id) {
-  codec::ListedMember listed;
-  listed.member.id = id;
-  listed.member.started = Microseconds{1'000'000};
+codec::ListedEndpoint endpoint(const std::string& id) {
+  codec::ListedEndpoint listed;
+  listed.endpoint.id = id;
+  listed.endpoint.started = Microseconds{1'000'000};
   listed.address = "10.0.0.1:80";
   return listed;
 }
@@ -112,18 +112,19 @@
   return "?";
 }
 
-void add_endpoints(GoldenRecord& record, const codec::Roster& changes) {
-  record.add("changes complete=" + std::string(changes.complete ? "yes" : "no"));
-  for (const codec::ListedMember& listed : changes.members) {
-    record.add("  endpoint id=" + golden::quoted(listed.member.id) +
-               " state=" + name_of_endpoint_state(listed.member.state) + " started=" +
-               std::to_string(listed.member.started.count()) + " address=" + golden::quoted(listed.address));
+void add_endpoints(GoldenRecord& record, const codec::EndpointUpdate& changes) {
+  record.add("changes complete=" + std::string(changes.is_complete ? "yes" : "no"));
+  for (const codec::ListedEndpoint& listed : changes.endpoints) {
+    record.add("  endpoint id=" + golden::quoted(listed.endpoint.id) +
+               " state=" + name_of_endpoint_state(listed.endpoint.state) +
+               " started=" + std::to_string(listed.endpoint.started.count()) +
+               " address=" + golden::quoted(listed.address));
   }
 }
 
 TEST_F(GoldenStoredFile, AdminOverrides) {
-  const codec::Roster all{true,
-                          {endpoint("cache-a"), endpoint("cache-b"), endpoint("cache c"), endpoint("d")}};
+  const codec::EndpointUpdate all{
+      true, {endpoint("cache-a"), endpoint("cache-b"), endpoint("cache c"), endpoint("d")}};
   edge::EndpointDirectory writer;
   writer.apply(all, Microseconds{5'000'000});
   ASSERT_TRUE(writer.suspend("cache-b", Microseconds{1'700'000'000'000'123}));
@@ -132,14 +133,14 @@
   ASSERT_TRUE(writer.resume("cache c", Microseconds{1'700'000'001'000'000}));
   ASSERT_FALSE(writer.suspend("unknown", Microseconds{8}));
   std::string problem;
-  net::KeptFile file(folder_ + "/overrides", [&problem](const char* why) { problem = why; });
+  net::OverridesFile file(folder_ + "/overrides", [&problem](const char* why) { problem = why; });
   file.write(writer.serialized_overrides());
   expect_stored("admin_overrides", written("overrides"));
   EXPECT_EQ(problem, "");
 
   GoldenRecord record("stored_admin_overrides");
   write_file(folder_ + "/old", stored("admin_overrides"));
-  net::KeptFile old(folder_ + "/old", [&problem](const char* why) { problem = why; });
+  net::OverridesFile old(folder_ + "/old", [&problem](const char* why) { problem = why; });
   const std::optional<std::string> text = old.read_if_new();
   ASSERT_TRUE(text);
   EXPECT_FALSE(old.read_if_new());
@@ -208,18 +209,18 @@
   const auto add_to_log = [&log](const std::string& line) { log.push_back(line); };
   const peers::MemberUpdate self = member_update("n1", peers::MemberStatus::alive, 1);
   {
-    net::PeerStore store(folder_, "n1", "west", add_to_log);
+    net::MembershipStore store(folder_, "n1", "west", add_to_log);
     std::vector<peers::MemberUpdate> members;
     for (std::uint64_t state = 0; state < peers::kMemberStatusCount; ++state)
       members.push_back(
           member_update("m" + number(state), static_cast<peers::MemberStatus>(state), state + 2));
-    store.keep(self, std::move(members));
+    store.persist(self, std::move(members));
     expect_stored("membership_store", written("peers-n1"));
   }
   GoldenRecord record("stored_membership_store");
   write_file(folder_ + "/peers-n1", stored("membership_store"));
   {
-    net::PeerStore store(folder_, "n1", "west", add_to_log);
+    net::MembershipStore store(folder_, "n1", "west", add_to_log);
     std::string why;
     ASSERT_TRUE(store.lock(why)) << why;
     peers::MemberUpdate fresh = self;
@@ -237,7 +238,7 @@
     std::string bad = good;
     bad[at] = static_cast<char>(bad[at] ^ 4);
     write_file(folder_ + "/peers-n1", at == 0 ? good : bad);
-    net::PeerStore store(folder_, "n1", at == 0 ? "east" : "west", add_to_log);
+    net::MembershipStore store(folder_, "n1", at == 0 ? "east" : "west", add_to_log);
     std::string why;
     const auto identity = store.open(self, why);
     ASSERT_TRUE(identity) << why;
@@ -285,9 +286,9 @@
     storage::Journal journal(folder, "log", kMaxRecord);
     std::vector<std::string> records;
     const bool opened = journal.open(records);
-    std::string line = name + " opened=" + (opened ? "yes" : "no") +
-                       " error=" + golden::quoted(journal.why()) + " mended=" + number(journal.mended()) +
-                       " bytes_after=" + number(folder.size("log"));
+    std::string line =
+        name + " opened=" + (opened ? "yes" : "no") + " error=" + golden::quoted(journal.error()) +
+        " mended=" + number(journal.was_repaired()) + " bytes_after=" + number(folder.size("log"));
     for (const std::string& each : records) line += " record=" + golden::quoted(each.substr(0, 20));
     record.add(line);
     return records;
@@ -491,7 +492,7 @@
   put(folder, "log", stored(file));
   storage::Journal journal(folder, "log", 1U << 20U);
   std::vector<std::string> records;
-  EXPECT_TRUE(journal.open(records)) << journal.why();
+  EXPECT_TRUE(journal.open(records)) << journal.error();
   for (const std::string& each : records) record.add(file + " record " + golden::quoted(each));
 }
 
@@ -635,11 +636,11 @@
   state.applied = 41;
   state.highest_seen = 57;
   const auto hold = [&state](std::uint64_t sequence, purge::SelectorKind kind, const std::string& text) {
-    purge::PurgeCommand command;
+    purge::InvalidationCommand command;
     command.number = sequence;
     command.selector = {kind, text};
-    command.issued = std::chrono::milliseconds(1'764'576'000'480 + static_cast<std::int64_t>(sequence));
-    state.held[sequence] = command;
+    command.issued_at = std::chrono::milliseconds(1'764'576'000'480 + static_cast<std::int64_t>(sequence));
+    state.out_of_order[sequence] = command;
   };
   hold(43, purge::SelectorKind::tag, "class-4b");
   hold(44, purge::SelectorKind::glob, "school/*/proof-?.jpg");
@@ -659,12 +660,13 @@
     }
     const auto& found = std::get<purge::SequencerState>(result);
     record.add(name + " applied=" + number(found.applied) + " highest_seen=" + number(found.highest_seen) +
-               " max_pending=" + number(found.most_held) + " requested=" + (found.asked ? "yes" : "no"));
-    for (const auto& [sequence, command] : found.held)
+               " max_pending=" + number(found.max_out_of_order) +
+               " requested=" + (found.gap_requested ? "yes" : "no"));
+    for (const auto& [sequence, command] : found.out_of_order)
       record.add("  pending " + number(sequence) + " sequence=" + number(command.number) +
                  " kind=" + name_of_selector_kind(command.selector.kind) +
                  " text=" + golden::quoted(command.selector.text) +
-                 " issued_ms=" + std::to_string(command.issued.count()));
+                 " issued_ms=" + std::to_string(command.issued_at.count()));
   };
   const std::string good = stored("invalidation_snapshot");
   read("stored", good, 100);
@@ -691,13 +693,13 @@
   changed.applied = 43;
   read_impossible("applied and pending", changed);
   changed = state;
-  changed.held[44].selector.text.clear();
+  changed.out_of_order[44].selector.text.clear();
   read_impossible("empty glob", changed);
   changed = state;
-  changed.held[57].selector.text = "a*b";
+  changed.out_of_order[57].selector.text = "a*b";
   read_impossible("wildcard in a key", changed);
   changed = state;
-  changed.held[57].selector.text = "a\nb";
+  changed.out_of_order[57].selector.text = "a\nb";
   read_impossible("line feed in a key", changed);
   record.check();
 }
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -22,9 +22,9 @@
   Records records;
   const bool opened = journal.open(records);
   if (good != nullptr) *good = opened;
-  if (why != nullptr) *why = journal.why();
-  if (mended != nullptr) *mended = journal.mended();
-  EXPECT_TRUE(opened || good != nullptr) << journal.why();
+  if (why != nullptr) *why = journal.error();
+  if (mended != nullptr) *mended = journal.was_repaired();
+  EXPECT_TRUE(opened || good != nullptr) << journal.error();
   return records;
 }
 
@@ -65,7 +65,7 @@
   EXPECT_FALSE(journal.append({"b"}));
   EXPECT_FALSE(journal.append({"b"})) << "the system says yes now, and has lost the pages";
   EXPECT_FALSE(journal.replace({"b"}));
-  EXPECT_NE(journal.why().find("is not on the disk"), std::string::npos) << journal.why();
+  EXPECT_NE(journal.error().find("is not on the disk"), std::string::npos) << journal.error();
   folder.crash();
   EXPECT_EQ(read(folder), Records{"a"});
 }
@@ -76,7 +76,7 @@
   ASSERT_TRUE(journal.append({"a"}));
   folder.room = 30;
   EXPECT_FALSE(journal.append({std::string(100, 'b')}));
-  EXPECT_NE(journal.why().find("No space"), std::string::npos) << journal.why();
+  EXPECT_NE(journal.error().find("No space"), std::string::npos) << journal.error();
   EXPECT_EQ(read(folder), Records{"a"});
 }
 
@@ -123,7 +123,7 @@
     for (int life = 0; life < 4; ++life) {
       Journal journal(folder, "log", kMost);
       Records records;
-      ASSERT_TRUE(journal.open(records)) << "seed " << seed << ": " << journal.why();
+      ASSERT_TRUE(journal.open(records)) << "seed " << seed << ": " << journal.error();
       ASSERT_GE(records.size(), durable.size()) << "seed " << seed;
       ASSERT_TRUE(std::equal(durable.begin(), durable.end(), records.begin())) << "seed " << seed;
       for (std::size_t i = durable.size(); i < records.size(); ++i)
--- a/tests/kept_file_test.cpp
+++ b/tests/kept_file_test.cpp
@@ -14,7 +14,7 @@
   void SetUp() override { ASSERT_NE(mkdtemp(folder_.data()), nullptr); }
   void TearDown() override { std::filesystem::remove_all(folder_); }
   /// Lets the main loop run until the file is there, or nothing more is under way.
-  static bool comes(KeptFile& file, const std::string& text) {
+  static bool comes(OverridesFile& file, const std::string& text) {
     for (int i = 0; i < 5000; ++i) {
       g_main_context_iteration(nullptr, FALSE);
       if (const auto read = file.read_if_new()) {
@@ -34,7 +34,7 @@
   // Guards all clients against a write that takes seconds: it goes on beside the loop, which has not run yet
   // here.
   const std::string path = folder_ + "/kept";
-  KeptFile mine(path, failed_), other(path, failed_);
+  OverridesFile mine(path, failed_), other(path, failed_);
   mine.write("a");
   mine.write("ab");
   mine.write("abc");
@@ -50,7 +50,7 @@
 }
 
 TEST_F(KeptFileTest, WhatCannotBeWrittenIsTold) {
-  KeptFile file(folder_ + "/missing/kept", failed_);
+  OverridesFile file(folder_ + "/missing/kept", failed_);
   file.write("a");
   for (int i = 0; i < 5000 && problem_.empty(); ++i) {
     g_main_context_iteration(nullptr, FALSE);
@@ -63,7 +63,7 @@
   // Guards the start against a name at which opening waits for ever.
   const std::string path = folder_ + "/kept";
   ASSERT_EQ(std::system(("mkfifo " + path).c_str()), 0);
-  KeptFile file(path, failed_);
+  OverridesFile file(path, failed_);
   EXPECT_FALSE(file.read_if_new());
 }
 
--- a/tests/purge_property_test.cpp
+++ b/tests/purge_property_test.cpp
@@ -17,7 +17,7 @@
 namespace dahliahall::purge {
 namespace {
 
-PurgeCommand numbered(Sequence n) {
+InvalidationCommand numbered(Sequence n) {
   return {n, Selector{SelectorKind::tag, "t" + std::to_string(n)}, UnixMs{static_cast<long long>(n)}};
 }
 
@@ -37,25 +37,26 @@
     feed.insert(feed.begin() + static_cast<std::ptrdiff_t>(n % (feed.size() + 1)), n);
 
   SequencerState state;
-  state.most_held = *rc::gen::inRange<std::size_t>(1, 20);
+  state.max_out_of_order = *rc::gen::inRange<std::size_t>(1, 20);
   std::vector<Sequence> applied;
   for (std::size_t steps = 0; !feed.empty() && steps < 20000; ++steps) {
     const Sequence n = feed.front();
     feed.pop_front();
-    for (const auto& effect : reduce(state, Arrived{numbered(n)})) {
-      if (const auto* apply = std::get_if<Apply>(&effect)) applied.push_back(apply->command.number);
-      if (const auto* ask = std::get_if<AskFrom>(&effect))
+    for (const auto& effect : reduce(state, CommandArrived{numbered(n)})) {
+      if (const auto* apply = std::get_if<ApplyInvalidation>(&effect))
+        applied.push_back(apply->command.number);
+      if (const auto* ask = std::get_if<RequestFrom>(&effect))
         for (Sequence again = ask->number; again <= last; ++again) feed.push_back(again);
-      const auto* dropped = std::get_if<Dropped>(&effect);
+      const auto* dropped = std::get_if<CommandDropped>(&effect);
       const bool no_conflict = dropped == nullptr || dropped->reason != "conflict";
       RC_ASSERT(no_conflict);
     }
-    RC_ASSERT(state.held.size() <= state.most_held);
+    RC_ASSERT(state.out_of_order.size() <= state.max_out_of_order);
   }
   std::vector<Sequence> wanted(last);
   std::iota(wanted.begin(), wanted.end(), Sequence{1});
   RC_ASSERT(applied == wanted);
-  RC_ASSERT(state.held.empty());
+  RC_ASSERT(state.out_of_order.empty());
 }
 
 /// The reference: a table over all prefixes of glob and key, as the textbook gives it (no backtracking).
--- a/tests/purge_test.cpp
+++ b/tests/purge_test.cpp
@@ -26,14 +26,14 @@
   return std::holds_alternative<SelectorError>(parsed) ? std::get<SelectorError>(parsed).message : "";
 }
 
-PurgeCommand command(Sequence n, const std::string& selector, long long issued = 0) {
+InvalidationCommand command(Sequence n, const std::string& selector, long long issued = 0) {
   return {n, sel(selector), UnixMs{issued}};
 }
 
 std::vector<Sequence> applied_numbers(const std::vector<SequencerEffect>& effects) {
   std::vector<Sequence> out;
   for (const auto& e : effects)
-    if (const auto* a = std::get_if<Apply>(&e)) out.push_back(a->command.number);
+    if (const auto* a = std::get_if<ApplyInvalidation>(&e)) out.push_back(a->command.number);
   return out;
 }
 
@@ -142,43 +142,43 @@
 TEST(PurgeSequencer, AppliesInOrderWhatArrivesOutOfOrder) {
   // Two overlapping purges in the wrong order: the older number goes first, whatever came first.
   SequencerState state;
-  auto effects = reduce(state, Arrived{command(2, "prefix:s1/", 2000)});
+  auto effects = reduce(state, CommandArrived{command(2, "prefix:s1/", 2000)});
   EXPECT_TRUE(applied_numbers(effects).empty());
   ASSERT_EQ(effects.size(), 1U);
-  EXPECT_EQ(std::get<AskFrom>(effects[0]).number, 1U);
-  effects = reduce(state, Arrived{command(3, "tag:class-4", 3000)});
+  EXPECT_EQ(std::get<RequestFrom>(effects[0]).number, 1U);
+  effects = reduce(state, CommandArrived{command(3, "tag:class-4", 3000)});
   EXPECT_TRUE(effects.empty()) << "the gap is asked for once";
-  effects = reduce(state, Arrived{command(1, "glob:s1/*", 1000)});
+  effects = reduce(state, CommandArrived{command(1, "glob:s1/*", 1000)});
   EXPECT_EQ(applied_numbers(effects), (std::vector<Sequence>{1, 2, 3}));
   EXPECT_EQ(state.applied, 3U);
-  EXPECT_TRUE(state.held.empty());
+  EXPECT_TRUE(state.out_of_order.empty());
 }
 
 TEST(PurgeSequencer, DuplicatesAndConflictsAreDroppedAndNamed) {
   SequencerState state;
-  reduce(state, Arrived{command(1, "tag:a")});
-  auto effects = reduce(state, Arrived{command(1, "tag:a")});
+  reduce(state, CommandArrived{command(1, "tag:a")});
+  auto effects = reduce(state, CommandArrived{command(1, "tag:a")});
   ASSERT_EQ(effects.size(), 1U);
-  EXPECT_EQ(std::get<Dropped>(effects[0]).reason, "duplicate");
-  reduce(state, Arrived{command(3, "tag:c")});
-  effects = reduce(state, Arrived{command(3, "tag:other")});
+  EXPECT_EQ(std::get<CommandDropped>(effects[0]).reason, "duplicate");
+  reduce(state, CommandArrived{command(3, "tag:c")});
+  effects = reduce(state, CommandArrived{command(3, "tag:other")});
   ASSERT_EQ(effects.size(), 1U);
-  EXPECT_EQ(std::get<Dropped>(effects[0]).reason, "conflict");
-  EXPECT_EQ(state.held.at(3).selector.text, "c");
+  EXPECT_EQ(std::get<CommandDropped>(effects[0]).reason, "conflict");
+  EXPECT_EQ(state.out_of_order.at(3).selector.text, "c");
 }
 
 TEST(PurgeSequencer, ARestartMidPurgeResumesFromTheLastApplied) {
   SequencerState before;
-  for (Sequence n = 1; n <= 4; ++n) reduce(before, Arrived{command(n, "key:k" + std::to_string(n))});
-  reduce(before, Arrived{command(6, "key:k6")});  // 5 never came before the crash
+  for (Sequence n = 1; n <= 4; ++n) reduce(before, CommandArrived{command(n, "key:k" + std::to_string(n))});
+  reduce(before, CommandArrived{command(6, "key:k6")});  // 5 never came before the crash
   SequencerState after;
   after.applied = before.applied;  // what a snapshot keeps; held commands are asked again
-  auto effects = reduce(after, FeedUp{});
+  auto effects = reduce(after, FeedConnected{});
   ASSERT_EQ(effects.size(), 1U);
-  EXPECT_EQ(std::get<AskFrom>(effects[0]).number, 5U);
+  EXPECT_EQ(std::get<RequestFrom>(effects[0]).number, 5U);
   std::vector<Sequence> applied;
   for (Sequence n = 1; n <= 7; ++n) {
-    const auto more = applied_numbers(reduce(after, Arrived{command(n, "key:k" + std::to_string(n))}));
+    const auto more = applied_numbers(reduce(after, CommandArrived{command(n, "key:k" + std::to_string(n))}));
     applied.insert(applied.end(), more.begin(), more.end());
   }
   EXPECT_EQ(applied, (std::vector<Sequence>{5, 6, 7}));
@@ -186,27 +186,27 @@
 
 TEST(PurgeSequencer, HeldCommandsAreBounded) {
   SequencerState state;
-  state.most_held = 8;
-  for (Sequence n = 2; n < 40; ++n) reduce(state, Arrived{command(n, "tag:t")});
-  EXPECT_LE(state.held.size(), 8U);
-  const auto effects = reduce(state, Arrived{command(1, "tag:t")});
+  state.max_out_of_order = 8;
+  for (Sequence n = 2; n < 40; ++n) reduce(state, CommandArrived{command(n, "tag:t")});
+  EXPECT_LE(state.out_of_order.size(), 8U);
+  const auto effects = reduce(state, CommandArrived{command(1, "tag:t")});
   EXPECT_EQ(applied_numbers(effects), (std::vector<Sequence>{1, 2, 3, 4, 5, 6, 7, 8}));
   EXPECT_EQ(effects.size(), 8U) << "the ask for 1 on is still out: it brings 9 on as well";
-  EXPECT_EQ(std::get<AskFrom>(reduce(state, FeedUp{}).front()).number, 9U)
+  EXPECT_EQ(std::get<RequestFrom>(reduce(state, FeedConnected{}).front()).number, 9U)
       << "asked again when the feed is back";
 }
 
 TEST(PurgeLedger, ACopyFromBeforeAPurgeThatNamesItIsNotServed) {
-  Ledger ledger;
-  ledger.applied(command(1, "tag:class-4", 1000));
-  ledger.applied(command(2, "glob:s2/*", 2000));
-  EXPECT_FALSE(ledger.may_serve("s1/a", {"class-4"}, UnixMs{999}));
-  EXPECT_TRUE(ledger.may_serve("s1/a", {"class-4"}, UnixMs{1000})) << "born with the purge: new enough";
-  EXPECT_TRUE(ledger.may_serve("s1/a", {"class-5"}, UnixMs{10}));
-  EXPECT_FALSE(ledger.may_serve("s2/x", {}, UnixMs{1500}));
+  InvalidationLog ledger;
+  ledger.record(command(1, "tag:class-4", 1000));
+  ledger.record(command(2, "glob:s2/*", 2000));
+  EXPECT_FALSE(ledger.can_serve("s1/a", {"class-4"}, UnixMs{999}));
+  EXPECT_TRUE(ledger.can_serve("s1/a", {"class-4"}, UnixMs{1000})) << "born with the purge: new enough";
+  EXPECT_TRUE(ledger.can_serve("s1/a", {"class-5"}, UnixMs{10}));
+  EXPECT_FALSE(ledger.can_serve("s2/x", {}, UnixMs{1500}));
   ledger.forget_before(UnixMs{1500});
   EXPECT_EQ(ledger.size(), 1U);
-  EXPECT_FALSE(ledger.may_serve("s2/x", {}, UnixMs{1999}));
+  EXPECT_FALSE(ledger.can_serve("s2/x", {}, UnixMs{1999}));
 }
 
 }  // namespace
@@ -218,9 +218,9 @@
 SequencerState sample_state() {
   SequencerState state;
   for (Sequence n : {1, 2, 3, 5, 6})
-    reduce(state, Arrived{command(n, "glob:school/*/proof-?.jpg", 1000 + n)});
-  reduce(state, Arrived{command(8, "prefix:", 1008)});
-  reduce(state, Arrived{command(9, "tag:class-4b", 1009)});
+    reduce(state, CommandArrived{command(n, "glob:school/*/proof-?.jpg", 1000 + n)});
+  reduce(state, CommandArrived{command(8, "prefix:", 1008)});
+  reduce(state, CommandArrived{command(9, "tag:class-4b", 1009)});
   return state;
 }
 
@@ -231,11 +231,11 @@
   const auto& read = std::get<SequencerState>(back);
   EXPECT_EQ(read.applied, 3U);
   EXPECT_EQ(read.highest_seen, 9U);
-  EXPECT_EQ(read.held, state.held);
+  EXPECT_EQ(read.out_of_order, state.out_of_order);
   // Resumed, it asks for the gap and applies what it held once that comes.
   SequencerState resumed = read;
-  EXPECT_EQ(std::get<AskFrom>(reduce(resumed, FeedUp{}).front()).number, 4U);
-  EXPECT_EQ(applied_numbers(reduce(resumed, Arrived{command(4, "key:k4", 1004)})),
+  EXPECT_EQ(std::get<RequestFrom>(reduce(resumed, FeedConnected{}).front()).number, 4U);
+  EXPECT_EQ(applied_numbers(reduce(resumed, CommandArrived{command(4, "key:k4", 1004)})),
             (std::vector<Sequence>{4, 5, 6}));
 }
 
