--- a/bench/purge_index_bench.cpp
+++ b/bench/invalidation_index_bench.cpp
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: MIT
 // The purge index against a plain scan over every key, at 1e5 and 1e6 keys (issue 9):
-//   build/dahliahall_purge_bench --benchmark_filter=. [--benchmark_format=csv]
+//   build/invalidation_index_bench --benchmark_filter=. [--benchmark_format=csv]
 // Keys look like school/NNN/class-NN/photo-NNNN; each carries its class and its school as tags.
 #include <benchmark/benchmark.h>
 
 #include <string>
 #include <utility>
 
-#include "purge/key_index.h"
+#include "invalidation/key_index.h"
 
 namespace {
 
-using dahliahall::purge::KeyIndex;
-using dahliahall::purge::Selector;
-using dahliahall::purge::SelectorKind;
+using edge_proxy::invalidation::KeyIndex;
+using edge_proxy::invalidation::Selector;
+using edge_proxy::invalidation::SelectorKind;
 
 const KeyIndex& index_of(std::int64_t keys) {
   static std::int64_t built = 0;
--- a/bench/peers_figures.cpp
+++ b/bench/membership_figures.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The figures of docs/peers.md in virtual time: dahliahall_peers_figures known|loss|traffic|churn|zone|third
+// The figures of docs/membership.md in virtual time: membership_figures known|loss|traffic|churn|zone|third
 // MEMBERS [PLAYS]
 #include <sys/resource.h>
 
@@ -13,8 +13,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using dahliahall::peers::MemberStatus;
-using dahliahall::test::PeersWorld;
+using edge_proxy::membership::MemberStatus;
+using edge_proxy::test::PeersWorld;
 
 double seconds(PeersWorld::Time span) { return std::chrono::duration<double>(span).count(); }
 
--- a/bench/slow_start_figures.cpp
+++ b/bench/slow_start_figures.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: MIT
 // The figures of docs/fleet.md on slow start: the worst window over many seeds, by the number of routers and
-// by how they come to know. Usage: dahliahall_slow_start_figures [SEEDS]
+// by how they come to know. Usage: slow_start_figures [SEEDS]
 #include <cstdio>
 #include <cstdlib>
 
-#include "slow_start_world.h"
+#include "support/slow_start_world.h"
 
 int main(int count, char** words) {
-  using namespace dahliahall;
+  using namespace edge_proxy;
   using test::SlowStartPlan;
   const int seeds = count > 1 ? std::atoi(words[1]) : 20;
   const auto plan = [](auto&& set) {
--- a/include/dahliahall/choice.h
+++ b/include/edge_proxy/router.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The interface of dahliahall's decision module (src/choice.cpp).
+/// The interface of edge_proxy's decision module (src/routing/router.cpp).
 ///
 /// Units      Every time is in microseconds: points on a clock of the caller's that never runs
 ///            backwards, or spans. Sizes are in kilobytes.
@@ -22,7 +22,7 @@
 #include <variant>
 #include <vector>
 
-namespace dahliahall {
+namespace edge_proxy {
 
 using Time = std::chrono::microseconds;
 
@@ -286,4 +286,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace dahliahall
+}  // namespace edge_proxy
--- a/src/limits/fill_gate.cpp
+++ b/src/admission/fill_admission.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-#include "limits/fill_gate.h"
+#include "admission/fill_admission.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace dahliahall::limits {
+namespace edge_proxy::admission {
 namespace {
 
 using namespace std::chrono_literals;
@@ -58,4 +58,4 @@
 
 void FillAdmission::record_hit() { credit_ = std::min(kSaved, credit_ + 1); }
 
-}  // namespace dahliahall::limits
+}  // namespace edge_proxy::admission
--- a/src/limits/fill_gate.h
+++ b/src/admission/fill_admission.h
@@ -7,7 +7,7 @@
 #include <chrono>
 #include <cstddef>
 
-namespace dahliahall::limits {
+namespace edge_proxy::admission {
 
 /// Guards against overload of what all fills share (the location's link, the parents, the origin), which one
 /// router's requests under way do not show where there are hundreds of routers: of the fills wanted, only
@@ -48,4 +48,4 @@
   std::size_t fills_requested_ = 0;
 };
 
-}  // namespace dahliahall::limits
+}  // namespace edge_proxy::admission
--- a/src/limits/shares.cpp
+++ b/src/admission/quota_leases.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-#include "limits/shares.h"
+#include "admission/quota_leases.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "hash.h"
+#include "base/hash.h"
 
-namespace dahliahall::limits {
+namespace edge_proxy::admission {
 namespace {
 
 /// The holder ends its lease this much earlier: what was decided by then has gone out by its end.
@@ -167,4 +167,4 @@
   return names;
 }
 
-}  // namespace dahliahall::limits
+}  // namespace edge_proxy::admission
--- a/src/limits/shares.h
+++ b/src/admission/quota_leases.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
 /// Which part of what all proxies share (the budget of a just-started cache or parent) this one may use,
-/// whatever is cut off from what: docs/peers.md, "Shares". No I/O, no clock.
+/// whatever is cut off from what: docs/membership.md, "Shares". No I/O, no clock.
 #pragma once
 
 #include <chrono>
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-namespace dahliahall::limits {
+namespace edge_proxy::admission {
 
 /// Invariant: the parts that all processes use at one moment, on all sides of any cut, never exceed the
 /// whole.
@@ -123,4 +123,4 @@
   std::uint64_t announced_version_ = 1;
 };
 
-}  // namespace dahliahall::limits
+}  // namespace edge_proxy::admission
--- a/src/main.cpp
+++ b/src/app/edge_proxy_main.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "net/server.h"
+#include "event_loop/server.h"
 
 extern char** environ;
 
@@ -19,11 +19,11 @@
       const std::string text = *entry;
       environment[text.substr(0, text.find('='))] = text.substr(std::min(text.find('=') + 1, text.size()));
     }
-    const auto load = [&environment] { return dahliahall::config::load(environment); };
-    dahliahall::net::Server server(load(), load);
+    const auto load = [&environment] { return edge_proxy::config::load(environment); };
+    edge_proxy::event_loop::Server server(load(), load);
     server.run();
   } catch (const std::exception& problem) {
-    std::fprintf(stderr, "dahliahall: %s\n", problem.what());
+    std::fprintf(stderr, "edge-proxy: %s\n", problem.what());
     return 1;
   }
   return 0;
--- /dev/null
+++ b/src/app/simulator_adapter_main.cpp
@@ -0,0 +1,17 @@
+// SPDX-License-Identifier: MIT
+// simulator-adapter: the decision module on the simulator's wire.
+#include <exception>
+#include <iostream>
+
+#include "simulator/session.h"
+
+int main() {
+  std::ios::sync_with_stdio(false);
+  try {
+    edge_proxy::simulator::serve(std::cin, std::cout);
+  } catch (const std::exception& problem) {
+    std::cerr << "simulator-adapter: " << problem.what() << '\n';
+    return 1;
+  }
+  return 0;
+}
--- a/src/hash.h
+++ b/src/base/hash.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace dahliahall {
+namespace edge_proxy {
 
 constexpr std::uint64_t kFnvStart = 0xcbf29ce484222325U;
 
@@ -16,4 +16,4 @@
   return hash;
 }
 
-}  // namespace dahliahall
+}  // namespace edge_proxy
--- a/src/window_counter.h
+++ b/src/base/sliding_window_counter.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-namespace dahliahall {
+namespace edge_proxy {
 
 /// Holds the newest `capacity` entries of the last `span`; older ones leave as new ones come.
 class SlidingWindowCounter {
@@ -61,4 +61,4 @@
   std::unordered_map<std::uint64_t, std::size_t> counts_;
 };
 
-}  // namespace dahliahall
+}  // namespace edge_proxy
--- a/src/work_window.h
+++ b/src/base/sliding_window_sum.h
@@ -7,7 +7,7 @@
 #include <deque>
 #include <utility>
 
-namespace dahliahall {
+namespace edge_proxy {
 
 class SlidingWindowSum {
  public:
@@ -31,4 +31,4 @@
   double sum_ = 0;
 };
 
-}  // namespace dahliahall
+}  // namespace edge_proxy
--- a/src/timer_queue.h
+++ b/src/base/timer_queue.h
@@ -9,7 +9,7 @@
 #include <optional>
 #include <utility>
 
-namespace dahliahall {
+namespace edge_proxy {
 
 template <typename T>
 class TimerQueue {
@@ -38,4 +38,4 @@
   std::uint64_t next_ = 0;
 };
 
-}  // namespace dahliahall
+}  // namespace edge_proxy
--- a/src/codec/cache_lines.cpp
+++ b/src/codec/cache_lines.cpp
@@ -5,7 +5,7 @@
 #include <charconv>
 #include <utility>
 
-namespace dahliahall::codec {
+namespace edge_proxy::codec {
 namespace {
 
 constexpr std::array<std::string_view, 8> kWords{"HIT",   "VALID", "NONE", "SHED",
@@ -107,4 +107,4 @@
   return std::exchange(partial_response_, std::nullopt);
 }
 
-}  // namespace dahliahall::codec
+}  // namespace edge_proxy::codec
--- a/src/codec/cache_lines.h
+++ b/src/codec/cache_lines.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-namespace dahliahall::codec {
+namespace edge_proxy::codec {
 
 /// Bounds on what a cache may send: its lines, and the bytes of an object.
 constexpr std::size_t kMaxLine = 8 * 1024;
@@ -69,4 +69,4 @@
   LineError error_ = LineError::none;
 };
 
-}  // namespace dahliahall::codec
+}  // namespace edge_proxy::codec
--- a/src/codec/bulletin.cpp
+++ b/src/codec/discovery_events.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
-#include "codec/bulletin.h"
+#include "codec/discovery_events.h"
 
 #include <rapidjson/error/en.h>
 
 #include <algorithm>
 
-namespace dahliahall::codec {
+namespace edge_proxy::codec {
 namespace {
 
 constexpr std::array<std::string_view, 3> kPhases{"active", "leaving", "left"};
@@ -76,4 +76,4 @@
   return read_discovery_event(Fields(document, 0), names);
 }
 
-}  // namespace dahliahall::codec
+}  // namespace edge_proxy::codec
--- a/src/codec/bulletin.h
+++ b/src/codec/discovery_events.h
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "fields.h"
+#include "config/fields.h"
 
-namespace dahliahall::codec {
+namespace edge_proxy::codec {
 
 /// A member as the bulletin names it, with where it listens. Zone and kind are places in the settings' lists.
 struct ListedEndpoint {
@@ -44,4 +44,4 @@
 DiscoveryEvent read_discovery_event(const Fields& fields, const DiscoveryNames& names);
 DiscoveryEvent parse_discovery_event(std::string_view json, const DiscoveryNames& names);
 
-}  // namespace dahliahall::codec
+}  // namespace edge_proxy::codec
--- a/src/codec/event_stream.cpp
+++ b/src/codec/event_stream.cpp
@@ -5,7 +5,7 @@
 #include <charconv>
 #include <utility>
 
-namespace dahliahall::codec {
+namespace edge_proxy::codec {
 
 std::string write_stream_request(std::string_view host, std::string_view path,
                                  std::string_view last_event_id) {
@@ -116,4 +116,4 @@
   }
 }
 
-}  // namespace dahliahall::codec
+}  // namespace edge_proxy::codec
--- a/src/codec/event_stream.h
+++ b/src/codec/event_stream.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-namespace dahliahall::codec {
+namespace edge_proxy::codec {
 
 constexpr std::size_t kMaxHead = 16 * 1024;
 constexpr std::size_t kMaxEvent = 1024 * 1024;
@@ -48,4 +48,4 @@
   StreamError error_ = StreamError::none;
 };
 
-}  // namespace dahliahall::codec
+}  // namespace edge_proxy::codec
--- a/src/codec/http_call.cpp
+++ b/src/codec/http_call.cpp
@@ -5,7 +5,7 @@
 #include <charconv>
 #include <utility>
 
-namespace dahliahall::codec {
+namespace edge_proxy::codec {
 namespace {
 
 /// A path without its query and with its escapes read; none where an escape is faulty.
@@ -108,4 +108,4 @@
   return out;
 }
 
-}  // namespace dahliahall::codec
+}  // namespace edge_proxy::codec
--- a/src/codec/http_call.h
+++ b/src/codec/http_call.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-namespace dahliahall::codec {
+namespace edge_proxy::codec {
 
 constexpr std::size_t kMaxCallHead = 8 * 1024;
 constexpr std::size_t kMaxCallBody = 72 * 1024;
@@ -36,4 +36,4 @@
 /// A whole answer, after which the connection ends.
 std::string write_http_response(int status, std::string_view body);
 
-}  // namespace dahliahall::codec
+}  // namespace edge_proxy::codec
--- a/src/codec/thrift.cpp
+++ b/src/codec/thrift.cpp
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-namespace dahliahall::codec {
+namespace edge_proxy::codec {
 namespace {
 
 enum Type : std::uint8_t {
@@ -292,4 +292,4 @@
   return out.done();
 }
 
-}  // namespace dahliahall::codec
+}  // namespace edge_proxy::codec
--- a/src/codec/thrift.h
+++ b/src/codec/thrift.h
@@ -12,7 +12,7 @@
 #include <variant>
 #include <vector>
 
-namespace dahliahall::codec {
+namespace edge_proxy::codec {
 
 /// Largest frame that is taken in: a write's body and its fields, with ample room.
 constexpr std::size_t kMaxFrame = 64 * 1024;
@@ -80,4 +80,4 @@
 std::string write_application_exception(std::int32_t sequence_id, std::string_view method,
                                         ApplicationError error, std::string_view text);
 
-}  // namespace dahliahall::codec
+}  // namespace edge_proxy::codec
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -10,9 +10,9 @@
 #include <sstream>
 
 #include "config/settings_check.h"
-#include "settings_reader.h"
+#include "config/settings_reader.h"
 
-namespace dahliahall::config {
+namespace edge_proxy::config {
 namespace {
 
 constexpr int kLeastMemoryMb = 16;
@@ -159,4 +159,4 @@
   return parse(text.str(), environment);
 }
 
-}  // namespace dahliahall::config
+}  // namespace edge_proxy::config
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "codec/bulletin.h"
-#include "config/peers_config.h"
+#include "codec/discovery_events.h"
+#include "config/membership_config.h"
 #include "config/policy_config.h"
 
-namespace dahliahall::config {
+namespace edge_proxy::config {
 
 struct Config {
   std::string name;
@@ -47,4 +47,4 @@
 /// The same from the text of such a file.
 Config parse(const std::string& json, const std::map<std::string, std::string>& environment);
 
-}  // namespace dahliahall::config
+}  // namespace edge_proxy::config
--- a/src/fields.h
+++ b/src/config/fields.h
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "dahliahall/choice.h"
+#include "edge_proxy/router.h"
 
-namespace dahliahall {
+namespace edge_proxy {
 
 /// What is wrong with an input; the text names the field.
 class FieldError : public std::runtime_error {
@@ -150,4 +150,4 @@
   return id;
 }
 
-}  // namespace dahliahall
+}  // namespace edge_proxy
--- a/src/config/peers_config.cpp
+++ b/src/config/membership_config.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
-#include "config/peers_config.h"
+#include "config/membership_config.h"
 
 #include <algorithm>
 
-#include "peers/wire.h"
+#include "membership/codec.h"
 
-namespace dahliahall::config {
+namespace edge_proxy::config {
 namespace {
 
 constexpr int kLeastDatagram = 512;
@@ -14,7 +14,7 @@
 constexpr Time kMostSpan = std::chrono::hours(1);
 
 std::string address(const Fields& fields, const char* name, const std::string& value) {
-  if (!peers::is_valid_address(value))
+  if (!membership::is_valid_address(value))
     fields.fail(name, "should be an IPv4 address and a port, not '" + value + "'");
   return value;
 }
@@ -38,12 +38,12 @@
 MembershipConfig read_membership_config(const Fields& section, const std::string& name, int zone, int members,
                                         int sockets) {
   MembershipConfig peers;
-  peers::Settings& s = peers.settings;
+  membership::Settings& s = peers.settings;
   s.cluster = section.text("cluster");
-  if (!peers::is_valid_name(s.cluster))
+  if (!membership::is_valid_name(s.cluster))
     section.fail("cluster", "should be 1 to 64 of letters, digits, '-', '_', '.'");
   s.name = name;
-  if (!peers::is_valid_name(name))
+  if (!membership::is_valid_name(name))
     section.fail("", "the proxy's name should be 1 to 64 of letters, digits, '-', '_', '.'");
   s.zone = zone;
   peers.listen_address = address(section, "listen", section.text("listen"));
@@ -87,11 +87,11 @@
     section.fail("share_lease", "should be 2000000 microseconds or more");
   s.expected_members = static_cast<std::size_t>(
       within(section, "expected", std::max(1, members), 1, static_cast<int>(s.max_members)));
-  // What is left to caches gives these up (edge/bounds.h): a small part.
+  // What is left to caches gives these up (proxy/resource_limits.h): a small part.
   const int most_streams = std::max(1, sockets / 32);
   peers.max_streams = within(section, "streams", std::min(peers.max_streams, most_streams), 1, most_streams);
   peers.max_datagrams_per_s = within(section, "datagrams_per_s", peers.max_datagrams_per_s, 100, 1'000'000);
   return peers;
 }
 
-}  // namespace dahliahall::config
+}  // namespace edge_proxy::config
--- a/src/config/peers_config.h
+++ b/src/config/membership_config.h
@@ -5,13 +5,13 @@
 
 #include <string>
 
-#include "fields.h"
-#include "peers/settings.h"
+#include "config/fields.h"
+#include "membership/settings.h"
 
-namespace dahliahall::config {
+namespace edge_proxy::config {
 
 struct MembershipConfig {
-  peers::Settings settings;
+  membership::Settings settings;
   std::string listen_address;              ///< host:port, of datagrams and streams alike
   std::string folder;                      ///< on the disk whose mark names this member; there has to be one
   int max_streams = 16;                    ///< whole exchanges open at once
@@ -26,4 +26,4 @@
 MembershipConfig read_membership_config(const Fields& section, const std::string& name, int zone, int members,
                                         int sockets);
 
-}  // namespace dahliahall::config
+}  // namespace edge_proxy::config
--- a/src/config/policy_config.cpp
+++ b/src/config/policy_config.cpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <set>
 
-#include "peers/wire.h"
+#include "membership/codec.h"
 
-namespace dahliahall::config {
+namespace edge_proxy::config {
 namespace {
 
 constexpr std::array<std::string_view, 2> kCutOff{"refuse", "serve"};
@@ -17,12 +17,12 @@
 
 PolicyConfig read_policy_config(const Fields& section, const std::string& name) {
   PolicyConfig policy;
-  agreed::Settings& s = policy.settings;
+  consensus::Settings& s = policy.settings;
   s.name = name;
   const Json& voters = section.need("voters");
   if (!voters.IsArray()) section.fail("voters", "should be a list");
   for (const auto& voter : voters.GetArray()) {
-    if (!voter.IsString() || !peers::is_valid_name({voter.GetString(), voter.GetStringLength()}))
+    if (!voter.IsString() || !membership::is_valid_name({voter.GetString(), voter.GetStringLength()}))
       section.fail("voters", "should hold names of edge proxies");
     s.voters.emplace_back(voter.GetString(), voter.GetStringLength());
   }
@@ -40,4 +40,4 @@
   return policy;
 }
 
-}  // namespace dahliahall::config
+}  // namespace edge_proxy::config
--- a/src/config/policy_config.h
+++ b/src/config/policy_config.h
@@ -6,13 +6,13 @@
 
 #include <string>
 
-#include "agreed/settings.h"
-#include "fields.h"
+#include "config/fields.h"
+#include "consensus/settings.h"
 
-namespace dahliahall::config {
+namespace edge_proxy::config {
 
 struct PolicyConfig {
-  agreed::Settings settings;
+  consensus::Settings settings;
   std::string folder;  ///< on the disk of this proxy alone; there has to be one
   bool trace = false;  ///< a log line for each decision
   bool operator==(const PolicyConfig& other) const {
@@ -25,4 +25,4 @@
 /// Reads and checks the section. Throws FieldError, which names the key.
 PolicyConfig read_policy_config(const Fields& section, const std::string& name);
 
-}  // namespace dahliahall::config
+}  // namespace edge_proxy::config
--- a/src/config/settings_check.cpp
+++ b/src/config/settings_check.cpp
@@ -3,7 +3,7 @@
 
 #include <set>
 
-namespace dahliahall::config {
+namespace edge_proxy::config {
 namespace {
 
 void not_negative(const Fields& fields, std::initializer_list<const char*> names) {
@@ -59,4 +59,4 @@
     own.fail("upper_kind", "is the same as origin_kind");
 }
 
-}  // namespace dahliahall::config
+}  // namespace edge_proxy::config
--- a/src/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-#include "settings_reader.h"
+#include "config/settings_reader.h"
 
-namespace dahliahall {
+namespace edge_proxy {
 namespace {
 
 constexpr std::array<std::string_view, 3> kEffects{"retryable", "dedup", "fragile"};
@@ -99,4 +99,4 @@
   return s;
 }
 
-}  // namespace dahliahall
+}  // namespace edge_proxy
--- a/src/agreed/wire.cpp
+++ b/src/consensus/codec.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
-#include "agreed/wire.h"
+#include "consensus/codec.h"
 
 #include <algorithm>
 
-#include "agreed.pb.h"
+#include "consensus.pb.h"
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 namespace {
 
 constexpr std::size_t kMostText = 128 * 1024;  // of a policy, a key or a reason
@@ -74,7 +74,7 @@
       write(entry, *placed.mutable_entry());
     }
   }
-  void operator()(const Snapshot& m) const { agreed::write_snapshot(m, *to.mutable_whole()); }
+  void operator()(const Snapshot& m) const { consensus::write_snapshot(m, *to.mutable_whole()); }
 };
 
 std::optional<Message> read(const pb::Pulled& from) {
@@ -122,7 +122,7 @@
     case Kind::kPulled:
       return read(c.pulled());
     case Kind::kWhole: {
-      auto whole = agreed::read_snapshot(c.whole());
+      auto whole = consensus::read_snapshot(c.whole());
       if (!whole) return std::nullopt;
       return std::move(*whole);
     }
@@ -215,4 +215,4 @@
   return read(w);
 }
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/wire.h
+++ b/src/consensus/codec.h
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <variant>
 
-#include "agreed/types.h"
+#include "consensus/types.h"
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 
 namespace pb {
 class Born;
@@ -42,4 +42,4 @@
 /// None where a value is out of its range.
 std::optional<Snapshot> read_snapshot(const pb::Whole& from);
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/lease.h
+++ b/src/consensus/epoch_lease.h
@@ -6,9 +6,9 @@
 #include <map>
 #include <optional>
 
-#include "agreed/types.h"
+#include "consensus/types.h"
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 
 class EpochLease {
  public:
@@ -58,4 +58,4 @@
   Time expires_at_{0};
 };
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/steward.cpp
+++ b/src/consensus/lease_manager.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-#include "agreed/steward.h"
+#include "consensus/lease_manager.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 
 LeaseManager::LeaseManager(const Settings& settings, Term term, std::set<std::string> voters, Time now)
     : settings_(settings),
@@ -256,4 +256,4 @@
   return text + "p" + std::to_string(pending_proposals_.size());
 }
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/steward.h
+++ b/src/consensus/lease_manager.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "agreed/register.h"
-#include "agreed/settings.h"
+#include "consensus/policy_state_machine.h"
+#include "consensus/settings.h"
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 
 /// What the leader wants done.
 struct LeaderActions {
@@ -99,4 +99,4 @@
   std::vector<ProposeRequest> pending_proposals_;  // appended in this leadership and not applied yet
 };
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/register.cpp
+++ b/src/consensus/policy_state_machine.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-#include "agreed/register.h"
+#include "consensus/policy_state_machine.h"
 
 #include <algorithm>
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 namespace {
 
 constexpr std::size_t kOutcomes = 64;
@@ -76,4 +76,4 @@
   return (change_ && change_->key == key) || outcome(key) != nullptr;
 }
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/register.h
+++ b/src/consensus/policy_state_machine.h
@@ -9,9 +9,9 @@
 #include <optional>
 #include <string>
 
-#include "agreed/types.h"
+#include "consensus/types.h"
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 
 class PolicyStateMachine {
  public:
@@ -43,4 +43,4 @@
   std::deque<ChangeOutcome> outcomes_;  // newest last
 };
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/raft_core.cpp
+++ b/src/consensus/raft_core.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-#include "agreed/raft_core.h"
+#include "consensus/raft_core.h"
 
 #include <algorithm>
 #include <cstring>
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 
 raft_buffer buffer_of(const std::string& bytes) {
   raft_buffer buffer{};
@@ -116,7 +116,7 @@
   };
   fsm.snapshot = [](raft_fsm* f, raft_buffer** buffers, unsigned* count) {
     pb::Whole whole;
-    agreed::write_snapshot(static_cast<Raft*>(f->data)->log.register_.snapshot(), whole);
+    consensus::write_snapshot(static_cast<Raft*>(f->data)->log.register_.snapshot(), whole);
     *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
     if (*buffers == nullptr) return RAFT_NOMEM;
     (*buffers)[0] = buffer_of(whole.SerializeAsString());
@@ -238,7 +238,7 @@
 }
 int RaftLog::Raft::restore(const std::string& data) {
   pb::Whole from;
-  const auto whole = from.ParseFromString(data) ? agreed::read_snapshot(from) : std::nullopt;
+  const auto whole = from.ParseFromString(data) ? consensus::read_snapshot(from) : std::nullopt;
   if (!whole) return RAFT_CORRUPT;
   log.register_ = PolicyStateMachine(*whole);
   log.reported_index_ = whole->index;
@@ -416,4 +416,4 @@
   return term == verified_term_ ? std::max(verified_index_, verifying_index_) : 0;
 }
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/raft_core.h
+++ b/src/consensus/raft_core.h
@@ -6,14 +6,14 @@
 
 #include <string>
 
-#include "agreed.pb.h"
-#include "agreed/raft_log.h"
+#include "consensus.pb.h"
+#include "consensus/raft_log.h"
 
 extern "C" {
 #include <raft.h>
 }
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 
 /// raft frees what it is given with its own allocator.
 raft_buffer buffer_of(const std::string& bytes);
@@ -68,4 +68,4 @@
   bool append_rejected_ = false;
 };
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/raft_log.cpp
+++ b/src/consensus/raft_log.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-#include "agreed/raft_log.h"
+#include "consensus/raft_log.h"
 
 #include <algorithm>
 
-#include "agreed/raft_core.h"
-#include "hash.h"
+#include "base/hash.h"
+#include "consensus/raft_core.h"
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 namespace {
 
 constexpr Time kBirthEvery{300'000};
@@ -148,7 +148,7 @@
     records.push_back(record_of(first_index_ + at, entries_[at]));
   }
   if (learned_) {
-    agreed::write_snapshot(*learned_, *record.mutable_whole());
+    consensus::write_snapshot(*learned_, *record.mutable_whole());
     records.push_back(record.SerializeAsString());
   }
   return records;
@@ -498,4 +498,4 @@
   voter_changes_.clear();
 }
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/raft_log.h
+++ b/src/consensus/raft_log.h
@@ -17,11 +17,11 @@
 #include <utility>
 #include <vector>
 
-#include "agreed/reducer.h"
-#include "agreed/wire.h"
+#include "consensus/codec.h"
+#include "consensus/reducer.h"
 #include "storage/journal.h"
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 
 class RaftLog {
  public:
@@ -136,4 +136,4 @@
   std::deque<VoterChange> voter_changes_;
 };
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/reducer.cpp
+++ b/src/consensus/reducer.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-#include "agreed/reducer.h"
+#include "consensus/reducer.h"
 
 #include <algorithm>
 #include <iterator>
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 namespace {
 
 constexpr std::size_t kRecent = 256;       // entries kept for those who pull
@@ -384,4 +384,4 @@
   return text;
 }
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/reducer.h
+++ b/src/consensus/reducer.h
@@ -2,7 +2,7 @@
 /// @file
 /// Agreement on the policy, at one proxy: (state, now, input) -> effects. The log itself is elsewhere
 /// (agreed/raft_log at voters; the others pull); here is what it comes to, who may decide under which epoch,
-/// and what operators are told. docs/agreed.md says how and why. No I/O, no clock.
+/// and what operators are told. docs/consensus.md says how and why. No I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -13,12 +13,12 @@
 #include <variant>
 #include <vector>
 
-#include "agreed/lease.h"
-#include "agreed/register.h"
-#include "agreed/settings.h"
-#include "agreed/steward.h"
+#include "consensus/epoch_lease.h"
+#include "consensus/lease_manager.h"
+#include "consensus/policy_state_machine.h"
+#include "consensus/settings.h"
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 
 // ---- Inputs ----
 
@@ -203,4 +203,4 @@
   std::vector<Effect> effects_;
 };
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/settings.h
+++ b/src/consensus/settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What agreement is set by. Defaults and their reasons: docs/agreed.md, "Values".
+/// What agreement is set by. Defaults and their reasons: docs/consensus.md, "Values".
 #pragma once
 
 #include <functional>
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "agreed/types.h"
+#include "consensus/types.h"
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 
 struct Settings {
   std::string name;
@@ -27,4 +27,4 @@
   std::function<std::optional<std::string>(const std::string& policy)> check_policy;
 };
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/agreed/types.h
+++ b/src/consensus/types.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What edge proxies agree on, and what they tell each other on the way (docs/agreed.md). Plain values.
+/// What edge proxies agree on, and what they tell each other on the way (docs/consensus.md). Plain values.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 
 /// Monotonic time of this process; never compared with another process's.
 using Time = std::chrono::microseconds;
@@ -147,4 +147,4 @@
                              PrepareReply, LeaseRevocation, LeaseRevocationAck, ProposeRequest, AbortRequest,
                              CatchUpRequest, CatchUpResponse, Snapshot>;
 
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/src/net/address.h
+++ b/src/event_loop/address.h
@@ -6,9 +6,9 @@
 #include <cstdlib>
 #include <string>
 
-#include "net/glib_ptr.h"
+#include "event_loop/glib_ptr.h"
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 
 /// Of `host:port`; none where the host is no address.
 inline ObjectPtr<GSocketAddress> address_of(const std::string& text) {
@@ -18,4 +18,4 @@
   return ObjectPtr<GSocketAddress>(g_inet_socket_address_new_from_string(host.c_str(), port));
 }
 
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
--- a/src/net/policy_log.cpp
+++ b/src/event_loop/consensus_thread.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "net/policy_log.h"
+#include "event_loop/consensus_thread.h"
 
 #include <glib.h>
 
@@ -10,7 +10,7 @@
 #include <random>
 #include <utility>
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 namespace {
 
 constexpr std::chrono::milliseconds kTick{50};
@@ -18,14 +18,14 @@
 constexpr std::size_t kMostWork = 4096;              // what waits for a slow disk, at most
 constexpr std::size_t kMostRecord = std::size_t{1} << 20U;
 
-agreed::Time now() {
-  return std::chrono::duration_cast<agreed::Time>(std::chrono::steady_clock::now().time_since_epoch());
+consensus::Time now() {
+  return std::chrono::duration_cast<consensus::Time>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
 }  // namespace
 
 ConsensusThread::ConsensusThread(const config::PolicyConfig& config, std::uint64_t seed,
-                                 std::function<void(edge::ConsensusOutput)> told)
+                                 std::function<void(proxy::ConsensusOutput)> told)
     : config_(config),
       seed_(seed),
       on_output_(std::move(told)),
@@ -53,10 +53,10 @@
   wake_.notify_one();
 }
 
-void ConsensusThread::deliver(edge::ConsensusOutput out) {
+void ConsensusThread::deliver(proxy::ConsensusOutput out) {
   struct Parcel {
     std::shared_ptr<ConsensusThread*> to;
-    edge::ConsensusOutput out;
+    proxy::ConsensusOutput out;
   };
   auto* parcel = new Parcel{is_alive_, std::move(out)};
   // Always by a source of the loop's. Guards against GLib's own call for this, which runs it on this thread
@@ -76,27 +76,27 @@
   g_source_unref(source);
 }
 
-void ConsensusThread::perform(const edge::ConsensusEffect& effect) {
-  if (const auto* append = std::get_if<agreed::AppendEntry>(&effect.effect)) {
+void ConsensusThread::perform(const proxy::ConsensusEffect& effect) {
+  if (const auto* append = std::get_if<consensus::AppendEntry>(&effect.effect)) {
     push([entry = append->entry](auto& log, auto at, auto&, auto& out) { log.append(at, entry, out); });
-  } else if (const auto* ask = std::get_if<agreed::CheckTerm>(&effect.effect)) {
+  } else if (const auto* ask = std::get_if<consensus::CheckTerm>(&effect.effect)) {
     push([asked = *ask, lease = config_.settings.lease, name = config_.settings.name](auto& log, auto,
                                                                                       auto& told, auto&) {
       if (!log.can_confirm_leadership(asked.check.term)) return;
-      const agreed::LeadershipCheckReply yes{asked.check.term, asked.check.round};
+      const consensus::LeadershipCheckReply yes{asked.check.term, asked.check.round};
       if (asked.from == name) {
-        told.inputs.emplace_back(agreed::MessageReceived{name, yes});
+        told.inputs.emplace_back(consensus::MessageReceived{name, yes});
       } else {
-        told.messages.emplace_back(asked.from, agreed::encode(yes, lease));
+        told.messages.emplace_back(asked.from, consensus::encode(yes, lease));
       }
     });
-  } else if (const auto* learn = std::get_if<agreed::PersistLearned>(&effect.effect)) {
+  } else if (const auto* learn = std::get_if<consensus::PersistLearned>(&effect.effect)) {
     push([what = *learn](auto& log, auto at, auto&, auto& out) { log.persist_learned(at, what, out); });
-  } else if (const auto* message = std::get_if<agreed::RaftMessage>(&effect.effect)) {
+  } else if (const auto* message = std::get_if<consensus::RaftMessage>(&effect.effect)) {
     push([m = *message](auto& log, auto at, auto&, auto& out) { log.on_message(at, m, out); });
-  } else if (const auto* birth = std::get_if<edge::BootstrapReceived>(&effect.effect)) {
+  } else if (const auto* birth = std::get_if<proxy::BootstrapReceived>(&effect.effect)) {
     push([b = *birth](auto& log, auto at, auto&, auto& out) { log.on_message(at, b.from, b.message, out); });
-  } else if (const auto* wanted = std::get_if<edge::VoterChangeCall>(&effect.effect)) {
+  } else if (const auto* wanted = std::get_if<proxy::VoterChangeCall>(&effect.effect)) {
     push([w = *wanted](auto& log, auto, auto& told, auto& out) {
       const std::size_t sign = w.name.find('=');
       std::uint64_t id = 0;
@@ -128,14 +128,14 @@
     if (!wait(kTryEvery)) return;
   }
   storage::Journal journal(folder, "policy-" + config_.settings.name, kMostRecord);
-  agreed::RaftLog::Settings settings;
+  consensus::RaftLog::Settings settings;
   settings.name = config_.settings.name;
   settings.initial_voters = config_.settings.voters;
   settings.lease = config_.settings.lease;
   settings.seed = seed_ ^ static_cast<std::uint64_t>(now().count()) ^ std::random_device{}();
-  agreed::RaftLog log(settings, journal, now());
+  consensus::RaftLog log(settings, journal, now());
   std::map<std::string, std::uint64_t> voters;
-  const auto pass_on = [&](edge::ConsensusOutput told, agreed::RaftLog::Output& out) {
+  const auto pass_on = [&](proxy::ConsensusOutput told, consensus::RaftLog::Output& out) {
     for (auto& s : out.messages) told.messages.push_back(std::move(s));
     for (auto& i : out.inputs) told.inputs.push_back(std::move(i));
     for (auto& l : out.log_lines) told.log_lines.push_back(std::move(l));
@@ -150,7 +150,7 @@
     deliver(std::move(told));
   };
   {
-    agreed::RaftLog::Output out;
+    consensus::RaftLog::Output out;
     log.open(out);
     out.log_lines.push_back("policy log ready id=" + std::to_string(log.id()) +
                             " has_log=" + (log.is_running() ? "1" : "0"));
@@ -164,12 +164,12 @@
       if (stopping_) return;
       work.swap(tasks_);
     }
-    edge::ConsensusOutput told;
-    agreed::RaftLog::Output out;
+    proxy::ConsensusOutput told;
+    consensus::RaftLog::Output out;
     for (const Task& w : work) w(log, now(), told, out);
     log.tick(now(), out);
     pass_on(std::move(told), out);
   }
 }
 
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
--- a/src/net/policy_log.h
+++ b/src/event_loop/consensus_thread.h
@@ -14,33 +14,33 @@
 #include <thread>
 
 #include "config/policy_config.h"
-#include "edge/reducer.h"
+#include "proxy/reducer.h"
 #include "storage/folder.h"
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 
 class ConsensusThread {
  public:
   /// `told` is called on the main loop.
   ConsensusThread(const config::PolicyConfig& config, std::uint64_t seed,
-                  std::function<void(edge::ConsensusOutput)> told);
+                  std::function<void(proxy::ConsensusOutput)> told);
   ~ConsensusThread();
   ConsensusThread(const ConsensusThread&) = delete;
   ConsensusThread& operator=(const ConsensusThread&) = delete;
 
-  void perform(const edge::ConsensusEffect& effect);
+  void perform(const proxy::ConsensusEffect& effect);
 
  private:
-  using Task =
-      std::function<void(agreed::RaftLog&, agreed::Time, edge::ConsensusOutput&, agreed::RaftLog::Output&)>;
+  using Task = std::function<void(consensus::RaftLog&, consensus::Time, proxy::ConsensusOutput&,
+                                  consensus::RaftLog::Output&)>;
 
   void run();
-  void deliver(edge::ConsensusOutput out);
+  void deliver(proxy::ConsensusOutput out);
   void push(Task work);
 
   const config::PolicyConfig config_;
   const std::uint64_t seed_;
-  std::function<void(edge::ConsensusOutput)> on_output_;
+  std::function<void(proxy::ConsensusOutput)> on_output_;
   std::mutex mutex_;
   std::condition_variable wake_;
   std::deque<Task> tasks_;
@@ -50,4 +50,4 @@
   std::thread thread_;
 };
 
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
--- a/src/net/glib_ptr.h
+++ b/src/event_loop/glib_ptr.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <utility>
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 
 struct Unref {
   void operator()(gpointer object) const { g_object_unref(object); }
@@ -65,4 +65,4 @@
   GError* error_ = nullptr;
 };
 
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
--- a/src/net/peer_link.cpp
+++ b/src/event_loop/membership_sockets.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: MIT
-#include "net/peer_link.h"
+#include "event_loop/membership_sockets.h"
 
 #include <array>
 #include <chrono>
 
-#include "net/address.h"
-#include "peers/wire.h"
+#include "event_loop/address.h"
+#include "membership/codec.h"
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 namespace {
 
 constexpr int kDatagramsAtOnce = 32;  // before the other sockets have their turn
@@ -76,10 +76,10 @@
 
 void MembershipSockets::try_to_start() {
   std::string why;
-  std::optional<peers::Identity> identity;
+  std::optional<membership::Identity> identity;
   if (store_.lock(why) && bind(why)) {
-    const peers::Settings& s = config_.settings;
-    identity = store_.open({s.name, s.address, 0, 0, s.zone, peers::MemberStatus::alive, {}}, why);
+    const membership::Settings& s = config_.settings;
+    identity = store_.open({s.name, s.address, 0, 0, s.zone, membership::MemberStatus::alive, {}}, why);
   }
   if (!identity) {
     datagram_socket_.reset();
@@ -149,18 +149,18 @@
 
 void MembershipSockets::on_bytes(std::string_view bytes, std::size_t most, const std::string& from,
                                  std::uint64_t stream) {
-  auto decoded = peers::decode(bytes, config_.settings.cluster, most);
-  if (const auto* reason = std::get_if<peers::DecodeError>(&decoded)) {
-    callbacks_.input(peers::MessageRejected{*reason, from});
+  auto decoded = membership::decode(bytes, config_.settings.cluster, most);
+  if (const auto* reason = std::get_if<membership::DecodeError>(&decoded)) {
+    callbacks_.input(membership::MessageRejected{*reason, from});
     return;
   }
-  callbacks_.input(peers::MessageReceived{std::move(std::get<peers::Message>(decoded)), stream});
+  callbacks_.input(membership::MessageReceived{std::move(std::get<membership::Message>(decoded)), stream});
 }
 
-void MembershipSockets::perform(const peers::SendDatagram& send) {
+void MembershipSockets::perform(const membership::SendDatagram& send) {
   const auto where = address_of(send.address);
   if (!datagram_socket_ || !where) return;
-  const std::string bytes = peers::encode(send.message, config_.settings.cluster);
+  const std::string bytes = membership::encode(send.message, config_.settings.cluster);
   // One that the system does not take is as good as lost on the way.
   g_socket_send_to(datagram_socket_.get(), where.get(), bytes.data(), bytes.size(), nullptr, nullptr);
 }
@@ -178,7 +178,7 @@
   }
 }
 
-void MembershipSockets::perform(const peers::SendFullSync& exchange) {
+void MembershipSockets::perform(const membership::SendFullSync& exchange) {
   const auto where = address_of(exchange.address);
   if (!datagram_socket_ || !where || streams_.size() >= static_cast<std::size_t>(config_.max_streams)) return;
   ObjectPtr<GSocket> socket(
@@ -191,15 +191,15 @@
     return;
   Stream& stream = add_stream(std::move(socket), true);
   stream.from = exchange.address;
-  stream.out = peers::encode(exchange.message, config_.settings.cluster);
+  stream.out = membership::encode(exchange.message, config_.settings.cluster);
   watch(stream);
 }
 
-void MembershipSockets::perform(const peers::FullSyncReply& answer) {
+void MembershipSockets::perform(const membership::FullSyncReply& answer) {
   const auto found = streams_.find(answer.stream);
   if (found == streams_.end()) return;
   Stream& stream = *found->second;
-  stream.out = peers::encode(answer.message, config_.settings.cluster);
+  stream.out = membership::encode(answer.message, config_.settings.cluster);
   stream.writing = true;
   watch(stream);
 }
@@ -275,7 +275,8 @@
 
 void MembershipSockets::close_stream(std::uint64_t stream) { streams_.erase(stream); }
 
-void MembershipSockets::persist(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members) {
+void MembershipSockets::persist(const membership::MemberUpdate& self,
+                                std::vector<membership::MemberUpdate> members) {
   store_.persist(self, std::move(members));
 }
 
@@ -288,4 +289,4 @@
   listener_.reset();
 }
 
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
--- a/src/net/peer_link.h
+++ b/src/event_loop/membership_sockets.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
 /// The peers' sockets: datagrams for probes and gossip, one stream for each whole exchange. Bytes in both
-/// ways are messages of peers/wire.h; a stream carries one message each way, ended by the end of the stream.
+/// ways are messages of membership/codec.h; a stream carries one message each way, ended by the end of the
+/// stream.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +13,18 @@
 #include <optional>
 #include <string>
 
-#include "config/peers_config.h"
-#include "net/glib_ptr.h"
-#include "net/peer_store.h"
-#include "peers/reducer.h"
+#include "config/membership_config.h"
+#include "event_loop/glib_ptr.h"
+#include "event_loop/membership_store.h"
+#include "membership/reducer.h"
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 
 class MembershipSockets {
  public:
   struct Callbacks {
-    std::function<void(peers::Identity)> ready;  ///< it is bound and its identity is on the disk
-    std::function<void(peers::Input)> input;
+    std::function<void(membership::Identity)> ready;  ///< it is bound and its identity is on the disk
+    std::function<void(membership::Input)> input;
     std::function<void(const std::string&)> log;
   };
   MembershipSockets(const config::MembershipConfig& config, Callbacks told);
@@ -31,10 +32,10 @@
   MembershipSockets(const MembershipSockets&) = delete;
   MembershipSockets& operator=(const MembershipSockets&) = delete;
 
-  void perform(const peers::SendDatagram& send);
-  void perform(const peers::SendFullSync& exchange);
-  void perform(const peers::FullSyncReply& answer);
-  void persist(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members);
+  void perform(const membership::SendDatagram& send);
+  void perform(const membership::SendFullSync& exchange);
+  void perform(const membership::FullSyncReply& answer);
+  void persist(const membership::MemberUpdate& self, std::vector<membership::MemberUpdate> members);
   /// Nothing comes or goes any more.
   void stop();
 
@@ -63,4 +64,4 @@
   int datagrams_in_second_ = 0;
 };
 
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
--- a/src/net/peer_store.cpp
+++ b/src/event_loop/membership_store.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "net/peer_store.h"
+#include "event_loop/membership_store.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -13,9 +13,9 @@
 #include <iterator>
 #include <random>
 
-#include "peers/wire.h"
+#include "membership/codec.h"
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 namespace {
 
 constexpr std::size_t kMostKept = 16 * 1024 * 1024;
@@ -64,41 +64,43 @@
   return true;
 }
 
-std::optional<peers::Message> MembershipStore::read() const {
+std::optional<membership::Message> MembershipStore::read() const {
   std::ifstream file(path_, std::ios::binary);
   if (!file) return std::nullopt;
   const std::string all(std::istreambuf_iterator<char>(file), {});
   if (all.empty()) return std::nullopt;
   // Guards against a torn file and flipped bits: what is not whole is not used at all.
   if (all.size() > kSumBytes && sum_of(std::string_view(all).substr(kSumBytes)) == all.substr(0, kSumBytes)) {
-    auto decoded = peers::decode(std::string_view(all).substr(kSumBytes), cluster_, kMostKept);
-    if (auto* message = std::get_if<peers::Message>(&decoded)) return std::move(*message);
+    auto decoded = membership::decode(std::string_view(all).substr(kSumBytes), cluster_, kMostKept);
+    if (auto* message = std::get_if<membership::Message>(&decoded)) return std::move(*message);
   }
   log_("peers kept file unreadable: starts as another member under its name");
   return std::nullopt;
 }
 
-std::string MembershipStore::text(const peers::MemberUpdate& self,
-                                  std::vector<peers::MemberUpdate> members) const {
-  peers::Message kept;
-  kept.kind = peers::MessageKind::full_sync;
+std::string MembershipStore::text(const membership::MemberUpdate& self,
+                                  std::vector<membership::MemberUpdate> members) const {
+  membership::Message kept;
+  kept.kind = membership::MessageKind::full_sync;
   kept.from = self;
   kept.updates = std::move(members);
-  const std::string bytes = peers::encode(kept, cluster_);
+  const std::string bytes = membership::encode(kept, cluster_);
   return sum_of(bytes) + bytes;
 }
 
-std::optional<peers::Identity> MembershipStore::open(const peers::MemberUpdate& self, std::string& why) {
-  peers::Identity identity;
-  peers::MemberUpdate mine = self;
+std::optional<membership::Identity> MembershipStore::open(const membership::MemberUpdate& self,
+                                                          std::string& why) {
+  membership::Identity identity;
+  membership::MemberUpdate mine = self;
   if (auto kept = read()) {
     identity.disk_id = kept->from.disk_id;
-    identity.incarnation = ((kept->from.incarnation >> peers::kRefutationBits) + 1) << peers::kRefutationBits;
+    identity.incarnation = ((kept->from.incarnation >> membership::kRefutationBits) + 1)
+                           << membership::kRefutationBits;
     identity.is_new_disk = false;
     identity.known_members = std::move(kept->updates);
   } else {
     identity.disk_id = new_mark();
-    identity.incarnation = peers::kEpochStep;
+    identity.incarnation = membership::kEpochStep;
   }
   mine.disk_id = identity.disk_id;
   mine.incarnation = identity.incarnation;
@@ -127,8 +129,9 @@
   return good;
 }
 
-void MembershipStore::persist(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members) {
+void MembershipStore::persist(const membership::MemberUpdate& self,
+                              std::vector<membership::MemberUpdate> members) {
   file_.write(text(self, std::move(members)));
 }
 
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
--- a/src/net/peer_store.h
+++ b/src/event_loop/membership_store.h
@@ -8,10 +8,10 @@
 #include <memory>
 #include <string>
 
-#include "net/kept_file.h"
-#include "peers/reducer.h"
+#include "event_loop/overrides_file.h"
+#include "membership/reducer.h"
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 
 class MembershipStore {
  public:
@@ -26,14 +26,14 @@
   bool lock(std::string& why);
   /// Who this process is, once its new incarnation is on the disk. None where that failed: it must not take
   /// part, since it could not tell its own past later on (`why`).
-  std::optional<peers::Identity> open(const peers::MemberUpdate& self, std::string& why);
+  std::optional<membership::Identity> open(const membership::MemberUpdate& self, std::string& why);
   /// Writes beside the loop; the newest counts.
-  void persist(const peers::MemberUpdate& self, std::vector<peers::MemberUpdate> members);
+  void persist(const membership::MemberUpdate& self, std::vector<membership::MemberUpdate> members);
 
  private:
-  [[nodiscard]] std::string text(const peers::MemberUpdate& self,
-                                 std::vector<peers::MemberUpdate> members) const;
-  [[nodiscard]] std::optional<peers::Message> read() const;
+  [[nodiscard]] std::string text(const membership::MemberUpdate& self,
+                                 std::vector<membership::MemberUpdate> members) const;
+  [[nodiscard]] std::optional<membership::Message> read() const;
   bool write_durably(const std::string& bytes, std::string& why) const;
 
   std::string folder_, path_, cluster_;
@@ -42,4 +42,4 @@
   int locked_ = -1;
 };
 
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
--- a/src/net/kept_file.cpp
+++ b/src/event_loop/overrides_file.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "net/kept_file.h"
+#include "event_loop/overrides_file.h"
 
 #include <sys/stat.h>
 
@@ -7,7 +7,7 @@
 #include <iterator>
 #include <utility>
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 
 std::optional<OverridesFile::FileVersion> OverridesFile::version_of() const {
   struct stat found {};
@@ -58,4 +58,4 @@
   if (queued_) start_write();
 }
 
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
--- a/src/net/kept_file.h
+++ b/src/event_loop/overrides_file.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <tuple>
 
-#include "net/glib_ptr.h"
+#include "event_loop/glib_ptr.h"
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 
 /// A small file that outlives the process, and that another one may write as well. It may lie on a disk:
 /// guards all else against waiting for one by having GIO write it beside the loop.
@@ -39,4 +39,4 @@
   bool in_progress_ = false;
 };
 
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
--- a/src/net/server.cpp
+++ b/src/event_loop/server.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "net/server.h"
+#include "event_loop/server.h"
 
 #include <glib-unix.h>
 #include <linux/filter.h>
@@ -16,10 +16,10 @@
 #include <cstdio>
 #include <stdexcept>
 
-#include "edge/bounds.h"
-#include "net/address.h"
+#include "event_loop/address.h"
+#include "proxy/resource_limits.h"
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 namespace {
 
 ObjectPtr<GSocket> new_socket(GSocketAddress* address, Error& error) {
@@ -54,7 +54,7 @@
 }  // namespace
 
 struct Server::Connection {
-  edge::ConnectionId id = 0;
+  proxy::ConnectionId id = 0;
   Server* server = nullptr;
   ObjectPtr<GSocket> socket;
   std::optional<std::uint32_t> events;  ///< watched for
@@ -72,7 +72,7 @@
 }
 Poller::~Poller() { close(descriptor_); }
 
-void Poller::watch(int socket, std::uint32_t events, bool known, edge::ConnectionId id) {
+void Poller::watch(int socket, std::uint32_t events, bool known, proxy::ConnectionId id) {
   epoll_event event{};
   event.events = events;
   event.data.u64 = id;
@@ -80,7 +80,7 @@
 }
 
 void LogWriter::line(const std::string& text) {
-  if (buffer_.size() + text.size() > edge::kMaxBufferedLogBytes) {
+  if (buffer_.size() + text.size() > proxy::kMaxBufferedLogBytes) {
     ++dropped_lines_;
   } else {
     if (const std::size_t dropped = std::exchange(dropped_lines_, 0); dropped > 0)
@@ -109,7 +109,7 @@
       state_(config, clock_.now()),
       loop_(g_main_loop_new(nullptr, FALSE)),
       overrides_file_(config.overrides_path, [this](const char* why) {
-        perform(edge::LogLine{std::string("keep failed: ") + why});
+        perform(proxy::LogLine{std::string("keep failed: ") + why});
       }) {
   listener_ = listen("listen", config.listen_address);
   watch_clients();
@@ -119,7 +119,7 @@
   }
   if (overrides_file_.temporary_path()) {
     overrides_poll_source_ = Source(g_timeout_source_new(static_cast<guint>(
-        std::chrono::duration_cast<std::chrono::milliseconds>(edge::kOverridesPollInterval).count())));
+        std::chrono::duration_cast<std::chrono::milliseconds>(proxy::kOverridesPollInterval).count())));
     g_source_set_callback(
         overrides_poll_source_.get(),
         [](gpointer server) -> gboolean {
@@ -130,19 +130,20 @@
     g_source_attach(overrides_poll_source_.get(), nullptr);
   }
   poll_source_ = Source(g_unix_fd_source_new(poller_.descriptor(), G_IO_IN));
-  const GUnixFDSourceFunc dispatch = [](gint, GIOCondition, gpointer server) -> gboolean {
+  const GUnixFDSourceFunc on_readable = [](gint, GIOCondition, gpointer server) -> gboolean {
     static_cast<Server*>(server)->poll();
     return G_SOURCE_CONTINUE;
   };
   g_source_set_callback(poll_source_.get(),
-                        reinterpret_cast<GSourceFunc>(reinterpret_cast<void (*)()>(dispatch)), this, nullptr);
+                        reinterpret_cast<GSourceFunc>(reinterpret_cast<void (*)()>(on_readable)), this,
+                        nullptr);
   g_source_attach(poll_source_.get(), nullptr);
   timer_source_ = Source(g_source_new(&timer_funcs, sizeof(GSource)));
   g_source_set_callback(
       timer_source_.get(),
       [](gpointer server) -> gboolean {
         static_cast<Server*>(server)->poll();  // what has come goes before what is due
-        static_cast<Server*>(server)->handle(edge::TimerExpired{});
+        static_cast<Server*>(server)->handle(proxy::TimerExpired{});
         return G_SOURCE_CONTINUE;
       },
       this, nullptr);
@@ -153,7 +154,7 @@
     g_source_set_callback(
         source->get(),
         [](gpointer server) -> gboolean {
-          static_cast<Server*>(server)->handle(edge::ShutdownRequested{});
+          static_cast<Server*>(server)->handle(proxy::ShutdownRequested{});
           return G_SOURCE_CONTINUE;
         },
         this, nullptr);
@@ -163,13 +164,13 @@
     membership_sockets_ = std::make_unique<MembershipSockets>(
         *config.membership,
         MembershipSockets::Callbacks{
-            [this](peers::Identity identity) { handle(edge::MembershipReady{std::move(identity)}); },
-            [this](peers::Input input) { handle(edge::MembershipInput{std::move(input)}); },
-            [this](const std::string& line) { perform(edge::LogLine{line}); }});
+            [this](membership::Identity identity) { handle(proxy::MembershipReady{std::move(identity)}); },
+            [this](membership::Input input) { handle(proxy::MembershipInput{std::move(input)}); },
+            [this](const std::string& line) { perform(proxy::LogLine{line}); }});
   }
   if (config.policy) {
     consensus_ = std::make_unique<ConsensusThread>(
-        *config.policy, config.seed, [this](edge::ConsensusOutput out) { handle(std::move(out)); });
+        *config.policy, config.seed, [this](proxy::ConsensusOutput out) { handle(std::move(out)); });
   }
   hangup_source_ = Source(g_unix_signal_source_new(SIGHUP));
   g_source_set_callback(
@@ -192,16 +193,16 @@
   auto listener = new_socket(where.get(), error);
   if (!listener || !bind_shared(listener.get(), where.get()))
     throw std::runtime_error(field + "can't bind " + address + ": " + g_strerror(errno));
-  g_socket_set_listen_backlog(listener.get(), edge::kListenBacklog);
+  g_socket_set_listen_backlog(listener.get(), proxy::kListenBacklog);
   if (!g_socket_listen(listener.get(), error.out_ptr()))
     throw std::runtime_error(field + "can't listen on " + address + ": " + error.text());
   return listener;
 }
 
-Source Server::watch_listener(GSocket* listener, int priority, GSocketSourceFunc dispatch) {
+Source Server::watch_listener(GSocket* listener, int priority, GSocketSourceFunc callback) {
   Source source(g_socket_create_source(listener, G_IO_IN, nullptr));
   g_source_set_priority(source.get(), priority);
-  g_source_set_callback(source.get(), reinterpret_cast<GSourceFunc>(reinterpret_cast<void (*)()>(dispatch)),
+  g_source_set_callback(source.get(), reinterpret_cast<GSourceFunc>(reinterpret_cast<void (*)()>(callback)),
                         this, nullptr);
   g_source_attach(source.get(), nullptr);
   return source;
@@ -226,26 +227,26 @@
 
 void Server::run() {
   load_overrides();
-  handle(edge::TimerExpired{});  // what the start itself asks for
-  perform(edge::LogLine{"listening"});
+  handle(proxy::TimerExpired{});  // what the start itself asks for
+  perform(proxy::LogLine{"listening"});
   g_main_loop_run(loop_.get());
 }
 
 // ---- Inputs ----
 
-void Server::handle(const edge::Input& input) {
+void Server::handle(const proxy::Input& input) {
   dispatch(input);
   while (true) {
     if (!pending_inputs_.empty()) {
-      const edge::Input next = std::move(pending_inputs_.front());
+      const proxy::Input next = std::move(pending_inputs_.front());
       pending_inputs_.pop_front();
       dispatch(next);
     } else if (!connections_to_drain_.empty()) {
-      const edge::ConnectionId id = connections_to_drain_.front();
+      const proxy::ConnectionId id = connections_to_drain_.front();
       connections_to_drain_.pop_front();
       drain_and_close(id);
     } else if (!pending_connects_.empty()) {
-      const edge::Connect again = std::move(pending_connects_.front());
+      const proxy::Connect again = std::move(pending_connects_.front());
       pending_connects_.pop_front();
       connect(again, false);
     } else {
@@ -256,21 +257,21 @@
 }
 
 /// What has come on the connection so far is told, then its end.
-void Server::drain_and_close(edge::ConnectionId id) {
-  std::array<char, edge::kReadChunkBytes> buffer;
+void Server::drain_and_close(proxy::ConnectionId id) {
+  std::array<char, proxy::kReadChunkBytes> buffer;
   gssize size = 1;
-  for (std::size_t read = 0; size > 0 && read < edge::kMaxDrainBytes; read += buffer.size()) {
+  for (std::size_t read = 0; size > 0 && read < proxy::kMaxDrainBytes; read += buffer.size()) {
     const auto found = connections_.find(id);
     if (found == connections_.end()) return;
     size = g_socket_receive(found->second->socket.get(), buffer.data(), buffer.size(), nullptr, nullptr);
     if (size > 0)
-      dispatch(edge::BytesArrived{id, std::string_view(buffer.data(), static_cast<std::size_t>(size))});
+      dispatch(proxy::BytesArrived{id, std::string_view(buffer.data(), static_cast<std::size_t>(size))});
   }
-  if (connections_.erase(id) > 0) dispatch(edge::Closed{id});
+  if (connections_.erase(id) > 0) dispatch(proxy::Closed{id});
 }
 
-void Server::dispatch(const edge::Input& input) {
-  for (const edge::Effect& effect : edge::reduce(state_, clock_.now(), input)) {
+void Server::dispatch(const proxy::Input& input) {
+  for (const proxy::Effect& effect : proxy::reduce(state_, clock_.now(), input)) {
     std::visit([this](const auto& e) { perform(e); }, effect);
   }
 }
@@ -280,34 +281,34 @@
 }
 
 void Server::reload() {
-  edge::Input input;
+  proxy::Input input;
   try {
-    input = edge::Reloaded{reload_()};
+    input = proxy::Reloaded{reload_()};
   } catch (const std::exception& problem) {
-    input = edge::ReloadFailed{problem.what()};
+    input = proxy::ReloadFailed{problem.what()};
   }
   handle(input);
 }
 
 /// What another process of this edge proxy has said of members taken out by hand holds here too.
 void Server::load_overrides() {
-  if (const auto text = overrides_file_.read_if_new()) handle(edge::OverridesLoaded{*text});
+  if (const auto text = overrides_file_.read_if_new()) handle(proxy::OverridesLoaded{*text});
 }
 
 void Server::accept() {
-  poll();                                                         // likewise before new clients
-  for (int i = 0; i < edge::kAcceptsPerTurn && listener_; ++i) {  // guards all others against a flood
-    if (!accept_one(listener_.get(), edge::kListener)) return;
+  poll();                                                          // likewise before new clients
+  for (int i = 0; i < proxy::kAcceptsPerTurn && listener_; ++i) {  // guards all others against a flood
+    if (!accept_one(listener_.get(), proxy::kListener)) return;
   }
 }
 
 void Server::accept_admin() {
-  for (int i = 0; i < edge::kAcceptsPerTurn && admin_listener_; ++i) {
-    if (!accept_one(admin_listener_.get(), edge::kAdminListener)) return;
+  for (int i = 0; i < proxy::kAcceptsPerTurn && admin_listener_; ++i) {
+    if (!accept_one(admin_listener_.get(), proxy::kAdminListener)) return;
   }
 }
 
-bool Server::accept_one(GSocket* listener, edge::ConnectionId from) {
+bool Server::accept_one(GSocket* listener, proxy::ConnectionId from) {
   Error error;
   ObjectPtr<GSocket> socket(g_socket_accept(listener, nullptr, error.out_ptr()));
   if (!socket) {
@@ -319,18 +320,18 @@
     // only just come up: what they ask is read first, so that they are not taken for idle.
     if (error.matches(G_IO_ERROR_TOO_MANY_OPEN_FILES) && !std::exchange(descriptors_exhausted_, true)) {
       poll();
-      handle(edge::DescriptorsExhausted{});
+      handle(proxy::DescriptorsExhausted{});
       return true;
     }
     descriptors_exhausted_ = false;
-    perform(edge::LogLine{std::string("accept failed: ") + error.text()});
+    perform(proxy::LogLine{std::string("accept failed: ") + error.text()});
     schedule_accept_retry();
     return false;
   }
   descriptors_exhausted_ = false;
-  const edge::ConnectionId id = last_accepted_ += edge::kConnectionIdStep;
-  adopt(id, std::move(socket), false, from == edge::kAdminListener);
-  handle(edge::Accepted{id, from});
+  const proxy::ConnectionId id = last_accepted_ += proxy::kConnectionIdStep;
+  adopt(id, std::move(socket), false, from == proxy::kAdminListener);
+  handle(proxy::Accepted{id, from});
   return true;
 }
 
@@ -339,7 +340,7 @@
   accept_source_.reset();
   admin_accept_source_.reset();
   accept_retry_source_ = Source(g_timeout_source_new(static_cast<guint>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(edge::kAcceptRetryDelay).count())));
+      std::chrono::duration_cast<std::chrono::milliseconds>(proxy::kAcceptRetryDelay).count())));
   g_source_set_callback(
       accept_retry_source_.get(),
       [](gpointer server) -> gboolean {
@@ -352,7 +353,8 @@
   g_source_attach(accept_retry_source_.get(), nullptr);
 }
 
-void Server::adopt(edge::ConnectionId id, ObjectPtr<GSocket> socket, bool is_connecting, bool high_priority) {
+void Server::adopt(proxy::ConnectionId id, ObjectPtr<GSocket> socket, bool is_connecting,
+                   bool high_priority) {
   g_socket_set_blocking(socket.get(), FALSE);
   g_socket_set_option(socket.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
   auto connection = std::make_unique<Connection>();
@@ -382,8 +384,8 @@
 }
 
 void Server::poll() {
-  std::array<epoll_event, edge::kMaxReadyEvents> found;
-  const int count = epoll_wait(poller_.descriptor(), found.data(), edge::kMaxReadyEvents, 0);
+  std::array<epoll_event, proxy::kMaxReadyEvents> found;
+  const int count = epoll_wait(poller_.descriptor(), found.data(), proxy::kMaxReadyEvents, 0);
   // The bulletin first, then the clients that have gone: guards the rules on purges and drains, when much has
   // come at once, against sending before reading what they bind, and caches against work that nobody waits
   // for.
@@ -403,20 +405,20 @@
 
 /// A client that has ended its half, or all of its connection, has gone: what it sent before is not served.
 /// Guards what was written to it, which it may still read, against a reset over bytes that were not read.
-void Server::remove_connection(edge::ConnectionId id) {
+void Server::remove_connection(proxy::ConnectionId id) {
   const auto found = connections_.find(id);
-  std::array<char, edge::kReadChunkBytes> buffer;
+  std::array<char, proxy::kReadChunkBytes> buffer;
   gssize size = 1;
   Error error;
-  for (std::size_t read = 0; size > 0 && read < edge::kMaxDiscardedBytes; read += buffer.size()) {
+  for (std::size_t read = 0; size > 0 && read < proxy::kMaxDiscardedBytes; read += buffer.size()) {
     size =
         g_socket_receive(found->second->socket.get(), buffer.data(), buffer.size(), nullptr, error.out_ptr());
   }
   connections_.erase(found);
-  handle(edge::Closed{id, size < 0 && !error.matches(G_IO_ERROR_WOULD_BLOCK)});
+  handle(proxy::Closed{id, size < 0 && !error.matches(G_IO_ERROR_WOULD_BLOCK)});
 }
 
-void Server::ready(edge::ConnectionId id, std::uint32_t events) {
+void Server::ready(proxy::ConnectionId id, std::uint32_t events) {
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
   Connection& connection = *found->second;
@@ -424,42 +426,42 @@
     connection.connecting = false;
     if (g_socket_check_connect_result(connection.socket.get(), nullptr)) {
       watch(connection);
-      handle(edge::Connected{id});
+      handle(proxy::Connected{id});
     } else {
       connections_.erase(found);
-      handle(edge::ConnectFailed{id});
+      handle(proxy::ConnectFailed{id});
     }
     return;
   }
   if ((events & EPOLLOUT) != 0) {
     flush(connection);
     watch(connection);
-    if (!pending_inputs_.empty()) handle(edge::TimerExpired{});
+    if (!pending_inputs_.empty()) handle(proxy::TimerExpired{});
   }
   if ((events & (EPOLLIN | EPOLLHUP | EPOLLERR)) != 0) read(id);
 }
 
-void Server::read(edge::ConnectionId id) {
-  std::array<char, edge::kReadChunkBytes> buffer;
-  for (int i = 0; i < edge::kReadsPerTurn; ++i) {
+void Server::read(proxy::ConnectionId id) {
+  std::array<char, proxy::kReadChunkBytes> buffer;
+  for (int i = 0; i < proxy::kReadsPerTurn; ++i) {
     const auto found = connections_.find(id);
     if (found == connections_.end()) return;
     // Guards all others against a client that sends at full speed: it has little of a turn.
     const bool client = found->second->client;
-    const std::size_t room = client ? edge::kClientReadBytes : buffer.size();
+    const std::size_t room = client ? proxy::kClientReadBytes : buffer.size();
     Error error;
     const gssize size =
         g_socket_receive(found->second->socket.get(), buffer.data(), room, nullptr, error.out_ptr());
     if (size > 0) {
       if (client && found->second->first)
         load_overrides();  // an operator: the other process may have been told more
-      handle(edge::BytesArrived{id, std::string_view(buffer.data(), static_cast<std::size_t>(size))});
+      handle(proxy::BytesArrived{id, std::string_view(buffer.data(), static_cast<std::size_t>(size))});
       if (client || static_cast<std::size_t>(size) < room) return;
       continue;
     }
     if (size < 0 && error.matches(G_IO_ERROR_WOULD_BLOCK)) return;
     connections_.erase(found);
-    handle(edge::Closed{id, size < 0});
+    handle(proxy::Closed{id, size < 0});
     return;
   }
 }
@@ -488,16 +490,16 @@
     return;
   }
   connection.out.clear();
-  if (connection.out.capacity() > edge::kRetainedWriteBufferBytes)
+  if (connection.out.capacity() > proxy::kRetainedWriteBufferBytes)
     std::string().swap(connection.out);  // guards the memory, over many clients
   connection.sent = 0;
   if (connection.finishing) g_socket_shutdown(connection.socket.get(), FALSE, TRUE, nullptr);
-  pending_inputs_.push_back(edge::WriteDrained{connection.id});
+  pending_inputs_.push_back(proxy::WriteDrained{connection.id});
 }
 
 // ---- Effects ----
 
-void Server::perform(const edge::Write& write) {
+void Server::perform(const proxy::Write& write) {
   const auto found = connections_.find(write.connection);
   if (found == connections_.end() || found->second->deaf) return;
   Connection& connection = *found->second;
@@ -508,63 +510,63 @@
   watch(connection);
 }
 
-void Server::perform(const edge::Connect& wanted) { connect(wanted, true); }
+void Server::perform(const proxy::Connect& wanted) { connect(wanted, true); }
 
-void Server::connect(const edge::Connect& wanted, bool may_wait) {
+void Server::connect(const proxy::Connect& wanted, bool may_wait) {
   const auto where = address_of(wanted.address);
   Error error;
   ObjectPtr<GSocket> socket = where ? new_socket(where.get(), error) : nullptr;
   // Guards the caches and the bulletin against clients that have taken the last descriptors: one of them
   // makes room, and it is tried once more.
   if (!socket && may_wait && error.matches(G_IO_ERROR_TOO_MANY_OPEN_FILES)) {
-    pending_inputs_.push_back(edge::DescriptorsExhausted{});
+    pending_inputs_.push_back(proxy::DescriptorsExhausted{});
     pending_connects_.push_back(wanted);
     return;
   }
   if (!socket || (!g_socket_connect(socket.get(), where.get(), nullptr, error.out_ptr()) &&
                   !error.matches(G_IO_ERROR_PENDING))) {
-    pending_inputs_.push_back(edge::ConnectFailed{wanted.connection});
+    pending_inputs_.push_back(proxy::ConnectFailed{wanted.connection});
     return;
   }
   adopt(wanted.connection, std::move(socket), true, wanted.high_priority);
 }
 
-void Server::perform(const edge::ShutdownWrite& finish) {
+void Server::perform(const proxy::ShutdownWrite& finish) {
   const auto found = connections_.find(finish.connection);
   if (found == connections_.end() || std::exchange(found->second->finishing, true)) return;
   if (found->second->out.empty()) g_socket_shutdown(found->second->socket.get(), FALSE, TRUE, nullptr);
 }
 
-void Server::perform(const edge::Close& close) {
-  if (close.connection == edge::kListener) {
+void Server::perform(const proxy::Close& close) {
+  if (close.connection == proxy::kListener) {
     accept_source_.reset();
     accept_retry_source_.reset();
     // Guards those that have connected and were not accepted yet against a reset.
     while (ObjectPtr<GSocket> socket{g_socket_accept(listener_.get(), nullptr, nullptr)}) {
-      adopt(last_accepted_ += edge::kConnectionIdStep, std::move(socket), false, false);
-      pending_inputs_.push_back(edge::Accepted{last_accepted_, edge::kListener});
+      adopt(last_accepted_ += proxy::kConnectionIdStep, std::move(socket), false, false);
+      pending_inputs_.push_back(proxy::Accepted{last_accepted_, proxy::kListener});
     }
     listener_.reset();
     return;
   }
-  if (close.connection == edge::kAdminListener) {
+  if (close.connection == proxy::kAdminListener) {
     admin_accept_source_.reset();
     admin_listener_.reset();
     return;
   }
   connections_.erase(close.connection);
   std::erase_if(pending_connects_,
-                [&close](const edge::Connect& c) { return c.connection == close.connection; });
+                [&close](const proxy::Connect& c) { return c.connection == close.connection; });
 }
 
-void Server::perform(const edge::DrainAndClose& close) { connections_to_drain_.push_back(close.connection); }
+void Server::perform(const proxy::DrainAndClose& close) { connections_to_drain_.push_back(close.connection); }
 
-void Server::perform(const edge::ArmTimer& timer) {
+void Server::perform(const proxy::ArmTimer& timer) {
   const auto wait = std::max<Time>(Time{0}, timer.at - clock_.now());
   g_source_set_ready_time(timer_source_.get(), g_get_monotonic_time() + wait.count());
 }
 
-void Server::perform(const edge::LogLine& log) {
+void Server::perform(const proxy::LogLine& log) {
   const Time now = clock_.now();
   std::array<char, 48> stamp{};
   std::snprintf(stamp.data(), stamp.size(), "%lld.%03lld ", static_cast<long long>(now.count() / 1'000'000),
@@ -576,34 +578,34 @@
 /// has it take the second one. This process was there first, so that is the one started after it; where there
 /// is none, the filter names nobody and nothing changes. Guards clients against a connection that waits here
 /// unseen when this listening socket closes: it would be reset.
-void Server::perform(const edge::StopAccepting&) {
+void Server::perform(const proxy::StopAccepting&) {
   if (!listener_) return;
   sock_filter second{BPF_RET | BPF_K, 0, 0, 1};
   const sock_fprog filter{1, &second};
   if (setsockopt(g_socket_get_fd(listener_.get()), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &filter,
                  sizeof filter) != 0)
-    perform(edge::LogLine{"yield failed: the system takes no filter"});
+    perform(proxy::LogLine{"yield failed: the system takes no filter"});
 }
 
-void Server::perform(const edge::PersistOverrides& keep) {
+void Server::perform(const proxy::PersistOverrides& keep) {
   if (overrides_file_.temporary_path()) overrides_file_.write(keep.overrides);
 }
 
-void Server::perform(const edge::MembershipEffect& effect) {
+void Server::perform(const proxy::MembershipEffect& effect) {
   if (membership_sockets_)
     std::visit([this](const auto& e) { membership_sockets_->perform(e); }, effect.effect);
 }
 
-void Server::perform(const edge::PersistMembership& keep) {
+void Server::perform(const proxy::PersistMembership& keep) {
   if (membership_sockets_) membership_sockets_->persist(keep.self, keep.members);
 }
 
-void Server::perform(const edge::ConsensusEffect& effect) {
+void Server::perform(const proxy::ConsensusEffect& effect) {
   if (consensus_) consensus_->perform(effect);
 }
 
-void Server::perform(const edge::StopMembership&) {
+void Server::perform(const proxy::StopMembership&) {
   if (membership_sockets_) membership_sockets_->stop();
 }
 
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
--- a/src/net/server.h
+++ b/src/event_loop/server.h
@@ -10,13 +10,13 @@
 #include <memory>
 #include <string>
 
-#include "edge/reducer.h"
-#include "net/glib_ptr.h"
-#include "net/kept_file.h"
-#include "net/peer_link.h"
-#include "net/policy_log.h"
+#include "event_loop/consensus_thread.h"
+#include "event_loop/glib_ptr.h"
+#include "event_loop/membership_sockets.h"
+#include "event_loop/overrides_file.h"
+#include "proxy/reducer.h"
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 
 /// Unix time that never runs backwards: read once, then carried on by the steady clock.
 class Clock {
@@ -38,7 +38,7 @@
   ~Poller();
   Poller(const Poller&) = delete;
   Poller& operator=(const Poller&) = delete;
-  void watch(int socket, std::uint32_t events, bool known, edge::ConnectionId id);
+  void watch(int socket, std::uint32_t events, bool known, proxy::ConnectionId id);
   [[nodiscard]] int descriptor() const { return descriptor_; }
 
  private:
@@ -74,37 +74,37 @@
   struct Connection;
 
   ObjectPtr<GSocket> listen(const std::string& key, const std::string& address);
-  void handle(const edge::Input& input);
-  void dispatch(const edge::Input& input);
-  void perform(const edge::Write& write);
-  void perform(const edge::Connect& connect);
-  void perform(const edge::ShutdownWrite& finish);
-  void perform(const edge::Close& close);
-  void perform(const edge::DrainAndClose& close);
-  void perform(const edge::ArmTimer& timer);
-  void perform(const edge::LogLine& log);
-  void perform(const edge::StopAccepting& yield);
-  void perform(const edge::PersistOverrides& keep);
-  void perform(const edge::MembershipEffect& effect);
-  void perform(const edge::PersistMembership& keep);
-  void perform(const edge::StopMembership& stop);
-  void perform(const edge::ConsensusEffect& effect);
+  void handle(const proxy::Input& input);
+  void dispatch(const proxy::Input& input);
+  void perform(const proxy::Write& write);
+  void perform(const proxy::Connect& connect);
+  void perform(const proxy::ShutdownWrite& finish);
+  void perform(const proxy::Close& close);
+  void perform(const proxy::DrainAndClose& close);
+  void perform(const proxy::ArmTimer& timer);
+  void perform(const proxy::LogLine& log);
+  void perform(const proxy::StopAccepting& yield);
+  void perform(const proxy::PersistOverrides& keep);
+  void perform(const proxy::MembershipEffect& effect);
+  void perform(const proxy::PersistMembership& keep);
+  void perform(const proxy::StopMembership& stop);
+  void perform(const proxy::ConsensusEffect& effect);
 
   void watch_clients();
   void watch_admin();
-  Source watch_listener(GSocket* listener, int priority, GSocketSourceFunc dispatch);
+  Source watch_listener(GSocket* listener, int priority, GSocketSourceFunc callback);
   void accept();
   void accept_admin();
   void schedule_accept_retry();
-  bool accept_one(GSocket* listener, edge::ConnectionId from);
-  void adopt(edge::ConnectionId id, ObjectPtr<GSocket> socket, bool is_connecting, bool high_priority);
+  bool accept_one(GSocket* listener, proxy::ConnectionId from);
+  void adopt(proxy::ConnectionId id, ObjectPtr<GSocket> socket, bool is_connecting, bool high_priority);
   void watch(Connection& connection);
   void poll();
-  void ready(edge::ConnectionId id, std::uint32_t events);
-  void remove_connection(edge::ConnectionId id);
-  void read(edge::ConnectionId id);
-  void drain_and_close(edge::ConnectionId id);
-  void connect(const edge::Connect& wanted, bool may_wait);
+  void ready(proxy::ConnectionId id, std::uint32_t events);
+  void remove_connection(proxy::ConnectionId id);
+  void read(proxy::ConnectionId id);
+  void drain_and_close(proxy::ConnectionId id);
+  void connect(const proxy::Connect& wanted, bool may_wait);
   void flush(Connection& connection);
   void quit_if_idle();
   void reload();
@@ -113,7 +113,7 @@
   LogWriter log_;
   Clock clock_;
   std::function<config::Config()> reload_;
-  edge::State state_;
+  proxy::State state_;
   LoopPtr loop_;
   ObjectPtr<GSocket> listener_, admin_listener_;
   Poller poller_;
@@ -122,12 +122,12 @@
   OverridesFile overrides_file_;
   std::unique_ptr<MembershipSockets> membership_sockets_;  // none unless configured
   std::unique_ptr<ConsensusThread> consensus_;             // likewise
-  std::map<edge::ConnectionId, std::unique_ptr<Connection>> connections_;
-  std::deque<edge::Input> pending_inputs_;               // inputs that effects themselves gave rise to
-  std::deque<edge::ConnectionId> connections_to_drain_;  // then these, then
-  std::deque<edge::Connect> pending_connects_;           // these, for which another connection has made room
-  bool descriptors_exhausted_ = false;                   // since the last client that was accepted
-  edge::ConnectionId last_accepted_ = edge::kBeforeFirstAccepted;
+  std::map<proxy::ConnectionId, std::unique_ptr<Connection>> connections_;
+  std::deque<proxy::Input> pending_inputs_;               // inputs that effects themselves gave rise to
+  std::deque<proxy::ConnectionId> connections_to_drain_;  // then these, then
+  std::deque<proxy::Connect> pending_connects_;           // these, for which another connection has made room
+  bool descriptors_exhausted_ = false;                    // since the last client that was accepted
+  proxy::ConnectionId last_accepted_ = proxy::kBeforeFirstAccepted;
 };
 
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
--- a/src/purge/ledger.cpp
+++ b/src/invalidation/invalidation_log.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-#include "purge/ledger.h"
+#include "invalidation/invalidation_log.h"
 
 #include <algorithm>
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 
 void InvalidationLog::record(const InvalidationCommand& command) { invalidations_.push_back(command); }
 
@@ -19,4 +19,4 @@
   std::erase_if(invalidations_, [&](const InvalidationCommand& p) { return p.issued_at < oldest_servable; });
 }
 
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
--- a/src/purge/ledger.h
+++ b/src/invalidation/invalidation_log.h
@@ -4,7 +4,7 @@
 /// before a purge that names its key or one of its tags is gone. Purges are kept only while a copy from
 /// before them could still be young enough to serve: `forget_before` drops the rest, so the ledger is
 /// bounded by the purges of the longest fresh-plus-grace time, not by all purges ever seen.
-/// Source: issue 9, docs/purge.md (the stated bound on staleness).
+/// Source: issue 9, docs/invalidation.md (the stated bound on staleness).
 #pragma once
 
 #include <cstddef>
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "purge/sequencer.h"
+#include "invalidation/sequencer.h"
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 
 class InvalidationLog {
  public:
@@ -31,4 +31,4 @@
   std::deque<InvalidationCommand> invalidations_;
 };
 
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
--- a/src/purge/key_index.cpp
+++ b/src/invalidation/key_index.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-#include "purge/key_index.h"
+#include "invalidation/key_index.h"
 
 #include <algorithm>
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 
 void KeyIndex::put(const std::string& key, const std::vector<std::string>& tags) {
   erase(key);
@@ -57,4 +57,4 @@
   return out;
 }
 
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
--- a/src/purge/key_index.h
+++ b/src/invalidation/key_index.h
@@ -3,7 +3,7 @@
 /// The keys a cache holds and the tags each carries, indexed so that a purge finds its keys without a walk
 /// over all of them: tag -> keys in a hash map, and the keys in order, so that a prefix, and the literal
 /// front of a glob, are one range. Source: issue 9; measured against `match_by_scan` in
-/// bench/purge_index_bench.cpp.
+/// bench/invalidation_index_bench.cpp.
 #pragma once
 
 #include <cstddef>
@@ -12,9 +12,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "purge/selector.h"
+#include "invalidation/selector.h"
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 
 class KeyIndex {
  public:
@@ -38,4 +38,4 @@
   std::unordered_map<std::string, std::set<std::string, std::less<>>> by_tag_;
 };
 
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
--- a/src/purge/selector.cpp
+++ b/src/invalidation/selector.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
-#include "purge/selector.h"
+#include "invalidation/selector.h"
 
 #include <algorithm>
 #include <array>
 #include <utility>
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 namespace {
 
 constexpr std::size_t kLongest = 512;
@@ -83,4 +83,4 @@
   return glob.substr(0, static_cast<std::size_t>(first - glob.begin()));
 }
 
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
--- a/src/purge/selector.h
+++ b/src/invalidation/selector.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
 /// What a purge names: one key, every key that carries a tag, every key under a prefix, or every key that
-/// a glob matches. Source: issue 9 and docs/purge.md; PROTOCOL's purges by object and by group are the
+/// a glob matches. Source: issue 9 and docs/invalidation.md; PROTOCOL's purges by object and by group are the
 /// `key` and `tag` kinds.
 #pragma once
 
@@ -10,7 +10,7 @@
 #include <variant>
 #include <vector>
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 
 enum class SelectorKind { key, tag, prefix, glob };
 
@@ -41,4 +41,4 @@
 /// The literal bytes a glob starts with, before its first wildcard: every key it matches has them in front.
 std::string_view literal_prefix(std::string_view glob);
 
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
--- a/src/purge/sequencer.cpp
+++ b/src/invalidation/sequencer.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-#include "purge/sequencer.h"
+#include "invalidation/sequencer.h"
 
 #include <algorithm>
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 namespace {
 
 void on(SequencerState& state, const CommandArrived& in, std::vector<SequencerEffect>& out) {
@@ -62,4 +62,4 @@
   return out;
 }
 
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
--- a/src/purge/sequencer.h
+++ b/src/invalidation/sequencer.h
@@ -3,7 +3,7 @@
 /// Purges in the order of their numbers, over a fleet: a reducer `(SequencerState, Input) -> effects` with
 /// no I/O and no clock. Every proxy and cache box applies purge N only after N-1; one that restarts resumes
 /// from the last number it applied (its snapshot, where there is a disk; else from 0 and the feed's replay).
-/// Source: issue 9, docs/purge.md.
+/// Source: issue 9, docs/invalidation.md.
 #pragma once
 
 #include <chrono>
@@ -13,9 +13,9 @@
 #include <variant>
 #include <vector>
 
-#include "purge/selector.h"
+#include "invalidation/selector.h"
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 
 using Sequence = std::uint64_t;
 using UnixMs = std::chrono::milliseconds;
@@ -66,4 +66,4 @@
 /// The one place where the order of purges changes. Effects come in the order they are to be carried out.
 std::vector<SequencerEffect> reduce(SequencerState& state, const SequencerInput& input);
 
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
--- a/src/purge/snapshot.cpp
+++ b/src/invalidation/snapshot.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "purge/snapshot.h"
+#include "invalidation/snapshot.h"
 
 #include <xxhash.h>
 
@@ -9,7 +9,7 @@
 #include <optional>
 #include <vector>
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 namespace {
 
 constexpr std::string_view kHeader = "dahliahall-purge-snapshot 1";
@@ -113,4 +113,4 @@
   return state;
 }
 
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
--- a/src/purge/snapshot.h
+++ b/src/invalidation/snapshot.h
@@ -3,7 +3,7 @@
 /// The sequencer's state as text, so that a box with a lasting disk resumes after a crash from the last
 /// purge it applied. A snapshot ends in an XXH3-64 checksum of all before it: one that was torn in writing,
 /// or changed since, is refused, not trusted. The platform gives no lasting disk: `run` keeps this off, and
-/// own tests show it. Source: issue 9, docs/purge.md.
+/// own tests show it. Source: issue 9, docs/invalidation.md.
 ///
 ///     dahliahall-purge-snapshot 1
 ///     applied 41
@@ -17,9 +17,9 @@
 #include <string_view>
 #include <variant>
 
-#include "purge/sequencer.h"
+#include "invalidation/sequencer.h"
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 
 /// The text of a snapshot of `state` (applied number, highest seen, held commands; not the bound).
 std::string write_snapshot(const SequencerState& state);
@@ -35,4 +35,4 @@
 std::variant<SequencerState, SnapshotError> read_snapshot(std::string_view text,
                                                           std::size_t max_out_of_order);
 
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
--- a/src/peers/news_queue.h
+++ b/src/membership/broadcast_queue.h
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "peers/types.h"
+#include "membership/types.h"
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 
 class BroadcastQueue {
  public:
@@ -81,4 +81,4 @@
   std::uint64_t next_ = 0;
 };
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/peers/wire.cpp
+++ b/src/membership/codec.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "peers/wire.h"
+#include "membership/codec.h"
 
 #include <xxhash.h>
 
@@ -7,16 +7,16 @@
 #include <array>
 #include <charconv>
 
-#include "peers.pb.h"
+#include "membership.pb.h"
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 namespace {
 
 constexpr std::uint32_t kVersion = 1;
 constexpr std::uint32_t kMostZones = 4096;
 constexpr std::size_t kFixed = 72;  // bytes of an item's tags, lengths and numbers, at most
 
-void write(const MemberUpdate& news, wire::Member& out) {
+void write(const MemberUpdate& news, pb::Member& out) {
   out.set_name(news.name);
   out.set_address(news.address);
   out.set_disk(news.disk_id);
@@ -26,7 +26,7 @@
   out.set_by(news.reported_by);
 }
 
-bool read(const wire::Member& in, MemberUpdate& out) {
+bool read(const pb::Member& in, MemberUpdate& out) {
   if (!is_valid_name(in.name()) || !is_valid_address(in.address()) || in.zone() >= kMostZones ||
       in.state() >= kMemberStatusCount || !(in.by().empty() || is_valid_name(in.by())))
     return false;
@@ -85,7 +85,7 @@
 }
 
 std::string encode(const Message& message, const std::string& cluster) {
-  wire::Packet packet;
+  pb::Packet packet;
   packet.set_cluster(cluster);
   packet.set_kind(static_cast<std::uint32_t>(message.kind));
   packet.set_number(message.sequence);
@@ -99,7 +99,7 @@
   packet.set_names(message.member_names_hash);
   packet.set_sure(message.confirmed);
   packet.set_payload(message.payload);
-  wire::Envelope envelope;
+  pb::Envelope envelope;
   envelope.set_version(kVersion);
   packet.SerializeToString(envelope.mutable_packet());
   envelope.set_sum(XXH3_64bits(envelope.packet().data(), envelope.packet().size()));
@@ -109,7 +109,7 @@
 std::variant<Message, DecodeError> decode(std::string_view bytes, const std::string& cluster,
                                           std::size_t most) {
   if (bytes.size() > most) return DecodeError::oversized;
-  wire::Envelope envelope;
+  pb::Envelope envelope;
   if (!envelope.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return DecodeError::malformed;
   // The version first: guards against reading another one's fields by this one's meaning.
   if (envelope.version() != kVersion)
@@ -117,7 +117,7 @@
   // Guards the list of members against names that flipped bits have made up.
   if (XXH3_64bits(envelope.packet().data(), envelope.packet().size()) != envelope.sum())
     return DecodeError::checksum_mismatch;
-  wire::Packet packet;
+  pb::Packet packet;
   if (!packet.ParseFromString(envelope.packet())) return DecodeError::malformed;
   if (packet.cluster() != cluster) return DecodeError::wrong_cluster;
   Message message;
@@ -147,4 +147,4 @@
   return message;
 }
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/peers/wire.h
+++ b/src/membership/codec.h
@@ -9,9 +9,9 @@
 #include <string_view>
 #include <variant>
 
-#include "peers/types.h"
+#include "membership/types.h"
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 
 /// Why bytes that came are no message for this proxy.
 enum class DecodeError : std::uint8_t {
@@ -41,4 +41,4 @@
 /// Bytes that the message takes without its news, at most.
 std::size_t header_size(const Message& message, const std::string& cluster);
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/peers/spans.h
+++ b/src/membership/durations.h
@@ -3,12 +3,12 @@
 /// Spans in proportion.
 #pragma once
 
-#include "peers/types.h"
+#include "membership/types.h"
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 
 inline Time scaled(Time span, double factor) {
   return Time{static_cast<Time::rep>(static_cast<double>(span.count()) * factor)};
 }
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/peers/merging.cpp
+++ b/src/membership/merging.cpp
@@ -3,10 +3,10 @@
 #include <algorithm>
 #include <cmath>
 
-#include "peers/reducer.h"
-#include "peers/spans.h"
+#include "membership/durations.h"
+#include "membership/reducer.h"
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 namespace {
 
 using namespace std::chrono_literals;
@@ -182,4 +182,4 @@
   full_sync_with(m.from.name);
 }
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/peers/reducer.cpp
+++ b/src/membership/reducer.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-#include "peers/reducer.h"
+#include "membership/reducer.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "peers/spans.h"
+#include "membership/durations.h"
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 namespace {
 
 using namespace std::chrono_literals;
@@ -27,12 +27,12 @@
 constexpr double kReserve = 0.1;
 
 /// Those that were forgotten, or replaced, may not have stopped by the time of a start.
-std::vector<limits::QuotaLeases::UnfencedHolder> ghosts_of(const std::vector<MemberUpdate>& known) {
+std::vector<admission::QuotaLeases::UnfencedHolder> ghosts_of(const std::vector<MemberUpdate>& known) {
   std::map<std::string, std::uint64_t> disks;
   for (const MemberUpdate& news : known) {
     if (is_registered(news.status)) disks[news.name] = news.disk_id;
   }
-  std::vector<limits::QuotaLeases::UnfencedHolder> ghosts;
+  std::vector<admission::QuotaLeases::UnfencedHolder> ghosts;
   for (const MemberUpdate& news : known) {
     if (news.status != MemberStatus::forgotten) continue;
     const auto now = disks.find(news.name);
@@ -61,7 +61,7 @@
       quota_({settings_.name, settings_.quota_lease, kDrift, kReserve, settings_.expected_members,
               settings_.max_members},
              identity.is_new_disk
-                 ? now + limits::QuotaLeases::lease_expiry_bound(settings_.quota_lease, kDrift)
+                 ? now + admission::QuotaLeases::lease_expiry_bound(settings_.quota_lease, kDrift)
                  : Time{0},
              ghosts_of(identity.known_members)) {
   view_.merge({settings_.name,
@@ -265,9 +265,9 @@
   if (probe.target == m.from.name && m.target.empty()) {
     if (Member* member = view_.find(probe.target)) set_reachability(*member, Reachability::direct);
     if (settings_.lifeguard) local_health(-1);
-    quota_.update_members(now_,
-                          limits::QuotaLeases::QuotaAck{m.from.name, probe.sent_at, probe.announced_version,
-                                                        m.counted_disk, m.member_names_hash, m.confirmed});
+    quota_.update_members(
+        now_, admission::QuotaLeases::QuotaAck{m.from.name, probe.sent_at, probe.announced_version,
+                                               m.counted_disk, m.member_names_hash, m.confirmed});
     probes_.erase(found);
   } else if (probe.target == m.target) {
     probe.acked_indirectly = true;
@@ -472,7 +472,7 @@
 /// Tells the shares who is registered.
 void State::update_quota() {
   quota_outdated_ = false;
-  limits::QuotaLeases::MemberTable roster;
+  admission::QuotaLeases::MemberTable roster;
   std::set<std::string> in_order;
   for (const auto& [name, member] : view_.members()) {
     if (is_registered(member.update.status)) roster[name] = {member.update.disk_id, member.update.zone};
@@ -575,7 +575,7 @@
 
 std::vector<MemberUpdate> State::persistent_state() const {
   std::vector<MemberUpdate> all = full_state();
-  for (const limits::QuotaLeases::UnfencedHolder& ghost : quota_.unfenced_holders()) {
+  for (const admission::QuotaLeases::UnfencedHolder& ghost : quota_.unfenced_holders()) {
     const Member* member = view_.find(ghost.name);
     if (member != nullptr && member->update.status == MemberStatus::forgotten &&
         member->update.disk_id == ghost.identity.disk)
@@ -605,4 +605,4 @@
          probe_order_.size() + suspicion_deadlines_.size() + other_view_since_.size() + by;
 }
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/peers/reducer.h
+++ b/src/membership/reducer.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
 /// Membership among edge proxies: (state, now, input) -> effects. SWIM with Lifeguard's refinements;
-/// docs/peers.md says how and why. No I/O, no clock; random numbers come from the seed it is given.
+/// docs/membership.md says how and why. No I/O, no clock; random numbers come from the seed it is given.
 #pragma once
 
 #include <array>
@@ -14,14 +14,14 @@
 #include <variant>
 #include <vector>
 
-#include "limits/shares.h"
-#include "peers/news_queue.h"
-#include "peers/settings.h"
-#include "peers/types.h"
-#include "peers/view.h"
-#include "peers/wire.h"
+#include "admission/quota_leases.h"
+#include "membership/broadcast_queue.h"
+#include "membership/codec.h"
+#include "membership/settings.h"
+#include "membership/types.h"
+#include "membership/view.h"
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 
 // ---- Inputs ----
 
@@ -105,7 +105,7 @@
   [[nodiscard]] const MemberUpdate& self() const { return view_.find(settings_.name)->update; }
   [[nodiscard]] const Settings& settings() const { return settings_; }
   [[nodiscard]] const Counters& counters() const { return counters_; }
-  [[nodiscard]] const limits::QuotaLeases& quota() const { return quota_; }
+  [[nodiscard]] const admission::QuotaLeases& quota() const { return quota_; }
   /// How much it doubts itself: 0, not at all, to Settings::most_doubt.
   [[nodiscard]] int local_health() const { return local_health_; }
   /// Members that told another view than this one's last, and since when the first of them has.
@@ -200,10 +200,10 @@
   Time next_probe_, next_gossip_, next_reconnect_, next_full_sync_;
   Time last_full_sync_{0};
   Time decode_error_logged_at_{-10'000'000};
-  limits::QuotaLeases quota_;
+  admission::QuotaLeases quota_;
   std::size_t unfenced_persisted_ = 0;
   bool quota_outdated_ = true;  // who is registered has changed
   std::vector<Effect> effects_;
 };
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/peers/report.cpp
+++ b/src/membership/report.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-#include "peers/report.h"
+#include "membership/report.h"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
 #include <algorithm>
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 namespace {
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
@@ -67,7 +67,7 @@
   put(out, "doubt", static_cast<std::uint64_t>(state.local_health()));
   put(out, "digest", std::to_string(view.digest()));
   put(out, "differing", differing);
-  const limits::QuotaLeases::QuotaShare part = state.quota().share(now);
+  const admission::QuotaLeases::QuotaShare part = state.quota().share(now);
   out.Key("share");
   out.StartObject();
   out.Key("held");
@@ -119,4 +119,4 @@
   return all;
 }
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/peers/report.h
+++ b/src/membership/report.h
@@ -7,9 +7,9 @@
 #include <utility>
 #include <vector>
 
-#include "peers/reducer.h"
+#include "membership/reducer.h"
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 
 /// One JSON object: where this proxy stands, and each member. Times are milliseconds before `now`.
 std::string report(const State& state, Time now);
@@ -21,4 +21,4 @@
 };
 std::vector<Metric> metrics(const State& state, Time now);
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/peers/settings.h
+++ b/src/membership/settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What the peers' decisions are set by. Defaults and their reasons: docs/peers.md, "Values".
+/// What the peers' decisions are set by. Defaults and their reasons: docs/membership.md, "Values".
 #pragma once
 
 #include <cstddef>
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "peers/types.h"
+#include "membership/types.h"
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 
 struct Settings {
   std::string cluster;
@@ -35,10 +35,10 @@
   int max_health_score = 8;             ///< of itself: probes slow down up to this many times more
   Time full_sync_interval{30'000'000};  ///< for 32 members; longer in proportion for more
   Time reconnect_interval{1'000'000};   ///< one that is not reached is asked whether it is back
-  Time quota_lease{60'000'000};         ///< limits/shares.h
+  Time quota_lease{60'000'000};         ///< admission/quota_leases.h
   std::size_t expected_members = 1;     ///< members that a new fleet begins with
   bool lifeguard = true;                ///< false only to measure what the refinements bring
   bool operator==(const Settings&) const = default;
 };
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/peers/types.h
+++ b/src/membership/types.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What edge proxies tell each other of themselves and of others (docs/peers.md). Plain values: how they look
-/// on the wire is codec's matter (peers/wire.h).
+/// What edge proxies tell each other of themselves and of others (docs/membership.md). Plain values: how they
+/// look on the wire is codec's matter (membership/codec.h).
 #pragma once
 
 #include <chrono>
@@ -12,7 +12,7 @@
 #include <tuple>
 #include <vector>
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 
 /// Monotonic time of this process; never compared with another process's.
 using Time = std::chrono::microseconds;
@@ -80,11 +80,11 @@
   std::uint64_t digest = 0;            ///< of the sender's view
   std::string target, target_address;  ///< of ask; an ack that is passed on names who acked as `target`
   std::vector<MemberUpdate> updates;
-  // Of acks, for the shares of what all use (limits/shares.h).
+  // Of acks, for the shares of what all use (admission/quota_leases.h).
   std::uint64_t counted_disk = 0;       ///< the disk under which the receiver is counted; 0: it is not
   std::uint64_t member_names_hash = 0;  ///< of the names that the sender counts
   bool confirmed = false;               ///< the sender is counted by all
   std::string payload;                  ///< of carry
 };
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/peers/view.cpp
+++ b/src/membership/view.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-#include "peers/view.h"
+#include "membership/view.h"
 
 #include <algorithm>
 #include <array>
 
-#include "hash.h"
+#include "base/hash.h"
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 namespace {
 
 std::uint64_t mix(std::uint64_t x) {
@@ -60,7 +60,7 @@
       member.suspected_by.insert(news.reported_by), member.suspected_since = now;
     add_to_counts(member, 1);
     members_.emplace(news.name, std::move(member));
-    if (!peers::is_registered(news.status)) add_tombstone(news.name);
+    if (!membership::is_registered(news.status)) add_tombstone(news.name);
     taken.result = MergeResult::changed;
     taken.is_new = true;
     return taken;
@@ -97,8 +97,9 @@
   if (news.status == MemberStatus::dead)
     member.reachability = Reachability::unreachable, member.reachability_since = now;
   add_to_counts(member, 1);
-  if (!peers::is_registered(news.status) && peers::is_registered(before.status)) add_tombstone(news.name);
-  if (peers::is_registered(news.status) && !peers::is_registered(before.status))
+  if (!membership::is_registered(news.status) && membership::is_registered(before.status))
+    add_tombstone(news.name);
+  if (membership::is_registered(news.status) && !membership::is_registered(before.status))
     std::erase(tombstones_, news.name);
   taken.result = MergeResult::changed;
   return taken;
@@ -107,7 +108,7 @@
 void View::add_to_counts(const Member& member, int sign) {
   ++revision_;
   const auto step = [sign](std::size_t& number) { sign > 0 ? ++number : --number; };
-  if (peers::is_registered(member.update.status)) {
+  if (membership::is_registered(member.update.status)) {
     step(registered_);
     // Marks of those that have gone are kept for a bounded time only, so they stay out of the digest.
     digest_ += sign > 0 ? hash_of(member.update) : ~hash_of(member.update) + 1;
@@ -131,4 +132,4 @@
   return reachable_ > 1 ? PartitionStatus::minority : PartitionStatus::isolated;
 }
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/peers/view.h
+++ b/src/membership/view.h
@@ -14,9 +14,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "peers/types.h"
+#include "membership/types.h"
 
-namespace dahliahall::peers {
+namespace edge_proxy::membership {
 
 /// How this proxy and a member reach each other.
 enum class Reachability : std::uint8_t {
@@ -94,4 +94,4 @@
   std::uint64_t digest_ = 0, revision_ = 0;
 };
 
-}  // namespace dahliahall::peers
+}  // namespace edge_proxy::membership
--- a/src/edge/admin.cpp
+++ b/src/proxy/admin/admin_connections.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-#include "edge/admin.h"
+#include "proxy/admin/admin_connections.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 namespace {
 
 constexpr std::string_view kMembers = "/v1/pop-caches/";
@@ -99,4 +99,4 @@
   while (!connections_.empty()) end(connections_.begin()->first, CloseReason::stopping, true);
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/admin.h
+++ b/src/proxy/admin/admin_connections.h
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "codec/http_call.h"
-#include "edge/context.h"
+#include "proxy/context.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 /// What operators can ask for.
 enum class AdminOperation {
@@ -65,4 +65,4 @@
   std::map<ConnectionId, AdminConnection> connections_;
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/operators.cpp
+++ b/src/proxy/admin/admin_handler.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-#include "edge/operators.h"
+#include "proxy/admin/admin_handler.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 codec::EndpointUpdate AdminHandler::execute(const AdminCall& call, Time now) {
   if (call.operation != AdminOperation::suspend && call.operation != AdminOperation::resume) return {};
@@ -93,4 +93,4 @@
   return text + dependencies_.membership.metrics() + dependencies_.policy.metrics();
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/operators.h
+++ b/src/proxy/admin/admin_handler.h
@@ -5,14 +5,14 @@
 
 #include <string>
 
-#include "edge/admin.h"
-#include "edge/agreeing.h"
-#include "edge/membership.h"
-#include "edge/peering.h"
-#include "edge/pool.h"
-#include "edge/requests.h"
+#include "proxy/admin/admin_connections.h"
+#include "proxy/client/pending_requests.h"
+#include "proxy/cluster/membership_adapter.h"
+#include "proxy/cluster/policy_controller.h"
+#include "proxy/upstream/endpoint_directory.h"
+#include "proxy/upstream/upstream_pool.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 class AdminHandler {
  public:
@@ -42,4 +42,4 @@
   bool target_known_ = false;  // the member that the last call named
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/load_log.cpp
+++ b/src/proxy/admin/stats_log.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: MIT
-#include "edge/load_log.h"
+#include "proxy/admin/stats_log.h"
 
 #include <array>
 #include <string_view>
 #include <utility>
 
-#include "edge/bounds.h"
+#include "proxy/resource_limits.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 namespace {
 
 std::string_view name_of(AttemptResult ending) {
@@ -52,4 +52,4 @@
   }
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/load_log.h
+++ b/src/proxy/admin/stats_log.h
@@ -7,11 +7,11 @@
 #include <map>
 #include <string>
 
-#include "dahliahall/choice.h"
-#include "edge/context.h"
-#include "edge/pool.h"
+#include "edge_proxy/router.h"
+#include "proxy/context.h"
+#include "proxy/upstream/upstream_pool.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 class StatsLog {
  public:
@@ -43,4 +43,4 @@
   int failed_attempt_lines_ = 0;
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/fronts.cpp
+++ b/src/proxy/client/client_connections.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-#include "edge/fronts.h"
+#include "proxy/client/client_connections.h"
 
 #include <algorithm>
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 namespace {
 
 constexpr int kBusyRank = 4;
@@ -210,4 +210,4 @@
   for (const ConnectionId id : due) close(id, CloseReason::stopping, true);
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/fronts.h
+++ b/src/proxy/client/client_connections.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "edge/context.h"
-#include "edge/front.h"
+#include "proxy/client/client_protocol.h"
+#include "proxy/context.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 class ClientConnections {
  public:
@@ -81,4 +81,4 @@
   std::size_t unsent_bytes_ = 0;
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/front.h
+++ b/src/proxy/client/client_protocol.h
@@ -13,7 +13,7 @@
 #include <variant>
 #include <vector>
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 /// Names one call on its connection.
 using CallId = std::int32_t;
@@ -61,4 +61,4 @@
 
 std::unique_ptr<ClientProtocol> make_thrift_protocol();
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/requests.cpp
+++ b/src/proxy/client/pending_requests.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-#include "edge/requests.h"
+#include "proxy/client/pending_requests.h"
 
 #include <algorithm>
 #include <charconv>
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 namespace {
 
 using namespace std::chrono_literals;
@@ -83,7 +83,7 @@
       std::chrono::milliseconds(*limit) <= kMostDeadlines * known->deadline && piece && lot && *lot >= 0 &&
       *lot <= 255 && kb && *kb >= 0 && *kb <= max_size_kb(*known) && *piece <= kMaxPiece &&
       call.body.size() <= kMaxSent && (taken.client_entity_tag.empty() || plain(taken.client_entity_tag)) &&
-      (taken.key.empty() ? known->idempotency != dahliahall::Idempotency::with_key : plain(taken.key));
+      (taken.key.empty() ? known->idempotency != edge_proxy::Idempotency::with_key : plain(taken.key));
   if (!good) return std::nullopt;
   Request& r = taken.request;
   r.id = id;
@@ -201,4 +201,4 @@
                                      : counted.failed);
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/requests.h
+++ b/src/proxy/client/pending_requests.h
@@ -12,10 +12,10 @@
 #include <vector>
 
 #include "codec/cache_lines.h"
-#include "edge/context.h"
-#include "edge/fronts.h"
+#include "proxy/client/client_connections.h"
+#include "proxy/context.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 /// A request that was taken and not answered yet. Texts are the bytes that the client sent.
 struct PendingRequest {
@@ -89,4 +89,4 @@
   std::vector<AnswerCounts> answer_counts_;
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/thrift_front.cpp
+++ b/src/proxy/client/thrift_protocol.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 #include "codec/thrift.h"
-#include "edge/front.h"
+#include "proxy/client/client_protocol.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 namespace {
 
 constexpr std::int16_t kTrylater = 1, kAborted = 2;
@@ -74,4 +74,4 @@
 
 std::unique_ptr<ClientProtocol> make_thrift_protocol() { return std::make_unique<ThriftProtocol>(); }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/peering.cpp
+++ b/src/proxy/cluster/membership_adapter.cpp
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: MIT
-#include "edge/peering.h"
+#include "proxy/cluster/membership_adapter.h"
 
-#include "peers/report.h"
+#include "membership/report.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 MembershipAdapter::MembershipAdapter(Context& context, const config::Config& config)
     : context_(context), seed_(config.seed) {
   if (config.membership) settings_ = config.membership->settings;
 }
 
-void MembershipAdapter::start(const peers::Identity& identity) {
+void MembershipAdapter::start(const membership::Identity& identity) {
   if (!settings_ || state_) return;
   // Each start draws otherwise, and so does each disk: guards against proxies of one seed that probe in step.
   state_.emplace(*settings_, identity, seed_ ^ identity.disk_id ^ identity.incarnation, context_.now);
@@ -18,16 +18,16 @@
                std::to_string(identity.disk_id) + " incarnation=" + std::to_string(identity.incarnation) +
                " new_disk=" + (identity.is_new_disk ? "1" : "0") +
                " known=" + std::to_string(identity.known_members.size()));
-  handle(peers::TimerExpired{});
+  handle(membership::TimerExpired{});
 }
 
-void MembershipAdapter::handle(const peers::Input& input) {
+void MembershipAdapter::handle(const membership::Input& input) {
   if (!state_) return;
   share_outdated_ = true;
-  const peers::PartitionStatus before = state_->view().partition_status();
-  for (peers::Effect& effect : state_->handle(context_.now, input))
+  const membership::PartitionStatus before = state_->view().partition_status();
+  for (membership::Effect& effect : state_->handle(context_.now, input))
     std::visit([this](auto& e) { forward(e); }, effect);
-  const peers::View& view = state_->view();
+  const membership::View& view = state_->view();
   if (view.partition_status() != before)
     context_.log("peers stands=" + std::string(name_of(view.partition_status())) +
                  " before=" + std::string(name_of(before)) + " reached=" + std::to_string(view.reachable()) +
@@ -37,15 +37,15 @@
 }
 
 void MembershipAdapter::run_timers() {
-  if (state_ && state_->next_due() <= context_.now) handle(peers::TimerExpired{});
+  if (state_ && state_->next_due() <= context_.now) handle(membership::TimerExpired{});
 }
 
 std::map<std::string, bool> MembershipAdapter::members() const {
   std::map<std::string, bool> all;
   if (!state_) return all;
   for (const auto& [name, member] : state_->view().members()) {
-    if (peers::is_registered(member.update.status))
-      all[name] = member.update.status == peers::MemberStatus::alive;
+    if (membership::is_registered(member.update.status))
+      all[name] = member.update.status == membership::MemberStatus::alive;
   }
   return all;
 }
@@ -58,9 +58,9 @@
 std::optional<QuotaChanged> MembershipAdapter::take_changed_quota(int cluster_size, int zone_size) {
   if (!settings_ || (!share_outdated_ && context_.now < share_.expires_at)) return std::nullopt;
   share_outdated_ = false;
-  const limits::QuotaLeases::QuotaShare before = share_;
+  const admission::QuotaLeases::QuotaShare before = share_;
   share_ = state_ ? state_->quota().share(context_.now)
-                  : limits::QuotaLeases::QuotaShare{0, 0, false, Time::max()};
+                  : admission::QuotaLeases::QuotaShare{0, 0, false, Time::max()};
   if (share_.of_cluster == before.of_cluster && share_.of_zone == before.of_zone && persisted_once_)
     return std::nullopt;
   persisted_once_ = true;
@@ -72,33 +72,33 @@
 
 void MembershipAdapter::stop() {
   if (!settings_) return;
-  handle(peers::ShutdownRequested{});
+  handle(membership::ShutdownRequested{});
   context_.effects.emplace_back(StopMembership{});
 }
 
 std::optional<std::string> MembershipAdapter::report() const {
   if (!state_) return std::nullopt;
-  return peers::report(*state_, context_.now);
+  return membership::report(*state_, context_.now);
 }
 
 std::string MembershipAdapter::metrics() const {
   std::string text;
   if (!state_) return text;
-  for (const peers::Metric& figure : peers::metrics(*state_, context_.now))
+  for (const membership::Metric& figure : membership::metrics(*state_, context_.now))
     text += "svc.peers." + figure.name + ":" + std::to_string(figure.value) +
             (figure.is_counter ? "|c\n" : "|g\n");
   return text;
 }
 
 MembershipAdapter::ForgetResult MembershipAdapter::forget(const std::string& name) {
-  const peers::Member* member = state_ ? state_->view().find(name) : nullptr;
+  const membership::Member* member = state_ ? state_->view().find(name) : nullptr;
   if (member == nullptr) return ForgetResult::unknown;
-  if (member->update.status == peers::MemberStatus::forgotten ||
-      member->update.status == peers::MemberStatus::left)
+  if (member->update.status == membership::MemberStatus::forgotten ||
+      member->update.status == membership::MemberStatus::left)
     return ForgetResult::forgotten;
-  if (member->update.status != peers::MemberStatus::dead) return ForgetResult::reachable;
-  handle(peers::ForgetMember{name});
+  if (member->update.status != membership::MemberStatus::dead) return ForgetResult::reachable;
+  handle(membership::ForgetMember{name});
   return ForgetResult::forgotten;
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/peering.h
+++ b/src/proxy/cluster/membership_adapter.h
@@ -9,17 +9,17 @@
 #include <string>
 #include <vector>
 
-#include "edge/context.h"
-#include "peers/reducer.h"
+#include "membership/reducer.h"
+#include "proxy/context.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 class MembershipAdapter {
  public:
   MembershipAdapter(Context& context, const config::Config& config);
 
-  void start(const peers::Identity& identity);
-  void handle(const peers::Input& input);
+  void start(const membership::Identity& identity);
+  void handle(const membership::Input& input);
   void run_timers();
   [[nodiscard]] std::optional<Time> next_due() const;
   /// The part of its even share that this proxy may use from now on, where that has changed: to be asked for
@@ -29,10 +29,12 @@
   void stop();
   /// Bytes of another part, for that member.
   void send_user_message(const std::string& to, std::string bytes) {
-    handle(peers::SendUserMessage{to, std::move(bytes)});
+    handle(membership::SendUserMessage{to, std::move(bytes)});
   }
   /// What members had carried here since.
-  std::vector<peers::UserMessageReceived> take_user_messages() { return std::exchange(user_messages_, {}); }
+  std::vector<membership::UserMessageReceived> take_user_messages() {
+    return std::exchange(user_messages_, {});
+  }
   /// Another one where members() may have changed.
   [[nodiscard]] std::uint64_t revision() const { return state_ ? state_->view().revision() : 0; }
   /// The registered members, and whether each is reached.
@@ -46,22 +48,24 @@
   ForgetResult forget(const std::string& name);
 
  private:
-  void forward(peers::SendDatagram& e) { context_.effects.emplace_back(MembershipEffect{std::move(e)}); }
-  void forward(peers::SendFullSync& e) { context_.effects.emplace_back(MembershipEffect{std::move(e)}); }
-  void forward(peers::FullSyncReply& e) { context_.effects.emplace_back(MembershipEffect{std::move(e)}); }
-  void forward(peers::LogLine& e) { context_.log(std::move(e.line)); }
-  void forward(peers::PersistState&) { persist_ = true; }
-  void forward(peers::UserMessageReceived& e) { user_messages_.push_back(std::move(e)); }
+  void forward(membership::SendDatagram& e) { context_.effects.emplace_back(MembershipEffect{std::move(e)}); }
+  void forward(membership::SendFullSync& e) { context_.effects.emplace_back(MembershipEffect{std::move(e)}); }
+  void forward(membership::FullSyncReply& e) {
+    context_.effects.emplace_back(MembershipEffect{std::move(e)});
+  }
+  void forward(membership::LogLine& e) { context_.log(std::move(e.line)); }
+  void forward(membership::PersistState&) { persist_ = true; }
+  void forward(membership::UserMessageReceived& e) { user_messages_.push_back(std::move(e)); }
 
   Context& context_;
-  std::optional<peers::Settings> settings_;
+  std::optional<membership::Settings> settings_;
   std::uint64_t seed_;
-  std::optional<peers::State> state_;
-  std::vector<peers::UserMessageReceived> user_messages_;
+  std::optional<membership::State> state_;
+  std::vector<membership::UserMessageReceived> user_messages_;
   bool persist_ = false;
   bool persisted_once_ = false;
   bool share_outdated_ = true;  // the shares may have changed
-  limits::QuotaLeases::QuotaShare share_;
+  admission::QuotaLeases::QuotaShare share_;
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/agreeing.cpp
+++ b/src/proxy/cluster/policy_controller.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-#include "edge/agreeing.h"
+#include "proxy/cluster/policy_controller.h"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
-#include "fields.h"
+#include "config/fields.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 namespace {
 
 constexpr unsigned kNumbersOfALife = 20;  // bits: numbers of questions within one incarnation
@@ -28,17 +28,17 @@
   };
 }
 
-void PolicyController::start(const peers::Identity& identity) {
+void PolicyController::start(const membership::Identity& identity) {
   if (!settings_ || state_) return;
   state_.emplace(*settings_, identity.incarnation << kNumbersOfALife, seed_ ^ identity.disk_id, context_.now);
   update_members();
-  for (const agreed::Input& input : std::exchange(inputs_before_start_, {})) handle(input);
-  handle(agreed::TimerExpired{});
+  for (const consensus::Input& input : std::exchange(inputs_before_start_, {})) handle(input);
+  handle(consensus::TimerExpired{});
 }
 
-void PolicyController::handle(const agreed::Input& input) {
+void PolicyController::handle(const consensus::Input& input) {
   if (!state_) return;
-  for (agreed::Effect& effect : state_->handle(context_.now, input))
+  for (consensus::Effect& effect : state_->handle(context_.now, input))
     std::visit([this](auto& e) { forward(e); }, effect);
 }
 
@@ -53,13 +53,13 @@
     inputs_before_start_.insert(inputs_before_start_.end(), out.inputs.begin(), out.inputs.end());
     return;
   }
-  for (const agreed::Input& input : out.inputs) handle(input);
+  for (const consensus::Input& input : out.inputs) handle(input);
 }
 
-void PolicyController::on_user_message(const peers::UserMessageReceived& carried) {
+void PolicyController::on_user_message(const membership::UserMessageReceived& carried) {
   if (!state_) return;
   bool unlike = false;
-  auto decoded = agreed::decode(carried.payload, settings_->lease, &unlike);
+  auto decoded = consensus::decode(carried.payload, settings_->lease, &unlike);
   if (!decoded) {
     // Guards the log against one that says so again and again.
     if (lease_mismatches_++ % 1000 == 0)
@@ -68,13 +68,13 @@
           (unlike ? " its leases are other than here: peers of a cluster need the same" : " malformed"));
     return;
   }
-  if (auto* message = std::get_if<agreed::Message>(&*decoded)) {
-    handle(agreed::MessageReceived{carried.from, std::move(*message)});
-  } else if (auto* log = std::get_if<agreed::RaftMessage>(&*decoded)) {
+  if (auto* message = std::get_if<consensus::Message>(&*decoded)) {
+    handle(consensus::MessageReceived{carried.from, std::move(*message)});
+  } else if (auto* log = std::get_if<consensus::RaftMessage>(&*decoded)) {
     context_.effects.emplace_back(ConsensusEffect{std::move(*log)});
   } else {
     context_.effects.emplace_back(
-        ConsensusEffect{BootstrapReceived{carried.from, std::get<agreed::BootstrapMessage>(*decoded)}});
+        ConsensusEffect{BootstrapReceived{carried.from, std::get<consensus::BootstrapMessage>(*decoded)}});
   }
 }
 
@@ -82,11 +82,11 @@
   // Guards the request path against work that grows with the members.
   if (!state_ || members_revision_ == membership_.revision()) return;
   members_revision_ = membership_.revision();
-  handle(agreed::MembersChanged{membership_.members()});
+  handle(consensus::MembersChanged{membership_.members()});
 }
 
 void PolicyController::run_timers() {
-  if (state_ && state_->next_due() <= context_.now) handle(agreed::TimerExpired{});
+  if (state_ && state_->next_due() <= context_.now) handle(consensus::TimerExpired{});
 }
 
 std::optional<Time> PolicyController::next_due() const {
@@ -94,11 +94,11 @@
   return state_->next_due();
 }
 
-void PolicyController::forward(agreed::SendMessage& e) {
-  membership_.send_user_message(e.to, agreed::encode(e.message, settings_->lease));
+void PolicyController::forward(consensus::SendMessage& e) {
+  membership_.send_user_message(e.to, consensus::encode(e.message, settings_->lease));
 }
 
-void PolicyController::forward(agreed::EpochChanged& e) {
+void PolicyController::forward(consensus::EpochChanged& e) {
   if (current_epoch_ && current_epoch_ != e.epoch) {
     previous_epoch_ = current_epoch_;
     // Guards the next epoch against a standstill: the one before ended when its lease did, not when that was
@@ -119,13 +119,13 @@
   }
 }
 
-std::optional<agreed::Epoch> PolicyController::epoch() const {
+std::optional<consensus::Epoch> PolicyController::epoch() const {
   if (!state_ || !current_epoch_) return std::nullopt;
   const auto now = state_->decision_epoch(context_.now);
   return now == current_epoch_ ? now : std::nullopt;
 }
 
-bool PolicyController::can_attempt(agreed::Epoch accepted_under) const {
+bool PolicyController::can_attempt(consensus::Epoch accepted_under) const {
   if (!is_enabled() || epoch() == accepted_under) return true;
   // Its lease may have run out since anything was told.
   const bool untold = current_epoch_ == accepted_under;
@@ -156,8 +156,8 @@
     root.need("policy").Accept(writer);
     const std::int64_t base = root.integer("base");
     if (base < 0) root.fail("base", "should be 0 or more");
-    handle(agreed::ProposeCall{connection, root.text("key"), static_cast<agreed::Epoch>(base),
-                               text.GetString()});
+    handle(consensus::ProposeCall{connection, root.text("key"), static_cast<consensus::Epoch>(base),
+                                  text.GetString()});
   } catch (const FieldError& problem) {
     replies_.emplace_back(connection, 400, std::string(problem.what()) + "\n");
   }
@@ -165,7 +165,7 @@
 
 void PolicyController::abort(ConnectionId connection) {
   if (state_) {
-    handle(agreed::AbortCall{connection});
+    handle(consensus::AbortCall{connection});
   } else {
     replies_.emplace_back(connection, 404, "no policy is configured\n");
   }
@@ -181,7 +181,7 @@
 
 std::optional<std::string> PolicyController::report() const {
   if (!state_) return std::nullopt;
-  const agreed::PolicyStateMachine& at = state_->policy_state();
+  const consensus::PolicyStateMachine& at = state_->policy_state();
   rapidjson::StringBuffer text;
   rapidjson::Writer<rapidjson::StringBuffer> json(text);
   const auto put_text = [&json](const char* key, const std::string& value) {
@@ -232,7 +232,7 @@
         .append(kind)
         .append("\n");
   };
-  const agreed::Counters& c = state_->counters();
+  const consensus::Counters& c = state_->counters();
   tell("epoch", state_->policy_state().epoch(), "|g");
   tell("decides", epoch() ? 1 : 0, "|g");
   tell("leads", state_->lease_manager() ? 1 : 0, "|g");
@@ -247,4 +247,4 @@
   return text;
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/agreeing.h
+++ b/src/proxy/cluster/policy_controller.h
@@ -9,13 +9,13 @@
 #include <optional>
 #include <string>
 
-#include "agreed/raft_log.h"
-#include "agreed/reducer.h"
-#include "edge/context.h"
-#include "edge/peering.h"
-#include "edge/policy_text.h"
+#include "consensus/raft_log.h"
+#include "consensus/reducer.h"
+#include "proxy/cluster/membership_adapter.h"
+#include "proxy/cluster/policy_terms.h"
+#include "proxy/context.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 /// No attempt of a request begins later than this after its epoch has ended here.
 constexpr Time kAttemptsAfterEpoch = std::chrono::milliseconds(300);
@@ -26,21 +26,21 @@
 
   [[nodiscard]] bool is_enabled() const { return settings_.has_value(); }
   /// Numbers of this process are above those of any earlier one with this incarnation.
-  void start(const peers::Identity& identity);
-  void handle(const agreed::Input& input);
+  void start(const membership::Identity& identity);
+  void handle(const consensus::Input& input);
   void handle(const ConsensusOutput& out);
   /// What a member had carried here.
-  void on_user_message(const peers::UserMessageReceived& carried);
+  void on_user_message(const membership::UserMessageReceived& carried);
   void run_timers();
   [[nodiscard]] std::optional<Time> next_due() const;
   /// Told of who is registered and reached where that has changed.
   void update_members();
 
   /// Whether a request may be decided now, and under which epoch.
-  [[nodiscard]] std::optional<agreed::Epoch> epoch() const;
+  [[nodiscard]] std::optional<consensus::Epoch> epoch() const;
   [[nodiscard]] bool can_decide() const { return !is_enabled() || epoch().has_value(); }
   /// Whether an attempt may still begin, of a request that was taken under that epoch.
-  [[nodiscard]] bool can_attempt(agreed::Epoch accepted_under) const;
+  [[nodiscard]] bool can_attempt(consensus::Epoch accepted_under) const;
   /// The terms that hold from now on, where they have changed: to be taken over before anything is decided.
   std::optional<PolicyTerms> take_changed_terms();
   /// A request was refused since nothing is decided.
@@ -59,31 +59,31 @@
   [[nodiscard]] std::string metrics() const;
 
  private:
-  void forward(agreed::SendMessage& e);
-  void forward(agreed::AppendEntry& e) { context_.effects.emplace_back(ConsensusEffect{std::move(e)}); }
-  void forward(agreed::CheckTerm& e) { context_.effects.emplace_back(ConsensusEffect{std::move(e)}); }
-  void forward(agreed::PersistLearned& e) { context_.effects.emplace_back(ConsensusEffect{std::move(e)}); }
-  void forward(agreed::EpochChanged& e);
-  void forward(agreed::AdminReply& e) { replies_.emplace_back(e.call, e.status, e.body + "\n"); }
-  void forward(agreed::LogLine& e) { context_.log(std::move(e.line)); }
+  void forward(consensus::SendMessage& e);
+  void forward(consensus::AppendEntry& e) { context_.effects.emplace_back(ConsensusEffect{std::move(e)}); }
+  void forward(consensus::CheckTerm& e) { context_.effects.emplace_back(ConsensusEffect{std::move(e)}); }
+  void forward(consensus::PersistLearned& e) { context_.effects.emplace_back(ConsensusEffect{std::move(e)}); }
+  void forward(consensus::EpochChanged& e);
+  void forward(consensus::AdminReply& e) { replies_.emplace_back(e.call, e.status, e.body + "\n"); }
+  void forward(consensus::LogLine& e) { context_.log(std::move(e.line)); }
 
   Context& context_;
   MembershipAdapter& membership_;
-  std::optional<agreed::Settings> settings_;
+  std::optional<consensus::Settings> settings_;
   Settings startup_settings_;
   std::uint64_t seed_;
   bool tracing_ = false;
-  std::optional<agreed::State> state_;
-  std::vector<agreed::Input> inputs_before_start_;  // of the log, before there is a state
-  std::uint64_t members_revision_ = 0;              // revision of the peers
+  std::optional<consensus::State> state_;
+  std::vector<consensus::Input> inputs_before_start_;  // of the log, before there is a state
+  std::uint64_t members_revision_ = 0;                 // revision of the peers
   std::optional<PolicyTerms> changed_terms_;
-  std::optional<agreed::Epoch> current_epoch_, previous_epoch_;  // under which it decides, and did before
-  std::optional<agreed::Epoch> applied_epoch_;                   // that the module has
-  Time previous_epoch_ended_at_{0};                              // of before_
+  std::optional<consensus::Epoch> current_epoch_, previous_epoch_;  // under which it decides, and did before
+  std::optional<consensus::Epoch> applied_epoch_;                   // that the module has
+  Time previous_epoch_ended_at_{0};                                 // of before_
   std::uint64_t rejected_ = 0, lease_mismatches_ = 0;
   std::map<std::string, std::uint64_t> voters_;
   std::uint64_t raft_id_ = 0;
   std::vector<std::tuple<ConnectionId, int, std::string>> replies_;
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/policy_text.cpp
+++ b/src/proxy/cluster/policy_terms.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
-#include "edge/policy_text.h"
+#include "proxy/cluster/policy_terms.h"
 
 #include <algorithm>
 
-#include "fields.h"
+#include "config/fields.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 namespace {
 
 constexpr std::size_t kMostOut = 1024;
@@ -73,4 +73,4 @@
   return terms;
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/policy_text.h
+++ b/src/proxy/cluster/policy_terms.h
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What a policy says: those settings that a running proxy takes over whole (docs/agreed.md, "The policy").
+/// What a policy says: those settings that a running proxy takes over whole (docs/consensus.md, "The
+/// policy").
 #pragma once
 
 #include <set>
 #include <string>
 
-#include "dahliahall/choice.h"
+#include "edge_proxy/router.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 struct PolicyTerms {
   Settings settings;  ///< those of the start, with what the policy says in their place
@@ -19,4 +20,4 @@
 /// Throws FieldError, which names the key, where this proxy could not run it. An empty text says nothing.
 PolicyTerms read_policy_terms(const std::string& text, const Settings& start);
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/context.cpp
+++ b/src/proxy/context.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-#include "edge/context.h"
+#include "proxy/context.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 void Context::log(std::string line) { effects.emplace_back(LogLine{std::move(line)}); }
 
@@ -33,4 +33,4 @@
   log(std::move(line));
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/context.h
+++ b/src/proxy/context.h
@@ -9,11 +9,11 @@
 #include <utility>
 #include <vector>
 
-#include "edge/bounds.h"
-#include "edge/reducer.h"
-#include "timer_queue.h"
+#include "base/timer_queue.h"
+#include "proxy/reducer.h"
+#include "proxy/resource_limits.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 enum class TimerKind {
   router_timer,        // a Wake of the module's
@@ -65,4 +65,4 @@
   void log_closed(const ConnectionRecord& record, CloseReason reason, bool close_it);
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/bulletin_link.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-#include "edge/bulletin_link.h"
+#include "proxy/discovery/discovery_client.h"
 
 #include <algorithm>
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 namespace {
 
 using namespace std::chrono_literals;
@@ -135,4 +135,4 @@
   return Time{static_cast<std::int64_t>(part(random_))};
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/bulletin_link.h
+++ b/src/proxy/discovery/discovery_client.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "codec/event_stream.h"
-#include "edge/context.h"
+#include "proxy/context.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 class DiscoveryClient {
  public:
@@ -61,4 +61,4 @@
   codec::EventStreamReader reader_;
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/copies.cpp
+++ b/src/proxy/local_cache.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: MIT
-#include "edge/copies.h"
+#include "proxy/local_cache.h"
 
 #include <algorithm>
 #include <charconv>
 #include <functional>
 
-#include "edge/bounds.h"
+#include "proxy/resource_limits.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 namespace {
 
 std::uint64_t fingerprint(std::string_view tag, std::string_view body) {
@@ -123,4 +123,4 @@
   while (bytes_ > max_bytes_ && !lru_.empty()) erase(std::prev(lru_.end()));
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/copies.h
+++ b/src/proxy/local_cache.h
@@ -11,11 +11,11 @@
 #include <tuple>
 #include <vector>
 
-#include "codec/bulletin.h"
 #include "codec/cache_lines.h"
+#include "codec/discovery_events.h"
 #include "config/config.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 class LocalCache {
  public:
@@ -73,4 +73,4 @@
   std::map<InvalidationKey, Time> invalidations_;
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/reducer.cpp
+++ b/src/proxy/reducer.cpp
@@ -1,25 +1,25 @@
 // SPDX-License-Identifier: MIT
-#include "edge/reducer.h"
+#include "proxy/reducer.h"
 
 #include <algorithm>
 #include <array>
 #include <map>
 #include <set>
 
-#include "edge/admin.h"
-#include "edge/agreeing.h"
-#include "edge/bulletin_link.h"
-#include "edge/context.h"
-#include "edge/copies.h"
-#include "edge/fronts.h"
-#include "edge/load_log.h"
-#include "edge/membership.h"
-#include "edge/operators.h"
-#include "edge/peering.h"
-#include "edge/pool.h"
-#include "edge/requests.h"
-
-namespace dahliahall::edge {
+#include "proxy/admin/admin_connections.h"
+#include "proxy/admin/admin_handler.h"
+#include "proxy/admin/stats_log.h"
+#include "proxy/client/client_connections.h"
+#include "proxy/client/pending_requests.h"
+#include "proxy/cluster/membership_adapter.h"
+#include "proxy/cluster/policy_controller.h"
+#include "proxy/context.h"
+#include "proxy/discovery/discovery_client.h"
+#include "proxy/local_cache.h"
+#include "proxy/upstream/endpoint_directory.h"
+#include "proxy/upstream/upstream_pool.h"
+
+namespace edge_proxy::proxy {
 namespace {
 
 using namespace std::chrono_literals;
@@ -228,7 +228,7 @@
   /// What members had carried here, who is reached, what is due; then the terms that have come to hold.
   void agree() {
     if (!agreeing_.is_enabled()) return;
-    for (const peers::UserMessageReceived& carried : peering_.take_user_messages())
+    for (const membership::UserMessageReceived& carried : peering_.take_user_messages())
       agreeing_.on_user_message(carried);
     agreeing_.update_members();
     agreeing_.run_timers();
@@ -653,4 +653,4 @@
   return state.impl_->take(now, input);
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/reducer.h
+++ b/src/proxy/reducer.h
@@ -16,11 +16,11 @@
 #include <variant>
 #include <vector>
 
-#include "agreed/raft_log.h"
 #include "config/config.h"
-#include "peers/reducer.h"
+#include "consensus/raft_log.h"
+#include "membership/reducer.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 /// Names a connection, from its Connect or Accepted on; never used again. 0 is the listening socket. Those
 /// that were accepted are odd, those that the reducer opens even: guards against one number for two, where a
@@ -97,16 +97,16 @@
 };
 /// The peers' sockets are bound, and who this process is among them is on its disk.
 struct MembershipReady {
-  peers::Identity identity;
+  membership::Identity identity;
 };
 /// What came there.
 struct MembershipInput {
-  peers::Input input;
+  membership::Input input;
 };
 /// What the policy's log has come to, beside the loop.
 struct ConsensusOutput {
   std::vector<std::pair<std::string, std::string>> messages;  ///< to that member, these bytes
-  std::vector<agreed::Input> inputs;
+  std::vector<consensus::Input> inputs;
   std::vector<std::string> log_lines;
   std::map<std::string, std::uint64_t> voters;  ///< names and ids, as the log has them
   std::vector<std::tuple<ConnectionId, int, std::string>> replies;
@@ -155,18 +155,18 @@
 };
 /// To be sent by the peers' sockets.
 struct MembershipEffect {
-  std::variant<peers::SendDatagram, peers::SendFullSync, peers::FullSyncReply> effect;
+  std::variant<membership::SendDatagram, membership::SendFullSync, membership::FullSyncReply> effect;
 };
 /// Who this process is, and the members it knows, for the next one; the newest counts.
 struct PersistMembership {
-  peers::MemberUpdate self;
-  std::vector<peers::MemberUpdate> members;
+  membership::MemberUpdate self;
+  std::vector<membership::MemberUpdate> members;
 };
 /// The peers' sockets close.
 struct StopMembership {};
 struct BootstrapReceived {
   std::string from;
-  agreed::BootstrapMessage message;
+  consensus::BootstrapMessage message;
 };
 /// An operator's word on a voter: `name=id` to be added, or a name to be removed.
 struct VoterChangeCall {
@@ -176,8 +176,8 @@
 };
 /// For the policy's log.
 struct ConsensusEffect {
-  std::variant<agreed::AppendEntry, agreed::CheckTerm, agreed::PersistLearned, agreed::RaftMessage,
-               BootstrapReceived, VoterChangeCall>
+  std::variant<consensus::AppendEntry, consensus::CheckTerm, consensus::PersistLearned,
+               consensus::RaftMessage, BootstrapReceived, VoterChangeCall>
       effect;
 };
 using Effect =
@@ -201,4 +201,4 @@
 
 std::vector<Effect> reduce(State& state, Time now, const Input& input);
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/bounds.h
+++ b/src/proxy/resource_limits.h
@@ -8,7 +8,7 @@
 
 #include "config/config.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 /// Of all classes of the settings.
 inline Time longest_deadline(const Settings& settings) {
@@ -131,4 +131,4 @@
         disconnect_unsent_bytes(std::min<std::size_t>(9 * 1024 * 1024, config.memory_bytes / 8)) {}
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/membership.cpp
+++ b/src/proxy/upstream/endpoint_directory.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: MIT
-#include "edge/membership.h"
+#include "proxy/upstream/endpoint_directory.h"
 
 #include <algorithm>
 #include <array>
 #include <charconv>
 
-#include "edge/bounds.h"
+#include "proxy/resource_limits.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 codec::ListedEndpoint EndpointDirectory::effective(const codec::ListedEndpoint& listed) const {
   const auto found = overrides_.find(listed.endpoint.id);
@@ -128,4 +128,4 @@
   return changed;
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/membership.h
+++ b/src/proxy/upstream/endpoint_directory.h
@@ -11,9 +11,9 @@
 #include <string>
 #include <string_view>
 
-#include "codec/bulletin.h"
+#include "codec/discovery_events.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 class EndpointDirectory {
  public:
@@ -57,4 +57,4 @@
   std::deque<std::string> recently_removed_;  // the ids that left last
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-#include "edge/pool.h"
+#include "proxy/upstream/upstream_pool.h"
 
 #include <algorithm>
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 namespace {
 
 using namespace std::chrono_literals;
@@ -516,4 +516,4 @@
   while (!connections_.empty()) close(connections_.begin()->first, CloseReason::stopping, true);
 }
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/edge/pool.h
+++ b/src/proxy/upstream/upstream_pool.h
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "codec/cache_lines.h"
-#include "edge/context.h"
+#include "proxy/context.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 
 /// What one attempt asks for. The texts are the bytes that the client sent.
 struct UpstreamRequest {
@@ -149,4 +149,4 @@
   std::vector<std::uint64_t> written_by_class_;
 };
 
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/src/choice.cpp
+++ b/src/routing/router.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: MIT
 //
-// The decision module of dahliahall: every decision, table and tuned value. Its interface (settings,
-// events, actions) is include/dahliahall/choice.h; docs/design.md says what is kept of the design, what
+// The decision module of edge_proxy: every decision, table and tuned value. Its interface (settings,
+// events, actions) is include/edge_proxy/router.h; docs/design.md says what is kept of the design, what
 // is changed and why.
 //
 // The ordinary path: the router counts its own requests for each part of an object over a moving window
 // and ranks the part gold, silver or bronze; cache and parent follow a hash order of the object, passing
 // over members at which its own requests under way reach a bound. Everything else here is a guard and
 // says what it guards against.
-#include "dahliahall/choice.h"
+#include "edge_proxy/router.h"
 
 #include <algorithm>
 #include <array>
@@ -19,16 +19,16 @@
 #include <unordered_map>
 #include <utility>
 
-#include "limits/fill_gate.h"
-#include "timer_queue.h"
-#include "window_counter.h"
-#include "work_window.h"
+#include "admission/fill_admission.h"
+#include "base/sliding_window_counter.h"
+#include "base/sliding_window_sum.h"
+#include "base/timer_queue.h"
 
-namespace dahliahall {
+namespace edge_proxy {
 namespace {
 
 using namespace std::chrono_literals;
-using limits::FillAdmission;
+using admission::FillAdmission;
 
 // The design's open values.
 constexpr Time kWindowPerRouter = 20s;     // the counting window, times the location's routers
@@ -972,4 +972,4 @@
 std::vector<Action> Router::handle(Time now, const Event& event) { return impl_->handle(now, event); }
 Router::Stats Router::stats() const { return impl_->beliefs(); }
 
-}  // namespace dahliahall
+}  // namespace edge_proxy
--- a/src/wire.cpp
+++ b/src/simulator/session.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "wire.h"
+#include "simulator/session.h"
 
 #include <rapidjson/error/en.h>
 #include <rapidjson/stringbuffer.h>
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "settings_reader.h"
+#include "config/settings_reader.h"
 
-namespace dahliahall::wire {
+namespace edge_proxy::simulator {
 namespace {
 
 constexpr std::array<std::string_view, 3> kStates{"Running", "Stopping", "Deleted"};
@@ -260,4 +260,4 @@
   }
 }
 
-}  // namespace dahliahall::wire
+}  // namespace edge_proxy::simulator
--- a/src/wire.h
+++ b/src/simulator/session.h
@@ -5,9 +5,9 @@
 
 #include <iosfwd>
 
-#include "fields.h"
+#include "config/fields.h"
 
-namespace dahliahall::wire {
+namespace edge_proxy::simulator {
 
 /// What is wrong with an input line; the text names the line and the field.
 using WireError = FieldError;
@@ -16,4 +16,4 @@
 /// Throws WireError where the input is malformed.
 void serve(std::istream& in, std::ostream& out);
 
-}  // namespace dahliahall::wire
+}  // namespace edge_proxy::simulator
--- a/src/storage/folder.cpp
+++ b/src/storage/folder.cpp
@@ -9,7 +9,7 @@
 #include <cerrno>
 #include <cstdio>
 
-namespace dahliahall::storage {
+namespace edge_proxy::storage {
 namespace {
 
 /// Ends with its scope.
@@ -99,4 +99,4 @@
   return fsync(folder.get()) == 0 ? 0 : errno;
 }
 
-}  // namespace dahliahall::storage
+}  // namespace edge_proxy::storage
--- a/src/storage/folder.h
+++ b/src/storage/folder.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-namespace dahliahall::storage {
+namespace edge_proxy::storage {
 
 /// A file that is written at its end. Errors are those of errno, none is 0.
 class File {
@@ -57,4 +57,4 @@
   int locked_ = -1;
 };
 
-}  // namespace dahliahall::storage
+}  // namespace edge_proxy::storage
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -7,7 +7,7 @@
 #include <cstring>
 #include <optional>
 
-namespace dahliahall::storage {
+namespace edge_proxy::storage {
 namespace {
 
 // A copy: length (4 bytes), number of the record (8), checksum of these two and of the bytes (8), the bytes.
@@ -151,4 +151,4 @@
   return true;
 }
 
-}  // namespace dahliahall::storage
+}  // namespace edge_proxy::storage
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
 /// Records in the order in which they were written, in one file: each is on the disk before its write is told
-/// to be done, each stands there twice with a checksum. docs/agreed.md, "Storage", says what it bears and why
-/// it is not a library's.
+/// to be done, each stands there twice with a checksum. docs/consensus.md, "Storage", says what it bears and
+/// why it is not a library's.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 #include "storage/folder.h"
 
-namespace dahliahall::storage {
+namespace edge_proxy::storage {
 
 class Journal {
  public:
@@ -52,4 +52,4 @@
   bool failed_ = false;
 };
 
-}  // namespace dahliahall::storage
+}  // namespace edge_proxy::storage
--- a/tests/fill_gate_test.cpp
+++ b/tests/admission/fill_admission_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
-#include "limits/fill_gate.h"
+#include "admission/fill_admission.h"
 
 #include <gtest/gtest.h>
 
 #include <vector>
 
-namespace dahliahall::limits {
+namespace edge_proxy::admission {
 namespace {
 
 using namespace std::chrono_literals;
@@ -79,4 +79,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::limits
+}  // namespace edge_proxy::admission
--- a/tests/shares_test.cpp
+++ b/tests/admission/quota_leases_test.cpp
@@ -5,19 +5,19 @@
 
 #include <algorithm>
 
-#include "peers_world.h"
+#include "support/membership_world.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
-using limits::QuotaLeases;
+using admission::QuotaLeases;
 using Time = QuotaLeases::Time;
-using peers::MemberStatus;
+using membership::MemberStatus;
 
 constexpr auto kLease = 6s;
 
 std::unique_ptr<PeersWorld> sharing(std::size_t count, std::uint64_t seed = 1) {
-  auto world = PeersWorld::settled(count, seed, [count](peers::Settings& settings) {
+  auto world = PeersWorld::settled(count, seed, [count](membership::Settings& settings) {
     settings.quota_lease = kLease;
     settings.expected_members = count;
     settings.max_members = 64;
@@ -56,7 +56,7 @@
 TEST(Shares, OneThatLeftInOrderHandsItsShareOnAtOnce) {
   const auto world = sharing(5);
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 5); }, 20s));
-  world->feed(4, peers::ShutdownRequested{});
+  world->feed(4, membership::ShutdownRequested{});
   EXPECT_LT(world->node(4).state->quota().share(world->local(4)).of_cluster, 0.01)
       << "before anybody hears of it";
   world->kill(4);
@@ -68,7 +68,7 @@
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 5); }, 20s));
   world->kill(4);
   ASSERT_TRUE(world->until([&] { return world->believes(0, 4, MemberStatus::dead); }, 10s));
-  world->feed(0, peers::ForgetMember{"n4"});
+  world->feed(0, membership::ForgetMember{"n4"});
   world->run(kLease - 100ms);
   EXPECT_TRUE(all_hold(*world, 0.9 / 5)) << "not before";
   EXPECT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 4); }, 10s));
@@ -95,7 +95,7 @@
                world->believes(0, 2, MemberStatus::dead);
       },
       20s));
-  for (const char* name : {"n2", "n3", "n4"}) world->feed(0, peers::ForgetMember{name});
+  for (const char* name : {"n2", "n3", "n4"}) world->feed(0, membership::ForgetMember{name});
   for (int i = 0; i < 200; ++i) {
     world->run(200ms);
     ASSERT_LE(used(*world), 1.0) << world->now().count();
@@ -110,7 +110,7 @@
   world->cut = [](std::size_t a, std::size_t b) { return a == 0 && b != 0; };  // it hears, and is not heard
   ASSERT_TRUE(world->until([&] { return world->believes(2, 0, MemberStatus::dead); }, 20s));
   EXPECT_GT(world->node(0).state->counters().refutations, 0U);
-  world->feed(2, peers::ForgetMember{"n0"});
+  world->feed(2, membership::ForgetMember{"n0"});
   ASSERT_TRUE(world->until([&] { return world->believes(1, 0, MemberStatus::forgotten); }, 5s));
   world->run(1s);
   world->cut = [](std::size_t a, std::size_t b) { return (a == 2) != (b == 2); };  // 0 and 1 meet again
@@ -157,18 +157,18 @@
   const auto world = sharing(5);
   world->drift = 0;
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 5); }, 20s));
-  world->feed(4, peers::ShutdownRequested{});
+  world->feed(4, membership::ShutdownRequested{});
   world->run(50ms);
   world->kill(4);
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 4); }, 10s));
   // Node 4 is the new machine under the name n3, alone at first.
   world->cut = [](std::size_t a, std::size_t b) { return a == 4 || b == 4; };
-  peers::Settings settings = world->node(3).state->settings();
+  membership::Settings settings = world->node(3).state->settings();
   settings.address = PeersWorld::address(4);
-  world->node(4).state = std::make_unique<peers::State>(
-      settings, peers::Identity{99, std::uint64_t{9} << peers::kRefutationBits, true, {}}, 7,
+  world->node(4).state = std::make_unique<membership::State>(
+      settings, membership::Identity{99, std::uint64_t{9} << membership::kRefutationBits, true, {}}, 7,
       world->local(4));
-  world->feed(4, peers::TimerExpired{});
+  world->feed(4, membership::TimerExpired{});
   world->run(kLease - 1s);
   world->cut = [](std::size_t a, std::size_t b) { return a == 3 || b == 3; };
   ASSERT_TRUE(world->until(
@@ -195,7 +195,7 @@
   const auto world = sharing(8);
   ASSERT_TRUE(world->until([&] { return all_hold(*world, 0.9 / 8); }, 20s));
   for (std::size_t i = 4; i < 8; ++i) {
-    world->feed(i, peers::ShutdownRequested{});
+    world->feed(i, membership::ShutdownRequested{});
     world->run(50ms);
     world->kill(i);
   }
@@ -248,7 +248,7 @@
           break;
         case 5:
           if (node.state && !node.stopped && random() % 2 == 0) {
-            world->feed(whom, peers::ShutdownRequested{});
+            world->feed(whom, membership::ShutdownRequested{});
             world->run(50ms);
             world->kill(whom);
             story += "leave " + std::to_string(whom) + "\n";
@@ -256,7 +256,7 @@
           break;
         case 6:
           if (world->node(by).state && !world->node(by).stopped)
-            world->feed(by, peers::ForgetMember{PeersWorld::name(whom)});
+            world->feed(by, membership::ForgetMember{PeersWorld::name(whom)});
           story += std::to_string(by) + " forgets " + std::to_string(whom) + "\n";
           break;
         case 7:
@@ -279,4 +279,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/integration_test.cpp
+++ b/tests/app/edge_proxy_test.cpp
@@ -4,9 +4,9 @@
 
 #include <csignal>
 
-#include "started_program.h"
+#include "support/started_program.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 TEST(Program, ServesOverSocketsAndSaysWhyConnectionsEnd) {
@@ -227,4 +227,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/readiness_test.cpp
+++ b/tests/app/readiness_test.cpp
@@ -17,10 +17,10 @@
 #include <fstream>
 #include <iostream>
 
-#include "loopback.h"
-#include "scenario.h"
+#include "support/loopback.h"
+#include "support/scenario.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using namespace std::chrono_literals;
@@ -51,9 +51,9 @@
                                                  std::chrono::milliseconds opens,
                                                  std::chrono::milliseconds slow) {
   std::signal(SIGPIPE, SIG_IGN);
-  const char* deployed = std::getenv("DAHLIAHALL_DEPLOYED");
-  const std::string program = deployed != nullptr ? deployed : DAHLIAHALL_PROGRAM;
-  std::string folder = "/tmp/dahliahall-test-XXXXXX";
+  const char* deployed = std::getenv("EDGE_PROXY_DEPLOYED");
+  const std::string program = deployed != nullptr ? deployed : EDGE_PROXY_PROGRAM;
+  std::string folder = "/tmp/edge_proxy-test-XXXXXX";
   EXPECT_NE(mkdtemp(folder.data()), nullptr);
   int bulletin_port = 0, bulletin = listening(bulletin_port);
   close(std::exchange(bulletin, -1));
@@ -152,7 +152,7 @@
 }
 
 int count_of() {
-  const char* count = std::getenv("DAHLIAHALL_STARTED");  // more, for the figures of docs/fleet.md
+  const char* count = std::getenv("EDGE_PROXY_STARTED");  // more, for the figures of docs/fleet.md
   return count == nullptr ? 40 : std::atoi(count);
 }
 
@@ -166,4 +166,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/containers_test.cpp
+++ b/tests/base/containers_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
 #include <gtest/gtest.h>
 
-#include "timer_queue.h"
-#include "window_counter.h"
-#include "work_window.h"
+#include "base/sliding_window_counter.h"
+#include "base/sliding_window_sum.h"
+#include "base/timer_queue.h"
 
-namespace dahliahall {
+namespace edge_proxy {
 namespace {
 
 using namespace std::chrono_literals;
@@ -59,4 +59,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall
+}  // namespace edge_proxy
--- a/tests/fleet/fleet.cpp
+++ b/tests/cluster/cluster.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "fleet.h"
+#include "cluster/cluster.h"
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -15,10 +15,10 @@
 #include <fstream>
 #include <sstream>
 
-#include "loopback.h"
-#include "scenario.h"
+#include "support/loopback.h"
+#include "support/scenario.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -29,7 +29,7 @@
 }  // namespace
 
 Fleet::Fleet(std::size_t count, Options options) : options_(std::move(options)), relays_(options_.seed) {
-  root_ = "/tmp/dahliahall-fleet-XXXXXX";
+  root_ = "/tmp/edge_proxy-fleet-XXXXXX";
   EXPECT_NE(mkdtemp(root_.data()), nullptr);
   for (std::size_t i = 0; i < count; ++i) add(name(i));
   for (std::size_t i = 0; i < count; ++i) write_config(i);
@@ -108,7 +108,7 @@
   setenv("GW_CONFIG", process.config.c_str(), 1);
   setenv("GW_NAME", process.name.c_str(), 1);
   setenv("TMPDIR", process.folder.c_str(), 1);
-  execl(DAHLIAHALL_PROGRAM, DAHLIAHALL_PROGRAM, static_cast<char*>(nullptr));
+  execl(EDGE_PROXY_PROGRAM, EDGE_PROXY_PROGRAM, static_cast<char*>(nullptr));
   _exit(127);
 }
 
@@ -336,4 +336,4 @@
   return out.str();
 }
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/fleet/fleet.h
+++ b/tests/cluster/cluster.h
@@ -13,9 +13,9 @@
 #include <string>
 #include <vector>
 
-#include "relay.h"
+#include "cluster/relay.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 /// One member as a process tells of it (`GET /v1/peers`).
 struct Told {
@@ -120,4 +120,4 @@
   std::string timeline_;
 };
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/fleet/peers_fleet_test.cpp
+++ b/tests/cluster/membership_cluster_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Several processes that know each other, with faults of them and between them. Bounds are several times what
-// a busy machine was seen to need (docs/peers.md).
+// a busy machine was seen to need (docs/membership.md).
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -14,11 +14,11 @@
 #include <random>
 #include <thread>
 
-#include "fleet.h"
-#include "loopback.h"
-#include "started_program.h"
+#include "cluster/cluster.h"
+#include "support/loopback.h"
+#include "support/started_program.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using namespace std::chrono_literals;
@@ -247,7 +247,7 @@
   return {ticks * 1e6 / static_cast<double>(sysconf(_SC_CLK_TCK)), kb};
 }
 
-/// Not a check: prints the figures of docs/peers.md. Run by name, on a build without sanitizers.
+/// Not a check: prints the figures of docs/membership.md. Run by name, on a build without sanitizers.
 TEST_F(Peering, DISABLED_Figures) {
   for (const std::size_t members : {5U, 20U, 50U}) {
     Fleet::Options options;
@@ -316,7 +316,7 @@
 TEST(PeeringBesideClients, NoRequestIsLostUnderAFloodOfBrokenDatagrams) {
   static std::string section;
   const int port = free_port();
-  std::string folder = "/tmp/dahliahall-fleet-XXXXXX";
+  std::string folder = "/tmp/edge_proxy-fleet-XXXXXX";
   ASSERT_NE(mkdtemp(folder.data()), nullptr);
   section = R"({"peers":{"cluster":"test","folder":")" + folder + R"(","listen":"127.0.0.1:)" +
             std::to_string(port) + R"("},)";
@@ -354,4 +354,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/fleet/policy_checker.cpp
+++ b/tests/cluster/policy_checker.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "policy_checker.h"
+#include "cluster/policy_checker.h"
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -9,10 +9,10 @@
 #include <cerrno>
 #include <sstream>
 
-#include "loopback.h"
-#include "scenario.h"
+#include "support/loopback.h"
+#include "support/scenario.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 /// Writes what scenarios send, and nothing else.
@@ -119,4 +119,4 @@
   return checked;
 }
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/fleet/policy_checker.h
+++ b/tests/cluster/policy_checker.h
@@ -10,9 +10,9 @@
 #include <thread>
 #include <vector>
 
-#include "fleet.h"
+#include "cluster/cluster.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 /// One request after the other to each process, `every` apart; answers are read and thrown away. Bounded by
 /// its life.
@@ -40,4 +40,4 @@
 /// than `bound` after that.
 Checked check_decisions(const std::vector<std::string>& logs, std::chrono::milliseconds bound);
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/fleet/policy_fleet_test.cpp
+++ b/tests/cluster/policy_cluster_test.cpp
@@ -10,9 +10,9 @@
 #include <random>
 #include <sstream>
 
-#include "policy_checker.h"
+#include "cluster/policy_checker.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using namespace std::chrono_literals;
@@ -248,10 +248,10 @@
   }
 }
 
-/// A dozen; DAHLIAHALL_SCHEDULES="FIRST COUNT" plays others.
+/// A dozen; EDGE_PROXY_SCHEDULES="FIRST COUNT" plays others.
 TEST_F(Policies, DrawnSchedules) {
   std::uint64_t first = 1, many = 12;
-  if (const char* schedules = std::getenv("DAHLIAHALL_SCHEDULES")) {
+  if (const char* schedules = std::getenv("EDGE_PROXY_SCHEDULES")) {
     std::istringstream in(schedules);
     in >> first >> many;
   }
@@ -268,7 +268,7 @@
   }
 }
 
-/// Not a check: prints figures of docs/agreed.md. Run by name, on a build without sanitizers.
+/// Not a check: prints figures of docs/consensus.md. Run by name, on a build without sanitizers.
 TEST_F(Policies, DISABLED_Figures) {
   for (const std::size_t count : {5U, 20U, 50U}) {
     begin(count, 3);
@@ -313,4 +313,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/fleet/relay.cpp
+++ b/tests/cluster/relay.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "relay.h"
+#include "cluster/relay.h"
 
 #include <sys/epoll.h>
 #include <sys/socket.h>
@@ -8,9 +8,9 @@
 #include <array>
 #include <stdexcept>
 
-#include "loopback.h"
+#include "support/loopback.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -163,4 +163,4 @@
   close(other);
 }
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/fleet/relay.h
+++ b/tests/cluster/relay.h
@@ -16,7 +16,7 @@
 #include <thread>
 #include <vector>
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 /// What happens to datagrams of one direction; streams know only `cut`, of either direction.
 struct Fault {
@@ -71,4 +71,4 @@
   std::thread thread_;
 };
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/codec_test.cpp
+++ b/tests/codec/codec_test.cpp
@@ -2,13 +2,13 @@
 // The parsers: any split of the bytes, bounded sizes, typed errors.
 #include <gtest/gtest.h>
 
-#include "codec/bulletin.h"
 #include "codec/cache_lines.h"
+#include "codec/discovery_events.h"
 #include "codec/event_stream.h"
 #include "codec/http_call.h"
 #include "codec/thrift.h"
 
-namespace dahliahall::codec {
+namespace edge_proxy::codec {
 namespace {
 
 using namespace std::string_literals;
@@ -288,4 +288,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::codec
+}  // namespace edge_proxy::codec
--- a/tests/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -3,9 +3,9 @@
 
 #include <gtest/gtest.h>
 
-#include "scenario.h"
+#include "support/scenario.h"
 
-namespace dahliahall::config {
+namespace edge_proxy::config {
 namespace {
 
 using test::config_text;
@@ -133,4 +133,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::config
+}  // namespace edge_proxy::config
--- a/tests/agreed_model_test.cpp
+++ b/tests/consensus/model_test.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: MIT
 // The search over the states of agreement: sound within its bounds, and broken in the shortest way where the
-// program or what it stands on is broken on purpose. DAHLIAHALL_MODEL_ROUNDS=N looks further.
-#include "agreed_model.h"
-
+// program or what it stands on is broken on purpose. EDGE_PROXY_MODEL_ROUNDS=N looks further.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 #include <ostream>
 
-namespace dahliahall::test {
+#include "support/consensus_model.h"
+
+namespace edge_proxy::test {
 namespace {
 
 struct Case {
@@ -60,7 +60,7 @@
 
 TEST_P(AgreedModelCase, IsSoundAsItStandsAndFoundWhereItIsBroken) {
   AgreedModel::Bounds whole = GetParam().bounds;
-  const char* more = std::getenv("DAHLIAHALL_MODEL_ROUNDS");
+  const char* more = std::getenv("EDGE_PROXY_MODEL_ROUNDS");
   if (more != nullptr) whole.rounds = std::stoi(more);
   const AgreedModel::Result sound = AgreedModel(whole, {}).search();
   std::string way;
@@ -84,4 +84,4 @@
                          [](const auto& param) { return param.param.name; });
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/agreed_test.cpp
+++ b/tests/consensus/reducer_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
 // Agreement at one proxy at a time: the register, the lease, the leader's side and operators' calls. Many
 // together: agreed_model_test.cpp and agreed_world_test.cpp.
-#include <gtest/gtest.h>
+#include "consensus/reducer.h"
 
-#include "agreed/reducer.h"
+#include <gtest/gtest.h>
 
-namespace dahliahall::agreed {
+namespace edge_proxy::consensus {
 namespace {
 
 using namespace std::chrono_literals;
@@ -332,4 +332,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::agreed
+}  // namespace edge_proxy::consensus
--- a/tests/agreed_world_test.cpp
+++ b/tests/consensus/world_test.cpp
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: MIT
 // Many proxies' agreement in virtual time, on the real log and disks that fail.
-#include "agreed_world.h"
-
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 #include <cstring>
 #include <map>
 
-namespace dahliahall::test {
+#include "support/consensus_world.h"
+
+namespace edge_proxy::test {
 namespace {
 
 /// Once the log has begun and all hold leases on the epoch before any policy.
 std::unique_ptr<AgreedWorld> settled(std::size_t count, std::size_t voters, std::uint64_t seed = 1,
-                                     const std::function<void(agreed::Settings&)>& edit = {}) {
+                                     const std::function<void(consensus::Settings&)>& edit = {}) {
   auto world = std::make_unique<AgreedWorld>(count, voters, seed, edit);
   EXPECT_TRUE(world->until([&] { return world->all_decide(0); }, 30s)) << world->story;
   world->run(6s);  // past what leaders before might have granted
@@ -158,7 +158,7 @@
   EXPECT_FALSE(world->node(lost).log->is_running()) << "its votes are gone with its disk";
   EXPECT_FALSE(world->node(lost).log->can_confirm_leadership(1000));
   EXPECT_TRUE(world->all_decide(0)) << "it learns and decides like any other";
-  agreed::RaftLog::Output out;
+  consensus::RaftLog::Output out;
   EXPECT_TRUE(world->node(*leader).log->add_voter(AgreedWorld::name(lost), world->node(lost).log->id(), out));
   const auto in = [&] {
     return world->node(lost).log->is_running() && world->node(lost).log->can_confirm_leadership(1000) &&
@@ -213,7 +213,7 @@
       case 1:
       case 2: {
         if (!world->runs(whom)) break;
-        const agreed::Epoch base = world->node(whom).state->policy_state().epoch();
+        const consensus::Epoch base = world->node(whom).state->policy_state().epoch();
         ++call;
         keys[call] = "k" + std::to_string(call);
         world->put(whom, call, keys[call], base,
@@ -284,10 +284,10 @@
   for (const auto& answer : world->answers) {
     const auto* outcome = world->node(answer.node).state->policy_state().outcome(keys[answer.call]);
     if (answer.status == 200) {
-      ASSERT_TRUE(outcome != nullptr && outcome->result == agreed::ChangeResult::active)
+      ASSERT_TRUE(outcome != nullptr && outcome->result == consensus::ChangeResult::active)
           << plan << world->story;
     } else if (answer.status == 409) {
-      ASSERT_TRUE(outcome != nullptr && outcome->result != agreed::ChangeResult::active)
+      ASSERT_TRUE(outcome != nullptr && outcome->result != consensus::ChangeResult::active)
           << plan << world->story;
     }
   }
@@ -299,10 +299,10 @@
 /// And its no to a pre-vote hides its own term: nobody ever led again.
 TEST(Agreed, ANoToAPreVoteTellsTheTermOfWhoSaysIt) { play(7459, 5, 3); }
 
-/// DAHLIAHALL_SEEDS="FIRST COUNT" plays others; a seed is played again exactly.
+/// EDGE_PROXY_SEEDS="FIRST COUNT" plays others; a seed is played again exactly.
 TEST(Agreed, WhateverTheFaultsTheEpochIsOneAndAnswersHold) {
   std::uint64_t first = 1, many = 25;
-  if (const char* seeds = std::getenv("DAHLIAHALL_SEEDS")) {
+  if (const char* seeds = std::getenv("EDGE_PROXY_SEEDS")) {
     first = std::strtoull(seeds, nullptr, 10);
     const char* rest = std::strchr(seeds, ' ');
     many = rest == nullptr ? 1 : std::strtoull(rest, nullptr, 10);
@@ -315,4 +315,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/kept_file_test.cpp
+++ b/tests/event_loop/overrides_file_test.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-#include "net/kept_file.h"
+#include "event_loop/overrides_file.h"
 
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 #include <filesystem>
 
-namespace dahliahall::net {
+namespace edge_proxy::event_loop {
 namespace {
 
 class KeptFileTest : public testing::Test {
@@ -25,7 +25,7 @@
     return false;
   }
 
-  std::string folder_ = "/tmp/dahliahall-test-XXXXXX";
+  std::string folder_ = "/tmp/edge_proxy-test-XXXXXX";
   std::string problem_;
   std::function<void(const char*)> failed_ = [this](const char* why) { problem_ = why; };
 };
@@ -68,4 +68,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::net
+}  // namespace edge_proxy::event_loop
