--- a/tests/golden/codec_golden_test.cpp
+++ b/tests/golden/codec_golden_test.cpp
@@ -24,20 +24,20 @@
 #include <variant>
 #include <vector>
 
-#include "agreed.pb.h"
-#include "agreed/wire.h"
-#include "codec/bulletin.h"
 #include "codec/cache_lines.h"
+#include "codec/discovery_events.h"
 #include "codec/event_stream.h"
 #include "codec/http_call.h"
 #include "codec/thrift.h"
 #include "config/config.h"
+#include "config/settings_reader.h"
+#include "consensus.pb.h"
+#include "consensus/codec.h"
 #include "golden/golden_record.h"
-#include "peers/wire.h"
-#include "settings_reader.h"
-#include "wire.h"
+#include "membership/codec.h"
+#include "simulator/session.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using golden::exact;
@@ -751,7 +751,7 @@
 }
 
 Lines peers_lines(const config::MembershipConfig& p) {
-  const peers::Settings& s = p.settings;
+  const membership::Settings& s = p.settings;
   Line addresses("membership_addresses");
   addresses.bytes("listen", p.listen_address).bytes("advertised", s.address);
   for (const std::string& seed : s.seeds) addresses.bytes("seed", seed);
@@ -790,7 +790,7 @@
 }
 
 std::string policy_line(const config::PolicyConfig& p) {
-  const agreed::Settings& s = p.settings;
+  const consensus::Settings& s = p.settings;
   Line line("policy");
   line.bytes("name", s.name).bytes("folder", p.folder).flag("trace", p.trace);
   for (const std::string& voter : s.voters) line.bytes("voter", voter);
@@ -1023,63 +1023,63 @@
 
 // ---- Membership's messages ----
 
-const char* name_of_member_status(peers::MemberStatus state) {
+const char* name_of_member_status(membership::MemberStatus state) {
   switch (state) {
-    case peers::MemberStatus::alive:
+    case membership::MemberStatus::alive:
       return "alive";
-    case peers::MemberStatus::suspect:
+    case membership::MemberStatus::suspect:
       return "suspect";
-    case peers::MemberStatus::dead:
+    case membership::MemberStatus::dead:
       return "dead";
-    case peers::MemberStatus::left:
+    case membership::MemberStatus::left:
       return "left";
-    case peers::MemberStatus::forgotten:
+    case membership::MemberStatus::forgotten:
       return "forgotten";
-    case peers::MemberStatus::disputed:
+    case membership::MemberStatus::disputed:
       return "disputed";
   }
   return "?";
 }
-const char* name_of_message_kind(peers::MessageKind kind) {
+const char* name_of_message_kind(membership::MessageKind kind) {
   switch (kind) {
-    case peers::MessageKind::ping:
+    case membership::MessageKind::ping:
       return "ping";
-    case peers::MessageKind::ack:
+    case membership::MessageKind::ack:
       return "ack";
-    case peers::MessageKind::nack:
+    case membership::MessageKind::nack:
       return "nack";
-    case peers::MessageKind::ping_req:
+    case membership::MessageKind::ping_req:
       return "ping_req";
-    case peers::MessageKind::gossip:
+    case membership::MessageKind::gossip:
       return "gossip";
-    case peers::MessageKind::full_sync:
+    case membership::MessageKind::full_sync:
       return "full_sync";
-    case peers::MessageKind::full_sync_reply:
+    case membership::MessageKind::full_sync_reply:
       return "full_sync_reply";
-    case peers::MessageKind::user_message:
+    case membership::MessageKind::user_message:
       return "user_message";
   }
   return "?";
 }
-const char* name_of_decode_error(peers::DecodeError reason) {
+const char* name_of_decode_error(membership::DecodeError reason) {
   switch (reason) {
-    case peers::DecodeError::malformed:
+    case membership::DecodeError::malformed:
       return "malformed";
-    case peers::DecodeError::oversized:
+    case membership::DecodeError::oversized:
       return "oversized";
-    case peers::DecodeError::checksum_mismatch:
+    case membership::DecodeError::checksum_mismatch:
       return "corrupt";
-    case peers::DecodeError::wrong_cluster:
+    case membership::DecodeError::wrong_cluster:
       return "other_cluster";
-    case peers::DecodeError::wrong_version:
+    case membership::DecodeError::wrong_version:
       return "other_version";
-    case peers::DecodeError::invalid_field:
+    case membership::DecodeError::invalid_field:
       return "bad_field";
   }
   return "?";
 }
 
-void describe(Line& line, const peers::MemberUpdate& update) {
+void describe(Line& line, const membership::MemberUpdate& update) {
   line.bytes("member", update.name)
       .bytes("address", update.address)
       .whole("disk", update.disk_id)
@@ -1089,46 +1089,48 @@
       .bytes("reported_by", update.reported_by);
 }
 
-peers::MemberUpdate member_update(const std::string& name, peers::MemberStatus state, std::uint64_t number) {
-  peers::MemberUpdate update;
+membership::MemberUpdate member_update(const std::string& name, membership::MemberStatus state,
+                                       std::uint64_t number) {
+  membership::MemberUpdate update;
   update.name = name;
   update.address = "10.0.0." + std::to_string(number % 250) + ":7000";
   update.disk_id = 0x1122334455667788U + number;
-  update.incarnation = (number << peers::kRefutationBits) + 3;
+  update.incarnation = (number << membership::kRefutationBits) + 3;
   update.zone = static_cast<int>(number);
   update.status = state;
-  update.reported_by =
-      state == peers::MemberStatus::suspect || state == peers::MemberStatus::dead ? "by-" + name : "";
+  update.reported_by = state == membership::MemberStatus::suspect || state == membership::MemberStatus::dead
+                           ? "by-" + name
+                           : "";
   return update;
 }
 
-peers::Message membership_message(peers::MessageKind kind) {
-  peers::Message message;
+membership::Message membership_message(membership::MessageKind kind) {
+  membership::Message message;
   message.kind = kind;
   message.sequence = 300 + static_cast<std::uint64_t>(kind);
   message.to = "b";
-  message.from = member_update("a", peers::MemberStatus::alive, 1);
+  message.from = member_update("a", membership::MemberStatus::alive, 1);
   message.digest = 0xfedcba9876543210U;
-  if (kind == peers::MessageKind::ping_req || kind == peers::MessageKind::ack) message.target = "c";
-  if (kind == peers::MessageKind::ping_req) message.target_address = "10.0.0.3:7000";
-  for (std::uint64_t at = 0; at < peers::kMemberStatusCount; ++at)
+  if (kind == membership::MessageKind::ping_req || kind == membership::MessageKind::ack) message.target = "c";
+  if (kind == membership::MessageKind::ping_req) message.target_address = "10.0.0.3:7000";
+  for (std::uint64_t at = 0; at < membership::kMemberStatusCount; ++at)
     message.updates.push_back(
-        member_update("m" + std::to_string(at), static_cast<peers::MemberStatus>(at), at + 2));
+        member_update("m" + std::to_string(at), static_cast<membership::MemberStatus>(at), at + 2));
   message.counted_disk = 0x0102030405060708U;
   message.member_names_hash = 0x1020304050607080U;
   message.confirmed = true;
-  if (kind == peers::MessageKind::user_message) message.payload = std::string("pay\0load", 8);
+  if (kind == membership::MessageKind::user_message) message.payload = std::string("pay\0load", 8);
   return message;
 }
 
 std::string membership_read(const std::string& bytes, const std::string& cluster, std::size_t most) {
-  const auto decoded = peers::decode(bytes, cluster, most);
-  if (const auto* error = std::get_if<peers::DecodeError>(&decoded))
+  const auto decoded = membership::decode(bytes, cluster, most);
+  if (const auto* error = std::get_if<membership::DecodeError>(&decoded))
     return Line("error")
         .word("reason", name_of_decode_error(*error))
-        .bytes("told_as", peers::name_of(*error))
+        .bytes("told_as", membership::name_of(*error))
         .text();
-  const auto& message = std::get<peers::Message>(decoded);
+  const auto& message = std::get<membership::Message>(decoded);
   Line line("message");
   line.word("kind", name_of_message_kind(message.kind))
       .whole("number", message.sequence)
@@ -1142,105 +1144,106 @@
       .flag("confirmed", message.confirmed)
       .bytes("payload", message.payload)
       .whole("updates", message.updates.size());
-  for (const peers::MemberUpdate& update : message.updates) describe(line, update);
+  for (const membership::MemberUpdate& update : message.updates) describe(line, update);
   return line.text();
 }
 
 TEST(GoldenCodec, MembershipMessages) {
   GoldenRecord record("codec_membership_messages");
-  const auto add = [&record](const peers::Message& message, const std::string& cluster = "west") {
-    const std::string bytes = peers::encode(message, cluster);
+  const auto add = [&record](const membership::Message& message, const std::string& cluster = "west") {
+    const std::string bytes = membership::encode(message, cluster);
     record.add(golden::quoted(bytes));
     record.add("  " + membership_read(bytes, "west", 4096));
   };
-  for (std::size_t kind = 0; kind < peers::kMessageKindCount; ++kind)
-    add(membership_message(static_cast<peers::MessageKind>(kind)));
-  for (std::size_t state = 0; state < peers::kMemberStatusCount; ++state)
-    record.add(std::string(name_of_member_status(static_cast<peers::MemberStatus>(state))) + " told as " +
-               std::string(peers::name_of(static_cast<peers::MemberStatus>(state))));
+  for (std::size_t kind = 0; kind < membership::kMessageKindCount; ++kind)
+    add(membership_message(static_cast<membership::MessageKind>(kind)));
+  for (std::size_t state = 0; state < membership::kMemberStatusCount; ++state)
+    record.add(std::string(name_of_member_status(static_cast<membership::MemberStatus>(state))) +
+               " told as " + std::string(membership::name_of(static_cast<membership::MemberStatus>(state))));
   add({});
   // What no reader takes.
-  const auto faulty = [&](const std::function<void(peers::Message&)>& change,
-                          peers::MessageKind kind = peers::MessageKind::ping) {
-    peers::Message message = membership_message(kind);
+  const auto faulty = [&](const std::function<void(membership::Message&)>& change,
+                          membership::MessageKind kind = membership::MessageKind::ping) {
+    membership::Message message = membership_message(kind);
     change(message);
     add(message);
   };
-  add(membership_message(peers::MessageKind::ping), "east");
-  faulty([](peers::Message& m) { m.kind = static_cast<peers::MessageKind>(8); });
-  faulty([](peers::Message& m) { m.to = "b b"; });
-  faulty([](peers::Message& m) { m.to = std::string(65, 'b'); });
-  faulty([](peers::Message& m) { m.from.name.clear(); });
-  faulty([](peers::Message& m) { m.from.address = "10.0.0.256:1"; });
-  faulty([](peers::Message& m) { m.from.address = "host:1"; });
-  faulty([](peers::Message& m) { m.from.zone = 4096; });
-  faulty([](peers::Message& m) { m.from.zone = 4095; });
-  faulty([](peers::Message& m) { m.from.status = static_cast<peers::MemberStatus>(6); });
-  faulty([](peers::Message& m) { m.from.reported_by = "x/y"; });
-  faulty([](peers::Message& m) { m.target = "c c"; });
-  faulty([](peers::Message& m) { m.target_address = "c"; });
-  faulty([](peers::Message& m) { m.updates[3].name.clear(); });
-  faulty([](peers::Message& m) { m.payload = "x"; });
-  faulty([](peers::Message& m) { m.payload.clear(); }, peers::MessageKind::user_message);
-  faulty([](peers::Message& m) { m.target.clear(); }, peers::MessageKind::ping_req);
-  faulty([](peers::Message& m) { m.target_address.clear(); }, peers::MessageKind::ping_req);
-  peers::Message small = membership_message(peers::MessageKind::ping_req);
+  add(membership_message(membership::MessageKind::ping), "east");
+  faulty([](membership::Message& m) { m.kind = static_cast<membership::MessageKind>(8); });
+  faulty([](membership::Message& m) { m.to = "b b"; });
+  faulty([](membership::Message& m) { m.to = std::string(65, 'b'); });
+  faulty([](membership::Message& m) { m.from.name.clear(); });
+  faulty([](membership::Message& m) { m.from.address = "10.0.0.256:1"; });
+  faulty([](membership::Message& m) { m.from.address = "host:1"; });
+  faulty([](membership::Message& m) { m.from.zone = 4096; });
+  faulty([](membership::Message& m) { m.from.zone = 4095; });
+  faulty([](membership::Message& m) { m.from.status = static_cast<membership::MemberStatus>(6); });
+  faulty([](membership::Message& m) { m.from.reported_by = "x/y"; });
+  faulty([](membership::Message& m) { m.target = "c c"; });
+  faulty([](membership::Message& m) { m.target_address = "c"; });
+  faulty([](membership::Message& m) { m.updates[3].name.clear(); });
+  faulty([](membership::Message& m) { m.payload = "x"; });
+  faulty([](membership::Message& m) { m.payload.clear(); }, membership::MessageKind::user_message);
+  faulty([](membership::Message& m) { m.target.clear(); }, membership::MessageKind::ping_req);
+  faulty([](membership::Message& m) { m.target_address.clear(); }, membership::MessageKind::ping_req);
+  membership::Message small = membership_message(membership::MessageKind::ping_req);
   small.updates.resize(1);
-  const std::string bytes = peers::encode(small, "west");
+  const std::string bytes = membership::encode(small, "west");
   record.add(Line("sizes")
-                 .whole("update", peers::encoded_size(small.updates[0]))
-                 .whole("head", peers::header_size(small, "west"))
+                 .whole("update", membership::encoded_size(small.updates[0]))
+                 .whole("head", membership::header_size(small, "west"))
                  .whole("bytes", bytes.size())
                  .text());
   record.add("oversized: " + membership_read(bytes, "west", bytes.size() - 1));
   record.add("just fits: " + membership_read(bytes, "west", bytes.size()));
   for (const char* name : {"", "a", "a-b_c.D9", "a b", "a/b", "\xc3\xa4"})
-    record.add(Line("name").bytes("text", name).flag("valid", peers::is_valid_name(name)).text());
+    record.add(Line("name").bytes("text", name).flag("valid", membership::is_valid_name(name)).text());
   for (const char* address :
        {"", "1.2.3.4:5", "1.2.3.4:0", "1.2.3.4:65536", "1.2.3:4", "1.2.3.4", "01.2.3.4:5", "1.2.3.4:5 "})
-    record.add(Line("address").bytes("text", address).flag("valid", peers::is_valid_address(address)).text());
+    record.add(
+        Line("address").bytes("text", address).flag("valid", membership::is_valid_address(address)).text());
   record.check();
 }
 
 TEST(GoldenCodec, DamagedMembershipMessages) {
   GoldenRecord record("codec_membership_damaged");
-  peers::Message message = membership_message(peers::MessageKind::ping_req);
+  membership::Message message = membership_message(membership::MessageKind::ping_req);
   message.updates.resize(2);
-  record_damage(record, "ping_req", peers::encode(message, "west"),
+  record_damage(record, "ping_req", membership::encode(message, "west"),
                 [](const std::string& bytes) { return membership_read(bytes, "west", 4096); });
   record.check();
 }
 
 // ---- Consensus' messages ----
 
-constexpr agreed::Time kLease{5'000'000};
+constexpr consensus::Time kLease{5'000'000};
 
-const char* name_of_step(agreed::Step step) {
+const char* name_of_step(consensus::Step step) {
   switch (step) {
-    case agreed::Step::propose:
+    case consensus::Step::propose:
       return "propose";
-    case agreed::Step::commit:
+    case consensus::Step::commit:
       return "commit";
-    case agreed::Step::activate:
+    case consensus::Step::activate:
       return "activate";
-    case agreed::Step::abort:
+    case consensus::Step::abort:
       return "abort";
   }
   return "?";
 }
-const char* name_of_change_result(agreed::ChangeResult fate) {
+const char* name_of_change_result(consensus::ChangeResult fate) {
   switch (fate) {
-    case agreed::ChangeResult::active:
+    case consensus::ChangeResult::active:
       return "active";
-    case agreed::ChangeResult::aborted:
+    case consensus::ChangeResult::aborted:
       return "aborted";
-    case agreed::ChangeResult::rejected:
+    case consensus::ChangeResult::rejected:
       return "rejected";
   }
   return "?";
 }
 
-void describe(Line& line, const agreed::Entry& entry) {
+void describe(Line& line, const consensus::Entry& entry) {
   line.word("step", name_of_step(entry.step))
       .whole("change", entry.change)
       .bytes("key", entry.key)
@@ -1251,60 +1254,60 @@
 
 struct DescribeMessage {
   Line& line;
-  void operator()(const agreed::LeaseRequest& m) const {
+  void operator()(const consensus::LeaseRequest& m) const {
     line.word("kind", "lease_request").whole("number", m.number);
   }
-  void operator()(const agreed::LeaseGrant& m) const {
+  void operator()(const consensus::LeaseGrant& m) const {
     line.word("kind", "lease_grant").whole("number", m.request_number).whole("epoch", m.epoch);
     line.time("duration", m.duration).whole("log_index", m.index);
   }
-  void operator()(const agreed::LeadershipCheck& m) const {
+  void operator()(const consensus::LeadershipCheck& m) const {
     line.word("kind", "leadership_check").whole("term", m.term).whole("round", m.round);
   }
-  void operator()(const agreed::LeadershipCheckReply& m) const {
+  void operator()(const consensus::LeadershipCheckReply& m) const {
     line.word("kind", "leadership_confirmed").whole("term", m.term).whole("round", m.round);
   }
-  void operator()(const agreed::LogPosition& m) const {
+  void operator()(const consensus::LogPosition& m) const {
     line.word("kind", "log_position").whole("log_index", m.index).bytes("leader", m.leader);
   }
-  void operator()(const agreed::PrepareReply& m) const {
+  void operator()(const consensus::PrepareReply& m) const {
     line.word("kind", "prepared")
         .whole("change", m.change)
         .flag("accepted", m.ready)
         .bytes("reason", m.reason);
   }
-  void operator()(const agreed::LeaseRevocation& m) const {
+  void operator()(const consensus::LeaseRevocation& m) const {
     line.word("kind", "lease_revocation").whole("term", m.term).whole("epoch", m.epoch);
   }
-  void operator()(const agreed::LeaseRevocationAck& m) const {
+  void operator()(const consensus::LeaseRevocationAck& m) const {
     line.word("kind", "lease_revocation_ack").whole("term", m.term).whole("epoch", m.epoch);
   }
-  void operator()(const agreed::ProposeRequest& m) const {
+  void operator()(const consensus::ProposeRequest& m) const {
     line.word("kind", "propose")
         .bytes("key", m.key)
         .whole("base_epoch", m.base_epoch)
         .bytes("policy", m.policy);
   }
-  void operator()(const agreed::AbortRequest& m) const {
+  void operator()(const consensus::AbortRequest& m) const {
     line.word("kind", "abort").whole("change", m.change);
   }
-  void operator()(const agreed::CatchUpRequest& m) const {
+  void operator()(const consensus::CatchUpRequest& m) const {
     line.word("kind", "catch_up_request").whole("after_index", m.after_index);
   }
-  void operator()(const agreed::CatchUpResponse& m) const {
+  void operator()(const consensus::CatchUpResponse& m) const {
     line.word("kind", "catch_up_response")
         .whole("after_index", m.after_index)
         .whole("last_index", m.up_to_index);
     for (const auto& [index, entry] : m.entries) describe(line.whole("log_index", index), entry);
   }
-  void operator()(const agreed::Snapshot& m) const {
+  void operator()(const consensus::Snapshot& m) const {
     line.word("kind", "snapshot").whole("log_index", m.index).whole("epoch", m.epoch);
     line.bytes("key", m.key).bytes("policy", m.policy);
-    for (const agreed::Change& change : m.change) {
+    for (const consensus::Change& change : m.change) {
       line.whole("change", change.id).whole("change_epoch", change.epoch).bytes("change_key", change.key);
       line.bytes("change_policy", change.policy).flag("committed", change.committed);
     }
-    for (const agreed::ChangeOutcome& outcome : m.outcomes) {
+    for (const consensus::ChangeOutcome& outcome : m.outcomes) {
       line.bytes("outcome_key", outcome.key).word("result", name_of_change_result(outcome.result));
       line.whole("outcome_epoch", outcome.epoch).bytes("reason", outcome.reason);
     }
@@ -1313,44 +1316,44 @@
 
 std::string consensus_read(const std::string& bytes) {
   bool unlike = false;
-  const auto decoded = agreed::decode(bytes, kLease, &unlike);
+  const auto decoded = consensus::decode(bytes, kLease, &unlike);
   if (!decoded) return Line("error").flag("other_lease", unlike).text();
   Line line("message");
-  if (const auto* message = std::get_if<agreed::Message>(&*decoded)) {
+  if (const auto* message = std::get_if<consensus::Message>(&*decoded)) {
     std::visit(DescribeMessage{line}, *message);
-  } else if (const auto* log = std::get_if<agreed::RaftMessage>(&*decoded)) {
+  } else if (const auto* log = std::get_if<consensus::RaftMessage>(&*decoded)) {
     line.word("kind", "raft").bytes("bytes", log->bytes);
   } else {
-    line.word("kind", "bootstrap").bytes("bytes", std::get<agreed::BootstrapMessage>(*decoded).bytes);
+    line.word("kind", "bootstrap").bytes("bytes", std::get<consensus::BootstrapMessage>(*decoded).bytes);
   }
   return line.text();
 }
 
-std::vector<agreed::Message> consensus_messages() {
-  using agreed::Entry;
-  using agreed::Step;
-  agreed::CatchUpResponse pulled{5, 9, {}};
+std::vector<consensus::Message> consensus_messages() {
+  using consensus::Entry;
+  using consensus::Step;
+  consensus::CatchUpResponse pulled{5, 9, {}};
   pulled.entries.emplace_back(6, Entry{Step::propose, 0, "k", 2, "policy text", ""});
   pulled.entries.emplace_back(7, Entry{Step::commit, 6, "", 0, "", ""});
   pulled.entries.emplace_back(8, Entry{Step::activate, 6, "", 0, "", ""});
   pulled.entries.emplace_back(9, Entry{Step::abort, 6, "", 0, "", "n2: why"});
-  agreed::Snapshot snapshot{40, 3, "k3", "policy 3", {}, {}};
+  consensus::Snapshot snapshot{40, 3, "k3", "policy 3", {}, {}};
   snapshot.change.push_back({39, 4, "k4", std::string("po\0licy", 7), true});
-  snapshot.outcomes.push_back({"k1", agreed::ChangeResult::active, 1, ""});
-  snapshot.outcomes.push_back({"k2", agreed::ChangeResult::aborted, 1, "reason"});
-  snapshot.outcomes.push_back({"k2b", agreed::ChangeResult::rejected, 2, "other"});
-  return {agreed::LeaseRequest{11},
-          agreed::LeaseGrant{11, 3, agreed::Time{4'000'000}, 40},
-          agreed::LeadershipCheck{2, 5},
-          agreed::LeadershipCheckReply{2, 6},
-          agreed::LogPosition{40, "n2"},
-          agreed::PrepareReply{39, true, ""},
-          agreed::PrepareReply{39, false, "n3: no"},
-          agreed::LeaseRevocation{2, 3},
-          agreed::LeaseRevocationAck{2, 3},
-          agreed::ProposeRequest{"k5", 4, "policy 5"},
-          agreed::AbortRequest{39},
-          agreed::CatchUpRequest{5},
+  snapshot.outcomes.push_back({"k1", consensus::ChangeResult::active, 1, ""});
+  snapshot.outcomes.push_back({"k2", consensus::ChangeResult::aborted, 1, "reason"});
+  snapshot.outcomes.push_back({"k2b", consensus::ChangeResult::rejected, 2, "other"});
+  return {consensus::LeaseRequest{11},
+          consensus::LeaseGrant{11, 3, consensus::Time{4'000'000}, 40},
+          consensus::LeadershipCheck{2, 5},
+          consensus::LeadershipCheckReply{2, 6},
+          consensus::LogPosition{40, "n2"},
+          consensus::PrepareReply{39, true, ""},
+          consensus::PrepareReply{39, false, "n3: no"},
+          consensus::LeaseRevocation{2, 3},
+          consensus::LeaseRevocationAck{2, 3},
+          consensus::ProposeRequest{"k5", 4, "policy 5"},
+          consensus::AbortRequest{39},
+          consensus::CatchUpRequest{5},
           pulled,
           snapshot};
 }
@@ -1378,24 +1381,24 @@
     record.add(golden::quoted(bytes));
     record.add("  " + consensus_read(bytes));
   };
-  for (const agreed::Message& message : consensus_messages()) add(agreed::encode(message, kLease));
-  add(agreed::encode(agreed::Message{agreed::LeaseRequest{1}}, agreed::Time{1}));
+  for (const consensus::Message& message : consensus_messages()) add(consensus::encode(message, kLease));
+  add(consensus::encode(consensus::Message{consensus::LeaseRequest{1}}, consensus::Time{1}));
   // What no reader takes.
   const std::string long_text(128 * 1024 + 1, 'x');
-  for (const agreed::Message& message : std::vector<agreed::Message>{
-           agreed::LeaseGrant{1, 1, agreed::Time{0}, 1}, agreed::CatchUpResponse{5, 4, {}},
-           agreed::CatchUpResponse{5, 9, {{7, {}}, {7, {}}}}, agreed::CatchUpResponse{5, 9, {{5, {}}}},
-           agreed::CatchUpResponse{5, 9, {{10, {}}}},
-           agreed::CatchUpResponse{5, 9, {{6, {static_cast<agreed::Step>(4), 0, "", 0, "", ""}}}},
-           agreed::Snapshot{1, 1, "", "", {}, {{"", static_cast<agreed::ChangeResult>(3), 0, ""}}},
-           agreed::CatchUpResponse{0, 99, std::vector<std::pair<agreed::Index, agreed::Entry>>(65)},
-           agreed::Snapshot{1, 1, "", "", {}, std::vector<agreed::ChangeOutcome>(257)}})
-    add(agreed::encode(message, kLease));
-  for (const agreed::Message& message : std::vector<agreed::Message>{
-           agreed::ProposeRequest{long_text, 1, ""}, agreed::ProposeRequest{"", 1, long_text},
-           agreed::LogPosition{1, long_text}, agreed::PrepareReply{1, false, long_text},
-           agreed::Snapshot{1, 1, long_text, "", {}, {}}})
-    record.add("too long: " + consensus_read(agreed::encode(message, kLease)));
+  for (const consensus::Message& message : std::vector<consensus::Message>{
+           consensus::LeaseGrant{1, 1, consensus::Time{0}, 1}, consensus::CatchUpResponse{5, 4, {}},
+           consensus::CatchUpResponse{5, 9, {{7, {}}, {7, {}}}}, consensus::CatchUpResponse{5, 9, {{5, {}}}},
+           consensus::CatchUpResponse{5, 9, {{10, {}}}},
+           consensus::CatchUpResponse{5, 9, {{6, {static_cast<consensus::Step>(4), 0, "", 0, "", ""}}}},
+           consensus::Snapshot{1, 1, "", "", {}, {{"", static_cast<consensus::ChangeResult>(3), 0, ""}}},
+           consensus::CatchUpResponse{0, 99, std::vector<std::pair<consensus::Index, consensus::Entry>>(65)},
+           consensus::Snapshot{1, 1, "", "", {}, std::vector<consensus::ChangeOutcome>(257)}})
+    add(consensus::encode(message, kLease));
+  for (const consensus::Message& message : std::vector<consensus::Message>{
+           consensus::ProposeRequest{long_text, 1, ""}, consensus::ProposeRequest{"", 1, long_text},
+           consensus::LogPosition{1, long_text}, consensus::PrepareReply{1, false, long_text},
+           consensus::Snapshot{1, 1, long_text, "", {}, {}}})
+    record.add("too long: " + consensus_read(consensus::encode(message, kLease)));
   // The log's own, of every kind, and those before there is a log.
   const std::string entry = number_field(1, 3) + number_field(2, 1) + bytes_field(3, "data");
   const std::string server = number_field(1, 77) + bytes_field(2, "n1#77") + number_field(3, 1);
@@ -1407,17 +1410,17 @@
       numbers(1, 3) + bytes_field(4, server) + number_field(5, 9) + bytes_field(6, "snapshot"),
       numbers(1, 3)};
   for (unsigned kind = 0; kind < kinds.size(); ++kind) {
-    agreed::pb::LogMessage message;
+    consensus::pb::LogMessage message;
     ASSERT_TRUE(message.ParseFromString(number_field(1, 77) + number_field(2, 78) + bytes_field(3, "n1#77") +
                                         bytes_field(kind + 4, kinds[kind])));
-    add(agreed::encode(message, kLease));
+    add(consensus::encode(message, kLease));
   }
   for (const std::string& bytes :
        {number_field(1, 1) + number_field(3, 77),
         number_field(2, 1) + number_field(3, 77) + bytes_field(4, server), std::string()}) {
-    agreed::pb::Born message;
+    consensus::pb::Born message;
     ASSERT_TRUE(message.ParseFromString(bytes));
-    add(agreed::encode(message, kLease));
+    add(consensus::encode(message, kLease));
   }
   add("");
   add(number_field(1, 5'000'000));
@@ -1427,19 +1430,19 @@
 TEST(GoldenCodec, ConsensusEntries) {
   GoldenRecord record("codec_consensus_entries");
   const auto read = [](const std::string& bytes) {
-    const auto entry = agreed::decode_entry(bytes);
+    const auto entry = consensus::decode_entry(bytes);
     if (!entry) return std::string("error");
     Line line("entry");
     describe(line, *entry);
     return line.text();
   };
-  for (const agreed::Entry& entry :
-       std::vector<agreed::Entry>{{agreed::Step::propose, 0, "key", 7, std::string("po\0licy", 7), ""},
-                                  {agreed::Step::commit, 300, "", 0, "", ""},
-                                  {agreed::Step::activate, 300, "", 0, "", ""},
-                                  {agreed::Step::abort, 300, "", 0, "", "why"},
-                                  {static_cast<agreed::Step>(4), 1, "", 0, "", ""}}) {
-    const std::string bytes = agreed::encode(entry);
+  for (const consensus::Entry& entry :
+       std::vector<consensus::Entry>{{consensus::Step::propose, 0, "key", 7, std::string("po\0licy", 7), ""},
+                                     {consensus::Step::commit, 300, "", 0, "", ""},
+                                     {consensus::Step::activate, 300, "", 0, "", ""},
+                                     {consensus::Step::abort, 300, "", 0, "", "why"},
+                                     {static_cast<consensus::Step>(4), 1, "", 0, "", ""}}) {
+    const std::string bytes = consensus::encode(entry);
     record.add(golden::quoted(bytes) + " -> " + read(bytes));
     record_damage(record, "entry", bytes, read);
   }
@@ -1449,8 +1452,8 @@
 TEST(GoldenCodec, DamagedConsensusMessages) {
   GoldenRecord record("codec_consensus_damaged");
   std::size_t number = 0;
-  for (const agreed::Message& message : consensus_messages())
-    record_damage(record, "message " + std::to_string(number++), agreed::encode(message, kLease),
+  for (const consensus::Message& message : consensus_messages())
+    record_damage(record, "message " + std::to_string(number++), consensus::encode(message, kLease),
                   consensus_read);
   record.check();
 }
@@ -1487,8 +1490,8 @@
   for (const std::string& line : input) in << line << '\n';
   std::string error;
   try {
-    wire::serve(in, out);
-  } catch (const wire::WireError& problem) {
+    simulator::serve(in, out);
+  } catch (const simulator::WireError& problem) {
     error = Line("error").bytes("text", problem.what()).text();
   }
   Lines lines;
@@ -1613,4 +1616,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/golden/consensus_golden_test.cpp
+++ b/tests/golden/consensus_golden_test.cpp
@@ -5,14 +5,14 @@
 
 #include <random>
 
-#include "agreed_world.h"
 #include "golden/consensus_trace.h"
 #include "golden/trace_line.h"
+#include "support/consensus_world.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
-using agreed::Time;
+using consensus::Time;
 using golden::GoldenRecord;
 using golden::TraceLine;
 
@@ -21,14 +21,14 @@
   ConsensusPlay(const std::string& record_name, std::size_t count, std::size_t voters, std::uint64_t seed)
       : record_(record_name), random_(seed), voters_(voters), serves_cut_off_(seed == 2) {
     AgreedWorld::Observer observer;
-    observer.input = [this](std::size_t i, Time now, const agreed::Input& input,
-                            const std::vector<agreed::Effect>& effects, const agreed::State& state) {
+    observer.input = [this](std::size_t i, Time now, const consensus::Input& input,
+                            const std::vector<consensus::Effect>& effects, const consensus::State& state) {
       golden::add_step(record_, AgreedWorld::name(i), now, input, effects, state);
     };
-    observer.log = [this](std::size_t i, const agreed::RaftLog::Output& output) {
+    observer.log = [this](std::size_t i, const consensus::RaftLog::Output& output) {
       golden::add_log_output(record_, AgreedWorld::name(i), output);
     };
-    const auto edit = [serves = serves_cut_off_](agreed::Settings& settings) {
+    const auto edit = [serves = serves_cut_off_](consensus::Settings& settings) {
       settings.prepare_timeout = Time{4s};
       settings.serve_when_partitioned = serves;
     };
@@ -63,7 +63,7 @@
     world_->stop(last);  // a change waits for its answer
     propose_as(new_voter, "policy to abort");
     world_->run(500ms);
-    world_->feed(new_voter, agreed::AbortCall{++call_});
+    world_->feed(new_voter, consensus::AbortCall{++call_});
     world_->run(500ms);
     world_->kill(last);
     restart_all_but(last);
@@ -109,7 +109,7 @@
         if (world_->runs(whom)) world_->stop(whom);
         break;
       case 10:
-        if (world_->runs(whom)) world_->feed(whom, agreed::AbortCall{++call_});
+        if (world_->runs(whom)) world_->feed(whom, consensus::AbortCall{++call_});
         break;
       case 11:
         change_voters(whom);
@@ -125,7 +125,7 @@
     const std::string key = random_() % 5 == 0 ? "again" : "key" + std::to_string(call_);
     const std::string policy =
         random_() % 6 == 0 ? "unfit for n1" : "policy " + std::to_string(call_) + std::string(call_ * 7, 'p');
-    const agreed::Epoch epoch = world_->node(whom).state->policy_state().epoch();
+    const consensus::Epoch epoch = world_->node(whom).state->policy_state().epoch();
     world_->put(whom, call_, key, random_() % 6 == 0 ? epoch + 1 : epoch, policy);
   }
 
@@ -139,9 +139,9 @@
   void change_voters(std::size_t whom) {
     const auto leader = world_->leader();
     if (!leader || *leader == whom || !world_->runs(whom)) return;
-    agreed::RaftLog& log = *world_->node(*leader).log;
+    consensus::RaftLog& log = *world_->node(*leader).log;
     const std::string name = AgreedWorld::name(whom);
-    agreed::RaftLog::Output output;
+    consensus::RaftLog::Output output;
     const bool is_voter = log.voters().count(name) != 0;
     const bool accepted = is_voter ? log.voters().size() > 3 && log.remove_voter(name, output)
                                    : log.add_voter(name, world_->node(whom).log->id(), output);
@@ -182,10 +182,10 @@
   void add_states() {
     for (std::size_t i = 0; i < world_->size(); ++i) {
       if (!world_->node(i).state) continue;
-      const agreed::State& state = *world_->node(i).state;
-      const agreed::RaftLog& log = *world_->node(i).log;
+      const consensus::State& state = *world_->node(i).state;
+      const consensus::RaftLog& log = *world_->node(i).log;
       const auto epoch = state.decision_epoch(world_->local(i));
-      const agreed::Counters& counts = state.counters();
+      const consensus::Counters& counts = state.counters();
       record_.add(TraceLine(AgreedWorld::name(i))
                       .verbatim("state", golden::text_of(state.policy_state().snapshot()))
                       .verbatim("decides_under", epoch ? golden::text_of(*epoch) : "none")
@@ -228,32 +228,32 @@
   ConsensusPlay("consensus_voter_changes", 5, 3, 5).play_voter_changes();
 }
 
-agreed::Entry drawn_entry(std::mt19937_64& random, const agreed::PolicyStateMachine& at) {
+consensus::Entry drawn_entry(std::mt19937_64& random, const consensus::PolicyStateMachine& at) {
   const std::string number = std::to_string(random() % 400);
-  const agreed::Index change = at.change() && random() % 6 != 0 ? at.change()->id : random() % 50;
+  const consensus::Index change = at.change() && random() % 6 != 0 ? at.change()->id : random() % 50;
   switch (random() % 6) {
     case 0:
     case 1:
-      return {agreed::Step::propose, 0, "key" + number, random() % 5 == 0 ? at.epoch() + 1 : at.epoch(),
-              "policy" + number,     {}};
+      return {consensus::Step::propose, 0, "key" + number, random() % 5 == 0 ? at.epoch() + 1 : at.epoch(),
+              "policy" + number,        {}};
     case 2:
     case 3:
-      return {agreed::Step::commit, change, {}, 0, {}, {}};
+      return {consensus::Step::commit, change, {}, 0, {}, {}};
     case 4:
-      return {agreed::Step::activate, change, {}, 0, {}, {}};
+      return {consensus::Step::activate, change, {}, 0, {}, {}};
     default:
-      return {agreed::Step::abort, change, {}, 0, {}, "reason" + number};
+      return {consensus::Step::abort, change, {}, 0, {}, "reason" + number};
   }
 }
 
 TEST(ConsensusGolden, PolicyStateMachineAppliesEntries) {
   GoldenRecord record("consensus_policy_state_machine");
   std::mt19937_64 random(5);
-  agreed::PolicyStateMachine policy_state;
-  agreed::Index index = 0;
+  consensus::PolicyStateMachine policy_state;
+  consensus::Index index = 0;
   for (int step = 0; step < 500; ++step) {
     index += random() % 3;  // an index that was applied already is passed over
-    const agreed::Entry entry = drawn_entry(random, policy_state);
+    const consensus::Entry entry = drawn_entry(random, policy_state);
     if (random() % 20 == 0) {
       policy_state.advance_to(index);
       record.add(TraceLine("pass").field("log_index", index).text());
@@ -262,8 +262,8 @@
       record.add(
           TraceLine("apply").field("log_index", index).verbatim("entry", golden::text_of(entry)).text());
     }
-    if (random() % 40 == 0) policy_state = agreed::PolicyStateMachine(policy_state.snapshot());
-    const agreed::ChangeOutcome* outcome = policy_state.outcome(entry.key);
+    if (random() % 40 == 0) policy_state = consensus::PolicyStateMachine(policy_state.snapshot());
+    const consensus::ChangeOutcome* outcome = policy_state.outcome(entry.key);
     record.add(TraceLine("  state")
                    .verbatim("state", golden::text_of(policy_state.snapshot()))
                    .field("knows_key", policy_state.knows_change(entry.key))
@@ -281,7 +281,7 @@
   void play(GoldenRecord& record, int steps) {
     for (int step = 0; step < steps; ++step) {
       now_ += std::chrono::milliseconds(random_() % 250);
-      agreed::LeaderActions actions;
+      consensus::LeaderActions actions;
       const std::string input = take_input(actions);
       leader_.advance(policy_state_, members_, now_, actions);
       record.add(TraceLine("input").field("at", now_).verbatim("what", input).text());
@@ -294,34 +294,34 @@
               .field("term", leader_.term())
               .text());
       for (const auto& [to, message] : actions.messages) {
-        if (const auto* check = std::get_if<agreed::LeadershipCheck>(&message)) round_ = check->round;
+        if (const auto* check = std::get_if<consensus::LeadershipCheck>(&message)) round_ = check->round;
       }
-      for (agreed::Entry& entry : actions.entries) appended_.push_back(std::move(entry));
+      for (consensus::Entry& entry : actions.entries) appended_.push_back(std::move(entry));
     }
   }
 
  private:
-  static agreed::Settings settings() {
-    agreed::Settings settings;
+  static consensus::Settings settings() {
+    consensus::Settings settings;
     settings.name = "n0";
     settings.prepare_timeout = Time{6s};
     return settings;
   }
 
-  std::string take_input(agreed::LeaderActions& actions) {
+  std::string take_input(consensus::LeaderActions& actions) {
     const std::string by = "n" + std::to_string(random_() % 5);
-    const agreed::Index change = policy_state_.change() ? policy_state_.change()->id : random_() % 5;
+    const consensus::Index change = policy_state_.change() ? policy_state_.change()->id : random_() % 5;
     switch (random_() % 16) {
       case 0:
       case 1:
       case 2:
       case 3:
-        leader_.on_lease_request(by, agreed::LeaseRequest{++number_ - random_() % 3}, now_);
+        leader_.on_lease_request(by, consensus::LeaseRequest{++number_ - random_() % 3}, now_);
         return "lease_request by " + by + " up to " + std::to_string(number_);
       case 4:
       case 5:
       case 6: {
-        const agreed::LeadershipCheckReply reply{random_() % 8 == 0 ? 6U : 7U, round_};
+        const consensus::LeadershipCheckReply reply{random_() % 8 == 0 ? 6U : 7U, round_};
         leader_.on_leadership_check_reply(by, reply, policy_state_, now_, actions);
         return "confirmed by " + by + " term " + std::to_string(reply.term);
       }
@@ -334,7 +334,7 @@
       }
       case 10:
       case 11: {
-        const agreed::LeaseRevocationAck ack{random_() % 8 == 0 ? 6U : 7U, policy_state_.epoch()};
+        const consensus::LeaseRevocationAck ack{random_() % 8 == 0 ? 6U : 7U, policy_state_.epoch()};
         leader_.on_revocation_ack(by, ack, policy_state_);
         return "revocation_ack by " + by + " term " + std::to_string(ack.term);
       }
@@ -358,18 +358,19 @@
         }
         return "nothing";
       default:
-        for (const agreed::Entry& entry : std::exchange(appended_, {})) policy_state_.apply(++index_, entry);
+        for (const consensus::Entry& entry : std::exchange(appended_, {}))
+          policy_state_.apply(++index_, entry);
         return "applied up to " + std::to_string(index_);
     }
   }
 
   std::mt19937_64 random_;
   Time now_{1h};
-  agreed::LeaseManager leader_;
-  agreed::PolicyStateMachine policy_state_;
+  consensus::LeaseManager leader_;
+  consensus::PolicyStateMachine policy_state_;
   std::map<std::string, bool> members_{{"n0", true}, {"n1", true}, {"n2", true}, {"n3", true}, {"n4", false}};
-  std::vector<agreed::Entry> appended_;
-  agreed::Index index_ = 0;
+  std::vector<consensus::Entry> appended_;
+  consensus::Index index_ = 0;
   std::uint64_t number_ = 3, round_ = 0;
 };
 
@@ -385,9 +386,9 @@
 TEST(ConsensusGolden, MemberHoldsALease) {
   GoldenRecord record("consensus_lease");
   std::mt19937_64 random(8);
-  agreed::EpochLease lease(100);
+  consensus::EpochLease lease(100);
   Time now{1h};
-  agreed::Epoch active = 1;
+  consensus::Epoch active = 1;
   for (int step = 0; step < 400; ++step) {
     now += std::chrono::milliseconds(random() % 700);
     TraceLine line("input");
@@ -406,8 +407,8 @@
         active += random() % 8 == 0 ? 1 : 0;
         break;
       default: {
-        const agreed::LeaseGrant grant{lease.newest_request() - random() % 3, active - random() % 6 / 5,
-                                       std::chrono::milliseconds(500 + random() % 5000), 9};
+        const consensus::LeaseGrant grant{lease.newest_request() - random() % 3, active - random() % 6 / 5,
+                                          std::chrono::milliseconds(500 + random() % 5000), 9};
         line.field("granted_number", grant.request_number)
             .field("granted_epoch", grant.epoch)
             .field("duration", grant.duration)
@@ -431,4 +432,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/golden/consensus_trace.cpp
+++ b/tests/golden/consensus_trace.cpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <variant>
 
-#include "agreed.pb.h"
+#include "consensus.pb.h"
 #include "golden/trace_line.h"
 
 extern "C" {
@@ -17,35 +17,35 @@
 namespace golden {
 namespace {
 
-using namespace dahliahall;
+using namespace edge_proxy;
 
-std::string label_of(agreed::Step step) {
+std::string label_of(consensus::Step step) {
   switch (step) {
-    case agreed::Step::propose:
+    case consensus::Step::propose:
       return "propose";
-    case agreed::Step::commit:
+    case consensus::Step::commit:
       return "commit";
-    case agreed::Step::activate:
+    case consensus::Step::activate:
       return "activate";
-    case agreed::Step::abort:
+    case consensus::Step::abort:
       return "abort";
   }
   return "?";
 }
 
-std::string label_of(agreed::ChangeResult result) {
+std::string label_of(consensus::ChangeResult result) {
   switch (result) {
-    case agreed::ChangeResult::active:
+    case consensus::ChangeResult::active:
       return "active";
-    case agreed::ChangeResult::aborted:
+    case consensus::ChangeResult::aborted:
       return "aborted";
-    case agreed::ChangeResult::rejected:
+    case consensus::ChangeResult::rejected:
       return "rejected";
   }
   return "?";
 }
 
-std::string describe(const agreed::Change& change) {
+std::string describe(const consensus::Change& change) {
   return TraceLine("{Change")
              .field("id", change.id)
              .field("epoch", change.epoch)
@@ -56,7 +56,7 @@
          "}";
 }
 
-std::string describe(const agreed::ChangeOutcome& outcome) {
+std::string describe(const consensus::ChangeOutcome& outcome) {
   return TraceLine("{Outcome")
              .field("key", outcome.key)
              .verbatim("result", label_of(outcome.result))
@@ -66,7 +66,7 @@
          "}";
 }
 
-std::string describe_entries(const std::vector<std::pair<agreed::Index, agreed::Entry>>& entries) {
+std::string describe_entries(const std::vector<std::pair<consensus::Index, consensus::Entry>>& entries) {
   return list_of(entries, [](const auto& item) { return text_of(item.first) + ":" + text_of(item.second); });
 }
 
@@ -87,7 +87,7 @@
 /// libraft leaves some bytes of its own entries as its allocator gave them: all eight of a barrier, and what
 /// pads a list of servers. They are zero in the record.
 std::string without_undefined_bytes(const std::string& bytes) {
-  agreed::pb::Carried carried;
+  consensus::pb::Carried carried;
   if (!carried.ParseFromString(bytes) || !carried.log().has_append()) return bytes;
   for (auto& entry : *carried.mutable_log()->mutable_append()->mutable_entries()) {
     std::string data = entry.data();
@@ -101,10 +101,10 @@
 }
 
 struct DescribeMessage {
-  std::string operator()(const agreed::LeaseRequest& m) const {
+  std::string operator()(const consensus::LeaseRequest& m) const {
     return TraceLine("LeaseRequest").field("number", m.number).text();
   }
-  std::string operator()(const agreed::LeaseGrant& m) const {
+  std::string operator()(const consensus::LeaseGrant& m) const {
     return TraceLine("LeaseGrant")
         .field("number", m.request_number)
         .field("epoch", m.epoch)
@@ -112,88 +112,88 @@
         .field("log_index", m.index)
         .text();
   }
-  std::string operator()(const agreed::LeadershipCheck& m) const {
+  std::string operator()(const consensus::LeadershipCheck& m) const {
     return TraceLine("LeadershipCheck").field("term", m.term).field("round", m.round).text();
   }
-  std::string operator()(const agreed::LeadershipCheckReply& m) const {
+  std::string operator()(const consensus::LeadershipCheckReply& m) const {
     return TraceLine("LeadershipConfirmed").field("term", m.term).field("round", m.round).text();
   }
-  std::string operator()(const agreed::LogPosition& m) const {
+  std::string operator()(const consensus::LogPosition& m) const {
     return TraceLine("LogPosition").field("log_index", m.index).field("leader", m.leader).text();
   }
-  std::string operator()(const agreed::PrepareReply& m) const {
+  std::string operator()(const consensus::PrepareReply& m) const {
     return TraceLine("Prepared")
         .field("change", m.change)
         .field("accepted", m.ready)
         .field("reason", m.reason)
         .text();
   }
-  std::string operator()(const agreed::LeaseRevocation& m) const {
+  std::string operator()(const consensus::LeaseRevocation& m) const {
     return TraceLine("LeaseRevocation").field("term", m.term).field("epoch", m.epoch).text();
   }
-  std::string operator()(const agreed::LeaseRevocationAck& m) const {
+  std::string operator()(const consensus::LeaseRevocationAck& m) const {
     return TraceLine("LeaseRevocationAck").field("term", m.term).field("epoch", m.epoch).text();
   }
-  std::string operator()(const agreed::ProposeRequest& m) const {
+  std::string operator()(const consensus::ProposeRequest& m) const {
     return TraceLine("Propose")
         .field("key", m.key)
         .field("base_epoch", m.base_epoch)
         .field("policy", m.policy)
         .text();
   }
-  std::string operator()(const agreed::AbortRequest& m) const {
+  std::string operator()(const consensus::AbortRequest& m) const {
     return TraceLine("AbortRequest").field("change", m.change).text();
   }
-  std::string operator()(const agreed::CatchUpRequest& m) const {
+  std::string operator()(const consensus::CatchUpRequest& m) const {
     return TraceLine("CatchUpRequest").field("after", m.after_index).text();
   }
-  std::string operator()(const agreed::CatchUpResponse& m) const {
+  std::string operator()(const consensus::CatchUpResponse& m) const {
     return TraceLine("CatchUpResponse")
         .field("after", m.after_index)
         .field("up_to", m.up_to_index)
         .verbatim("entries", describe_entries(m.entries))
         .text();
   }
-  std::string operator()(const agreed::Snapshot& m) const { return text_of(m); }
+  std::string operator()(const consensus::Snapshot& m) const { return text_of(m); }
 };
 
 struct DescribeInput {
-  std::string operator()(const agreed::MessageReceived& input) const {
+  std::string operator()(const consensus::MessageReceived& input) const {
     return TraceLine("MessageReceived")
         .field("from", input.from)
         .verbatim("message", text_of(input.message))
         .text();
   }
-  std::string operator()(const agreed::TimerExpired&) const { return "TimerExpired"; }
-  std::string operator()(const agreed::EntryApplied& input) const {
+  std::string operator()(const consensus::TimerExpired&) const { return "TimerExpired"; }
+  std::string operator()(const consensus::EntryApplied& input) const {
     return TraceLine("EntryApplied")
         .field("log_index", input.index)
         .verbatim("entry", input.entry ? text_of(*input.entry) : "none")
         .text();
   }
-  std::string operator()(const agreed::SnapshotRestored& input) const {
+  std::string operator()(const consensus::SnapshotRestored& input) const {
     return TraceLine("SnapshotRestored").verbatim("snapshot", text_of(input.whole)).text();
   }
-  std::string operator()(const agreed::BecameLeader& input) const {
+  std::string operator()(const consensus::BecameLeader& input) const {
     return TraceLine("BecameLeader")
         .field("term", input.term)
         .verbatim("voters", list_of(input.voters))
         .text();
   }
-  std::string operator()(const agreed::BecameFollower& input) const {
+  std::string operator()(const consensus::BecameFollower& input) const {
     return TraceLine("BecameFollower").field("leader", input.leader).field("voter", input.is_voter).text();
   }
-  std::string operator()(const agreed::VotersChanged& input) const {
+  std::string operator()(const consensus::VotersChanged& input) const {
     return TraceLine("VotersChanged").verbatim("voters", list_of(input.names)).text();
   }
-  std::string operator()(const agreed::MembersChanged& input) const {
+  std::string operator()(const consensus::MembersChanged& input) const {
     return TraceLine("MembersChanged")
         .verbatim("reached",
                   list_of(input.reachable,
                           [](const auto& member) { return member.first + ":" + text_of(member.second); }))
         .text();
   }
-  std::string operator()(const agreed::ProposeCall& input) const {
+  std::string operator()(const consensus::ProposeCall& input) const {
     return TraceLine("ProposeCall")
         .field("call", input.call)
         .field("key", input.key)
@@ -201,50 +201,50 @@
         .field("policy", input.policy)
         .text();
   }
-  std::string operator()(const agreed::AbortCall& input) const {
+  std::string operator()(const consensus::AbortCall& input) const {
     return TraceLine("AbortCall").field("call", input.call).text();
   }
 };
 
 /// None for a log line.
 struct DescribeEffect {
-  std::optional<std::string> operator()(const agreed::SendMessage& effect) const {
+  std::optional<std::string> operator()(const consensus::SendMessage& effect) const {
     return TraceLine("Send").field("to", effect.to).verbatim("message", text_of(effect.message)).text();
   }
-  std::optional<std::string> operator()(const agreed::AppendEntry& effect) const {
+  std::optional<std::string> operator()(const consensus::AppendEntry& effect) const {
     return TraceLine("AppendEntry").verbatim("entry", text_of(effect.entry)).text();
   }
-  std::optional<std::string> operator()(const agreed::CheckTerm& effect) const {
+  std::optional<std::string> operator()(const consensus::CheckTerm& effect) const {
     return TraceLine("CheckTerm")
         .field("from", effect.from)
         .field("term", effect.check.term)
         .field("round", effect.check.round)
         .text();
   }
-  std::optional<std::string> operator()(const agreed::PersistLearned& effect) const {
+  std::optional<std::string> operator()(const consensus::PersistLearned& effect) const {
     return TraceLine("StoreCatchUp")
         .verbatim("content", std::visit(DescribeMessage{}, effect.learned))
         .text();
   }
-  std::optional<std::string> operator()(const agreed::EpochChanged& effect) const {
+  std::optional<std::string> operator()(const consensus::EpochChanged& effect) const {
     return TraceLine("ActivatePolicy")
         .verbatim("epoch", effect.epoch ? text_of(*effect.epoch) : "none")
         .field("policy", effect.policy)
         .text();
   }
-  std::optional<std::string> operator()(const agreed::AdminReply& effect) const {
+  std::optional<std::string> operator()(const consensus::AdminReply& effect) const {
     return TraceLine("Answer")
         .field("call", effect.call)
         .field("status", effect.status)
         .field("body", effect.body)
         .text();
   }
-  std::optional<std::string> operator()(const agreed::LogLine&) const { return std::nullopt; }
+  std::optional<std::string> operator()(const consensus::LogLine&) const { return std::nullopt; }
 };
 
 }  // namespace
 
-std::string text_of(const agreed::Entry& entry) {
+std::string text_of(const consensus::Entry& entry) {
   return TraceLine("{Entry")
              .verbatim("step", label_of(entry.step))
              .field("change", entry.change)
@@ -256,11 +256,11 @@
          "}";
 }
 
-std::string text_of(const agreed::Message& message) {
+std::string text_of(const consensus::Message& message) {
   return "{" + std::visit(DescribeMessage{}, message) + "}";
 }
 
-std::string text_of(const agreed::Snapshot& snapshot) {
+std::string text_of(const consensus::Snapshot& snapshot) {
   return TraceLine("Snapshot")
       .field("log_index", snapshot.index)
       .field("epoch", snapshot.epoch)
@@ -271,9 +271,9 @@
       .text();
 }
 
-std::string text_of(const agreed::Input& input) { return std::visit(DescribeInput{}, input); }
+std::string text_of(const consensus::Input& input) { return std::visit(DescribeInput{}, input); }
 
-std::string text_of(const agreed::LeaderActions& actions) {
+std::string text_of(const consensus::LeaderActions& actions) {
   return TraceLine("LeaderActions")
       .verbatim("send", list_of(actions.messages,
                                 [](const auto& item) { return item.first + ":" + text_of(item.second); }))
@@ -281,20 +281,22 @@
       .text();
 }
 
-void add_step(GoldenRecord& record, const std::string& member, agreed::Time now, const agreed::Input& input,
-              const std::vector<agreed::Effect>& effects, const agreed::State& state) {
-  if (effects.empty() && std::holds_alternative<agreed::TimerExpired>(input)) return;
+void add_step(GoldenRecord& record, const std::string& member, consensus::Time now,
+              const consensus::Input& input, const std::vector<consensus::Effect>& effects,
+              const consensus::State& state) {
+  if (effects.empty() && std::holds_alternative<consensus::TimerExpired>(input)) return;
   record.add(TraceLine(member)
                  .field("at", now)
                  .verbatim("input", text_of(input))
                  .field("next_timer", state.next_due())
                  .text());
-  for (const agreed::Effect& effect : effects) {
+  for (const consensus::Effect& effect : effects) {
     if (const auto text = std::visit(DescribeEffect{}, effect)) record.add("  " + *text);
   }
 }
 
-void add_log_output(GoldenRecord& record, const std::string& member, const agreed::RaftLog::Output& output) {
+void add_log_output(GoldenRecord& record, const std::string& member,
+                    const consensus::RaftLog::Output& output) {
   for (const auto& [to, message] : output.messages) {
     const std::string bytes = without_undefined_bytes(message);
     record.add(TraceLine(member)
@@ -303,7 +305,7 @@
                    .field("checksum", static_cast<std::uint64_t>(XXH3_64bits(bytes.data(), bytes.size())))
                    .text());
   }
-  for (const agreed::Input& input : output.inputs)
+  for (const consensus::Input& input : output.inputs)
     record.add(TraceLine(member).verbatim("log_gives", text_of(input)).text());
 }
 
--- a/tests/golden/consensus_trace.h
+++ b/tests/golden/consensus_trace.h
@@ -6,27 +6,28 @@
 #include <string>
 #include <vector>
 
-#include "agreed/raft_log.h"
-#include "agreed/reducer.h"
+#include "consensus/raft_log.h"
+#include "consensus/reducer.h"
 #include "golden/golden_record.h"
 
 namespace golden {
 
-std::string text_of(const dahliahall::agreed::Entry& entry);
-std::string text_of(const dahliahall::agreed::Message& message);
-std::string text_of(const dahliahall::agreed::Snapshot& snapshot);
-std::string text_of(const dahliahall::agreed::Input& input);
-std::string text_of(const dahliahall::agreed::LeaderActions& actions);
+std::string text_of(const edge_proxy::consensus::Entry& entry);
+std::string text_of(const edge_proxy::consensus::Message& message);
+std::string text_of(const edge_proxy::consensus::Snapshot& snapshot);
+std::string text_of(const edge_proxy::consensus::Input& input);
+std::string text_of(const edge_proxy::consensus::LeaderActions& actions);
 
 /// Adds an input of a member's reducer, then each effect. An expired timer without any is left out:
 /// there are too many of them.
-void add_step(GoldenRecord& record, const std::string& member, dahliahall::agreed::Time now,
-              const dahliahall::agreed::Input& input, const std::vector<dahliahall::agreed::Effect>& effects,
-              const dahliahall::agreed::State& state);
+void add_step(GoldenRecord& record, const std::string& member, edge_proxy::consensus::Time now,
+              const edge_proxy::consensus::Input& input,
+              const std::vector<edge_proxy::consensus::Effect>& effects,
+              const edge_proxy::consensus::State& state);
 
 /// Adds what came of a call of a member's log. Of bytes for its servers a checksum stands,
 /// with those that libraft leaves undefined set to zero.
 void add_log_output(GoldenRecord& record, const std::string& member,
-                    const dahliahall::agreed::RaftLog::Output& output);
+                    const edge_proxy::consensus::RaftLog::Output& output);
 
 }  // namespace golden
--- a/tests/golden/membership_golden_test.cpp
+++ b/tests/golden/membership_golden_test.cpp
@@ -6,17 +6,17 @@
 
 #include "golden/membership_trace.h"
 #include "golden/trace_line.h"
-#include "peers/news_queue.h"
-#include "peers/report.h"
-#include "peers_world.h"
+#include "membership/broadcast_queue.h"
+#include "membership/report.h"
+#include "support/membership_world.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
+using admission::QuotaLeases;
 using golden::GoldenRecord;
 using golden::TraceLine;
-using limits::QuotaLeases;
-using peers::MemberStatus;
+using membership::MemberStatus;
 
 template <typename Value>
 Value drawn(std::mt19937_64& random, std::initializer_list<Value> values) {
@@ -27,16 +27,16 @@
  public:
   MembershipPlay(const std::string& record_name, std::size_t count, std::uint64_t seed)
       : record_(record_name), random_(seed) {
-    world_ = PeersWorld::settled(count, seed, [count](peers::Settings& settings) {
+    world_ = PeersWorld::settled(count, seed, [count](membership::Settings& settings) {
       settings.quota_lease = 6s;
       settings.expected_members = count;
       settings.max_members = 12;
-      settings.full_sync_interval = peers::Time{2s};
+      settings.full_sync_interval = membership::Time{2s};
       settings.zone = settings.name < "n3" ? 1 : 2;
     });
     world_->drift = 0.004;
-    world_->observer = [this](std::size_t i, peers::Time now, const peers::Input& input,
-                              const std::vector<peers::Effect>& effects) {
+    world_->observer = [this](std::size_t i, membership::Time now, const membership::Input& input,
+                              const std::vector<membership::Effect>& effects) {
       golden::add_step(record_, PeersWorld::name(i), now, input, effects, *world_->node(i).state);
     };
   }
@@ -85,12 +85,12 @@
         break;
       case 7:
         if (!runs(whom)) break;
-        world_->feed(whom, peers::ShutdownRequested{});
+        world_->feed(whom, membership::ShutdownRequested{});
         world_->run(50ms);
         world_->kill(whom);
         break;
       case 8:
-        if (runs(by)) world_->feed(by, peers::ForgetMember{PeersWorld::name(whom)});
+        if (runs(by)) world_->feed(by, membership::ForgetMember{PeersWorld::name(whom)});
         break;
       case 9:
         if (runs(whom)) world_->stop(whom);
@@ -104,35 +104,36 @@
         }
     }
     if (runs(by)) {
-      world_->feed(by, peers::SendUserMessage{PeersWorld::name(whom), std::string(random_() % 1500, 'x')});
-      world_->feed(
-          by, peers::MessageRejected{static_cast<peers::DecodeError>(random_() % peers::kDecodeErrorCount),
-                                     "10.9.9.9:1"});
+      world_->feed(by,
+                   membership::SendUserMessage{PeersWorld::name(whom), std::string(random_() % 1500, 'x')});
+      world_->feed(by, membership::MessageRejected{
+                           static_cast<membership::DecodeError>(random_() % membership::kDecodeErrorCount),
+                           "10.9.9.9:1"});
     }
   }
 
   /// That place runs a second process under the name of another one.
   void dispute_name(std::size_t whose, std::size_t place) {
     if (whose == place || !world_->node(whose).state) return;
-    peers::Settings settings = world_->node(whose).state->settings();
+    membership::Settings settings = world_->node(whose).state->settings();
     settings.address = PeersWorld::address(place);
     world_->kill(place);
     world_->node(place).stopped = false;
-    world_->node(place).state = std::make_unique<peers::State>(
-        settings, peers::Identity{99, std::uint64_t{1} << peers::kRefutationBits, true, {}}, random_(),
-        world_->local(place));
-    world_->feed(place, peers::TimerExpired{});
+    world_->node(place).state = std::make_unique<membership::State>(
+        settings, membership::Identity{99, std::uint64_t{1} << membership::kRefutationBits, true, {}},
+        random_(), world_->local(place));
+    world_->feed(place, membership::TimerExpired{});
   }
 
   void add_states() {
     for (std::size_t i = 0; i < world_->size(); ++i) {
       if (!world_->node(i).state) continue;
-      const peers::State& state = *world_->node(i).state;
-      const peers::Time now = world_->local(i);
+      const membership::State& state = *world_->node(i).state;
+      const membership::Time now = world_->local(i);
       record_.add(PeersWorld::name(i) + " " + golden::state_of(state.quota(), now));
-      record_.add("  report=" + golden::quoted(peers::report(state, now)));
+      record_.add("  report=" + golden::quoted(membership::report(state, now)));
       TraceLine figures("  figures");
-      for (const peers::Metric& figure : peers::metrics(state, now))
+      for (const membership::Metric& figure : membership::metrics(state, now))
         figures.verbatim(figure.name, std::to_string(figure.value) + (figure.is_counter ? "+" : ""));
       record_.add(figures.text());
     }
@@ -153,8 +154,8 @@
   GoldenRecord record("membership_join");
   PeersWorld world(6, 5);
   world.loss = 0.05;
-  world.observer = [&](std::size_t i, peers::Time now, const peers::Input& input,
-                       const std::vector<peers::Effect>& effects) {
+  world.observer = [&](std::size_t i, membership::Time now, const membership::Input& input,
+                       const std::vector<membership::Effect>& effects) {
     golden::add_step(record, PeersWorld::name(i), now, input, effects, *world.node(i).state);
   };
   world.run(3s);
@@ -162,14 +163,14 @@
 }
 
 /// Within the newest two lives, so that not all is old after a while.
-peers::MemberUpdate drawn_update(std::mt19937_64& random, std::uint64_t newest_life = 3) {
-  peers::MemberUpdate update;
+membership::MemberUpdate drawn_update(std::mt19937_64& random, std::uint64_t newest_life = 3) {
+  membership::MemberUpdate update;
   update.name = PeersWorld::name(random() % 12);
   update.address = PeersWorld::address(random() % 9);
   update.disk_id = 1 + random() % 2;
-  update.incarnation = ((newest_life - random() % 2) << peers::kRefutationBits) + random() % 3;
+  update.incarnation = ((newest_life - random() % 2) << membership::kRefutationBits) + random() % 3;
   update.zone = static_cast<int>(random() % 2);
-  update.status = static_cast<MemberStatus>(random() % peers::kMemberStatusCount);
+  update.status = static_cast<MemberStatus>(random() % membership::kMemberStatusCount);
   if (update.status == MemberStatus::suspect || update.status == MemberStatus::dead)
     update.reported_by = PeersWorld::name(random() % 3);
   return update;
@@ -178,11 +179,11 @@
 TEST(MembershipGolden, ViewMergesUpdates) {
   GoldenRecord record("membership_view");
   std::mt19937_64 random(6);
-  peers::View view("n0", 5);
+  membership::View view("n0", 5);
   for (int step = 0; step < 1500; ++step) {
-    const peers::MemberUpdate update = drawn_update(random, 2 + static_cast<std::uint64_t>(step) / 80);
+    const membership::MemberUpdate update = drawn_update(random, 2 + static_cast<std::uint64_t>(step) / 80);
     const bool full = view.has_no_room_for(update.name);
-    const peers::View::Merged taken = view.merge(update, peers::Time{step * 1000});
+    const membership::View::Merged taken = view.merge(update, membership::Time{step * 1000});
     record.add(TraceLine("merge")
                    .verbatim("update", golden::text_of(update))
                    .field("table_full", full)
@@ -199,7 +200,7 @@
                    .field("digest", view.digest())
                    .field("revision", view.revision())
                    .text());
-    const peers::Member* member = view.find(update.name);
+    const membership::Member* member = view.find(update.name);
     if (member == nullptr) continue;
     record.add(TraceLine("  member")
                    .verbatim("update", golden::text_of(member->update))
@@ -218,21 +219,21 @@
 TEST(MembershipGolden, BroadcastQueueGivesUpdates) {
   GoldenRecord record("membership_broadcast_queue");
   std::mt19937_64 random(7);
-  peers::BroadcastQueue queue;
+  membership::BroadcastQueue queue;
   for (int step = 0; step < 600; ++step) {
     if (random() % 2 == 0) {
-      const peers::MemberUpdate update = drawn_update(random);
+      const membership::MemberUpdate update = drawn_update(random);
       queue.enqueue(update);
       record.add("add " + golden::text_of(update));
     } else {
       const std::size_t room = random() % 300, most = 1 + random() % 4;
-      const auto given =
-          queue.take(room, most, [](const peers::MemberUpdate& news) { return peers::encoded_size(news); });
+      const auto given = queue.take(
+          room, most, [](const membership::MemberUpdate& news) { return membership::encoded_size(news); });
       record.add(TraceLine("take")
                      .field("room_bytes", room)
                      .field("transmissions", most)
                      .verbatim("updates", golden::list_of(given,
-                                                          [](const peers::MemberUpdate& update) {
+                                                          [](const membership::MemberUpdate& update) {
                                                             return golden::text_of(update);
                                                           }))
                      .text());
@@ -308,4 +309,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/golden/membership_trace.cpp
+++ b/tests/golden/membership_trace.cpp
@@ -11,168 +11,168 @@
 namespace golden {
 namespace {
 
-using namespace dahliahall;
+using namespace edge_proxy;
 
-std::string label_of(peers::MessageKind kind) {
+std::string label_of(membership::MessageKind kind) {
   switch (kind) {
-    case peers::MessageKind::ping:
+    case membership::MessageKind::ping:
       return "ping";
-    case peers::MessageKind::ack:
+    case membership::MessageKind::ack:
       return "ack";
-    case peers::MessageKind::nack:
+    case membership::MessageKind::nack:
       return "nack";
-    case peers::MessageKind::ping_req:
+    case membership::MessageKind::ping_req:
       return "ping_req";
-    case peers::MessageKind::gossip:
+    case membership::MessageKind::gossip:
       return "gossip";
-    case peers::MessageKind::full_sync:
+    case membership::MessageKind::full_sync:
       return "full_sync";
-    case peers::MessageKind::full_sync_reply:
+    case membership::MessageKind::full_sync_reply:
       return "full_sync_reply";
-    case peers::MessageKind::user_message:
+    case membership::MessageKind::user_message:
       return "user_message";
   }
   return "?";
 }
 
-std::string label_of(peers::DecodeError reason) {
+std::string label_of(membership::DecodeError reason) {
   switch (reason) {
-    case peers::DecodeError::malformed:
+    case membership::DecodeError::malformed:
       return "malformed";
-    case peers::DecodeError::oversized:
+    case membership::DecodeError::oversized:
       return "oversized";
-    case peers::DecodeError::checksum_mismatch:
+    case membership::DecodeError::checksum_mismatch:
       return "corrupt";
-    case peers::DecodeError::wrong_cluster:
+    case membership::DecodeError::wrong_cluster:
       return "other_cluster";
-    case peers::DecodeError::wrong_version:
+    case membership::DecodeError::wrong_version:
       return "other_version";
-    case peers::DecodeError::invalid_field:
+    case membership::DecodeError::invalid_field:
       return "bad_field";
   }
   return "?";
 }
 
-std::string sorted_list_of(const std::vector<peers::MemberUpdate>& updates) {
+std::string sorted_list_of(const std::vector<membership::MemberUpdate>& updates) {
   std::vector<std::string> texts;
-  for (const peers::MemberUpdate& update : updates) texts.push_back(text_of(update));
+  for (const membership::MemberUpdate& update : updates) texts.push_back(text_of(update));
   std::sort(texts.begin(), texts.end());
   return list_of(texts, [](const std::string& text) { return text; });
 }
 
 struct DescribeInput {
-  std::string operator()(const peers::MessageReceived& input) const {
+  std::string operator()(const membership::MessageReceived& input) const {
     return TraceLine("MessageReceived")
         .field("stream", input.stream)
         .verbatim("message", text_of(input.message))
         .text();
   }
-  std::string operator()(const peers::MessageRejected& input) const {
+  std::string operator()(const membership::MessageRejected& input) const {
     return TraceLine("MessageRejected")
         .verbatim("reason", label_of(input.reason))
         .field("address", input.address)
         .text();
   }
-  std::string operator()(const peers::TimerExpired&) const { return "TimerExpired"; }
-  std::string operator()(const peers::ShutdownRequested&) const { return "ShutdownRequested"; }
-  std::string operator()(const peers::ForgetMember& input) const {
+  std::string operator()(const membership::TimerExpired&) const { return "TimerExpired"; }
+  std::string operator()(const membership::ShutdownRequested&) const { return "ShutdownRequested"; }
+  std::string operator()(const membership::ForgetMember& input) const {
     return TraceLine("ForgetMember").field("name", input.name).text();
   }
-  std::string operator()(const peers::SendUserMessage& input) const {
+  std::string operator()(const membership::SendUserMessage& input) const {
     return TraceLine("SendUserMessage").field("to", input.to).field("payload", input.payload).text();
   }
 };
 
 /// None for a log line.
 struct DescribeEffect {
-  std::optional<std::string> operator()(const peers::SendDatagram& effect) const {
+  std::optional<std::string> operator()(const membership::SendDatagram& effect) const {
     return TraceLine("SendDatagram")
         .field("address", effect.address)
         .verbatim("message", text_of(effect.message))
         .text();
   }
-  std::optional<std::string> operator()(const peers::SendFullSync& effect) const {
+  std::optional<std::string> operator()(const membership::SendFullSync& effect) const {
     return TraceLine("SendOverStream")
         .field("address", effect.address)
         .verbatim("message", text_of(effect.message))
         .text();
   }
-  std::optional<std::string> operator()(const peers::FullSyncReply& effect) const {
+  std::optional<std::string> operator()(const membership::FullSyncReply& effect) const {
     return TraceLine("ReplyOverStream")
         .field("stream", effect.stream)
         .verbatim("message", text_of(effect.message))
         .text();
   }
-  std::optional<std::string> operator()(const peers::LogLine&) const { return std::nullopt; }
-  std::optional<std::string> operator()(const peers::PersistState&) const { return "PersistMembers"; }
-  std::optional<std::string> operator()(const peers::UserMessageReceived& effect) const {
+  std::optional<std::string> operator()(const membership::LogLine&) const { return std::nullopt; }
+  std::optional<std::string> operator()(const membership::PersistState&) const { return "PersistMembers"; }
+  std::optional<std::string> operator()(const membership::UserMessageReceived& effect) const {
     return TraceLine("DeliverUserMessage").field("from", effect.from).field("payload", effect.payload).text();
   }
 };
 
 }  // namespace
 
-std::string label_of(peers::MemberStatus status) {
+std::string label_of(membership::MemberStatus status) {
   switch (status) {
-    case peers::MemberStatus::alive:
+    case membership::MemberStatus::alive:
       return "alive";
-    case peers::MemberStatus::suspect:
+    case membership::MemberStatus::suspect:
       return "suspect";
-    case peers::MemberStatus::dead:
+    case membership::MemberStatus::dead:
       return "dead";
-    case peers::MemberStatus::left:
+    case membership::MemberStatus::left:
       return "left";
-    case peers::MemberStatus::forgotten:
+    case membership::MemberStatus::forgotten:
       return "forgotten";
-    case peers::MemberStatus::disputed:
+    case membership::MemberStatus::disputed:
       return "disputed";
   }
   return "?";
 }
 
-std::string label_of(peers::Reachability reachability) {
+std::string label_of(membership::Reachability reachability) {
   switch (reachability) {
-    case peers::Reachability::unknown:
+    case membership::Reachability::unknown:
       return "unknown";
-    case peers::Reachability::direct:
+    case membership::Reachability::direct:
       return "direct";
-    case peers::Reachability::indirect:
+    case membership::Reachability::indirect:
       return "indirect";
-    case peers::Reachability::one_way:
+    case membership::Reachability::one_way:
       return "one_way";
-    case peers::Reachability::unreachable:
+    case membership::Reachability::unreachable:
       return "unreachable";
   }
   return "?";
 }
 
-std::string label_of(peers::PartitionStatus partition_status) {
+std::string label_of(membership::PartitionStatus partition_status) {
   switch (partition_status) {
-    case peers::PartitionStatus::majority:
+    case membership::PartitionStatus::majority:
       return "majority";
-    case peers::PartitionStatus::minority:
+    case membership::PartitionStatus::minority:
       return "minority";
-    case peers::PartitionStatus::isolated:
+    case membership::PartitionStatus::isolated:
       return "isolated";
-    case peers::PartitionStatus::disputed:
+    case membership::PartitionStatus::disputed:
       return "disputed";
   }
   return "?";
 }
 
-std::string label_of(peers::View::MergeResult merge_result) {
+std::string label_of(membership::View::MergeResult merge_result) {
   switch (merge_result) {
-    case peers::View::MergeResult::outdated:
+    case membership::View::MergeResult::outdated:
       return "stale";
-    case peers::View::MergeResult::changed:
+    case membership::View::MergeResult::changed:
       return "updated";
-    case peers::View::MergeResult::confirmation:
+    case membership::View::MergeResult::confirmation:
       return "confirmed_suspicion";
   }
   return "?";
 }
 
-std::string text_of(const peers::MemberUpdate& update) {
+std::string text_of(const membership::MemberUpdate& update) {
   return TraceLine("{MemberUpdate")
              .field("name", update.name)
              .field("address", update.address)
@@ -185,9 +185,9 @@
          "}";
 }
 
-std::string text_of(const peers::Message& message) {
-  const bool is_full_sync =
-      message.kind == peers::MessageKind::full_sync || message.kind == peers::MessageKind::full_sync_reply;
+std::string text_of(const membership::Message& message) {
+  const bool is_full_sync = message.kind == membership::MessageKind::full_sync ||
+                            message.kind == membership::MessageKind::full_sync_reply;
   return TraceLine("{Message")
              .verbatim("kind", label_of(message.kind))
              .field("number", message.sequence)
@@ -207,9 +207,9 @@
          "}";
 }
 
-std::string text_of(const peers::Input& input) { return std::visit(DescribeInput{}, input); }
+std::string text_of(const membership::Input& input) { return std::visit(DescribeInput{}, input); }
 
-std::string text_of(const limits::QuotaLeases::QuotaShare& share) {
+std::string text_of(const admission::QuotaLeases::QuotaShare& share) {
   return TraceLine("{QuotaShare")
              .field("of_all", share.of_cluster)
              .field("of_zone", share.of_zone)
@@ -219,7 +219,7 @@
          "}";
 }
 
-std::string state_of(const limits::QuotaLeases& leases, limits::QuotaLeases::Time now) {
+std::string state_of(const admission::QuotaLeases& leases, admission::QuotaLeases::Time now) {
   return TraceLine("QuotaLeases")
       .verbatim("share", text_of(leases.share(now)))
       .field("confirmed", leases.confirmed())
@@ -228,7 +228,7 @@
       .verbatim("announced", list_of(leases.announced_names()))
       .field("unfenced_count", leases.unfenced_count())
       .verbatim("unfenced", list_of(leases.unfenced_holders(),
-                                    [](const limits::QuotaLeases::UnfencedHolder& holder) {
+                                    [](const admission::QuotaLeases::UnfencedHolder& holder) {
                                       return TraceLine("{UnfencedHolder")
                                                  .field("name", holder.name)
                                                  .field("disk", holder.identity.disk)
@@ -240,17 +240,18 @@
       .text();
 }
 
-void add_step(GoldenRecord& record, const std::string& member, peers::Time now, const peers::Input& input,
-              const std::vector<peers::Effect>& effects, const peers::State& state) {
+void add_step(GoldenRecord& record, const std::string& member, membership::Time now,
+              const membership::Input& input, const std::vector<membership::Effect>& effects,
+              const membership::State& state) {
   record.add(TraceLine(member)
                  .field("at", now)
                  .verbatim("input", text_of(input))
                  .field("next_timer", state.next_due())
                  .text());
   bool persists = false;
-  for (const peers::Effect& effect : effects) {
+  for (const membership::Effect& effect : effects) {
     if (const auto text = std::visit(DescribeEffect{}, effect)) record.add("  " + *text);
-    persists = persists || std::holds_alternative<peers::PersistState>(effect);
+    persists = persists || std::holds_alternative<membership::PersistState>(effect);
   }
   if (persists) record.add("  persisted=" + sorted_list_of(state.persistent_state()));
 }
--- a/tests/golden/membership_trace.h
+++ b/tests/golden/membership_trace.h
@@ -6,30 +6,31 @@
 #include <string>
 #include <vector>
 
+#include "admission/quota_leases.h"
 #include "golden/golden_record.h"
-#include "limits/shares.h"
-#include "peers/reducer.h"
+#include "membership/reducer.h"
 
 namespace golden {
 
-std::string label_of(dahliahall::peers::MemberStatus status);
-std::string label_of(dahliahall::peers::Reachability reachability);
-std::string label_of(dahliahall::peers::PartitionStatus partition_status);
-std::string label_of(dahliahall::peers::View::MergeResult merge_result);
+std::string label_of(edge_proxy::membership::MemberStatus status);
+std::string label_of(edge_proxy::membership::Reachability reachability);
+std::string label_of(edge_proxy::membership::PartitionStatus partition_status);
+std::string label_of(edge_proxy::membership::View::MergeResult merge_result);
 
-std::string text_of(const dahliahall::peers::MemberUpdate& update);
+std::string text_of(const edge_proxy::membership::MemberUpdate& update);
 /// Updates of a full sync stand in the order of their text: their own is that of a hash table.
-std::string text_of(const dahliahall::peers::Message& message);
-std::string text_of(const dahliahall::peers::Input& input);
-std::string text_of(const dahliahall::limits::QuotaLeases::QuotaShare& share);
+std::string text_of(const edge_proxy::membership::Message& message);
+std::string text_of(const edge_proxy::membership::Input& input);
+std::string text_of(const edge_proxy::admission::QuotaLeases::QuotaShare& share);
 
 /// What the quota leases of one member show of themselves.
-std::string state_of(const dahliahall::limits::QuotaLeases& leases,
-                     dahliahall::limits::QuotaLeases::Time now);
+std::string state_of(const edge_proxy::admission::QuotaLeases& leases,
+                     edge_proxy::admission::QuotaLeases::Time now);
 
 /// Adds an input of a member, then each effect, then what is persisted where that changed.
-void add_step(GoldenRecord& record, const std::string& member, dahliahall::peers::Time now,
-              const dahliahall::peers::Input& input, const std::vector<dahliahall::peers::Effect>& effects,
-              const dahliahall::peers::State& state);
+void add_step(GoldenRecord& record, const std::string& member, edge_proxy::membership::Time now,
+              const edge_proxy::membership::Input& input,
+              const std::vector<edge_proxy::membership::Effect>& effects,
+              const edge_proxy::membership::State& state);
 
 }  // namespace golden
--- a/tests/golden/proxy_golden_test.cpp
+++ b/tests/golden/proxy_golden_test.cpp
@@ -10,19 +10,19 @@
 #include <utility>
 #include <vector>
 
-#include "agreed/wire.h"
+#include "consensus/codec.h"
 #include "golden/golden_record.h"
 #include "golden/proxy_trace.h"
-#include "virtual_stage.h"
+#include "support/virtual_stage.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using golden::GoldenRecord;
 using std::chrono::milliseconds;
 
 VirtualStage::Observer recorder(GoldenRecord& record) {
-  return [&record](Time now, const edge::Input& input, const std::vector<edge::Effect>& effects) {
+  return [&record](Time now, const proxy::Input& input, const std::vector<proxy::Effect>& effects) {
     golden::record_proxy_step(record, now, input, effects);
   };
 }
@@ -407,9 +407,9 @@
   ClusterScenario(VirtualStage& stage, std::uint64_t seed) : stage_(stage), engine_(seed) {}
 
   void ready() {
-    peers::Identity identity{7 + engine_() % 5, peers::kEpochStep, false, {}};
+    membership::Identity identity{7 + engine_() % 5, membership::kEpochStep, false, {}};
     identity.known_members = {member("n2"), member("n3")};
-    stage_.feed(edge::MembershipReady{identity});
+    stage_.feed(proxy::MembershipReady{identity});
   }
   void run_for(int steps) {
     for (int step = 0; step < steps; ++step) {
@@ -419,55 +419,58 @@
   }
   /// It has come to lead the log, and is granted a lease by a majority.
   void lead() {
-    edge::ConsensusOutput out;
+    proxy::ConsensusOutput out;
     out.voters = {{"n1", 7}, {"n2", 8}, {"n3", 9}};
     out.raft_id = 7;
     out.messages = {{"n2", "bytes of the log"}};
-    out.inputs = {agreed::EntryApplied{1, std::nullopt}, agreed::BecameLeader{term_, {"n1", "n2", "n3"}}};
+    out.inputs = {consensus::EntryApplied{1, std::nullopt},
+                  consensus::BecameLeader{term_, {"n1", "n2", "n3"}}};
     stage_.feed(out);
   }
   void confirm(std::uint64_t rounds) {
     for (std::uint64_t round = 1; round <= rounds; ++round) {
-      carry("n2", agreed::LeadershipCheckReply{term_, round});
-      carry("n3", agreed::LeadershipCheckReply{term_, round});
-      own(agreed::MessageReceived{"n1", agreed::LeadershipCheckReply{term_, round}});
+      carry("n2", consensus::LeadershipCheckReply{term_, round});
+      carry("n3", consensus::LeadershipCheckReply{term_, round});
+      own(consensus::MessageReceived{"n1", consensus::LeadershipCheckReply{term_, round}});
     }
   }
-  void apply(agreed::Index index, const agreed::Entry& entry) { own(agreed::EntryApplied{index, entry}); }
-  void carry(const std::string& from, const agreed::Message& message) {
-    peers::Message envelope = peer_message(from, peers::MessageKind::user_message);
-    envelope.payload = agreed::encode(message, kLease);
-    stage_.feed(edge::MembershipInput{peers::MessageReceived{envelope, 0}});
+  void apply(consensus::Index index, const consensus::Entry& entry) {
+    own(consensus::EntryApplied{index, entry});
+  }
+  void carry(const std::string& from, const consensus::Message& message) {
+    membership::Message envelope = peer_message(from, membership::MessageKind::user_message);
+    envelope.payload = consensus::encode(message, kLease);
+    stage_.feed(proxy::MembershipInput{membership::MessageReceived{envelope, 0}});
   }
   void carry_bytes(const std::string& from, const std::string& bytes) {
-    peers::Message envelope = peer_message(from, peers::MessageKind::user_message);
+    membership::Message envelope = peer_message(from, membership::MessageKind::user_message);
     envelope.payload = bytes;
-    stage_.feed(edge::MembershipInput{peers::MessageReceived{envelope, 0}});
+    stage_.feed(proxy::MembershipInput{membership::MessageReceived{envelope, 0}});
   }
-  void own(const agreed::Input& input) {
-    edge::ConsensusOutput out;
+  void own(const consensus::Input& input) {
+    proxy::ConsensusOutput out;
     out.voters = {{"n1", 7}, {"n2", 8}, {"n3", 9}};
     out.raft_id = 7;
     out.inputs = {input};
     stage_.feed(out);
   }
-  [[nodiscard]] agreed::Term term() const { return term_; }
+  [[nodiscard]] consensus::Term term() const { return term_; }
 
  private:
   static constexpr Time kLease{5'000'000};
 
   std::string one() { return engine_() % 2 == 0 ? "n2" : "n3"; }
-  static peers::MemberUpdate member(const std::string& name) {
+  static membership::MemberUpdate member(const std::string& name) {
     return {name,
             name == "n2" ? "127.0.0.1:19" : "127.0.0.1:29",
             name == "n2" ? 12U : 13U,
-            peers::kEpochStep,
+            membership::kEpochStep,
             1,
-            peers::MemberStatus::alive,
+            membership::MemberStatus::alive,
             {}};
   }
-  peers::Message peer_message(const std::string& from, peers::MessageKind kind) {
-    peers::Message message;
+  membership::Message peer_message(const std::string& from, membership::MessageKind kind) {
+    membership::Message message;
     message.kind = kind;
     message.sequence = ++number_;
     message.to = "n1";
@@ -475,45 +478,46 @@
     return message;
   }
   void hear(const std::string& from) {
-    peers::Message message = peer_message(from, peers::MessageKind::ping);
+    membership::Message message = peer_message(from, membership::MessageKind::ping);
     switch (engine_() % 6) {
       case 0:
-        message.kind = peers::MessageKind::full_sync;
+        message.kind = membership::MessageKind::full_sync;
         message.updates = {member("n2"), member("n3")};
-        stage_.feed(edge::MembershipInput{peers::MessageReceived{message, number_}});
+        stage_.feed(proxy::MembershipInput{membership::MessageReceived{message, number_}});
         return;
       case 1: {
-        message.kind = peers::MessageKind::gossip;
-        peers::MemberUpdate suspected = member(from == "n2" ? "n3" : "n2");
-        suspected.status = engine_() % 2 == 0 ? peers::MemberStatus::suspect : peers::MemberStatus::alive;
+        message.kind = membership::MessageKind::gossip;
+        membership::MemberUpdate suspected = member(from == "n2" ? "n3" : "n2");
+        suspected.status =
+            engine_() % 2 == 0 ? membership::MemberStatus::suspect : membership::MemberStatus::alive;
         suspected.reported_by = from;
         message.updates = {suspected};
         break;
       }
       case 2:
-        message.kind = peers::MessageKind::ping_req;
+        message.kind = membership::MessageKind::ping_req;
         message.target = from == "n2" ? "n3" : "n2";
         message.target_address = member(message.target).address;
         break;
       case 3:
-        message.kind = peers::MessageKind::ack;
+        message.kind = membership::MessageKind::ack;
         message.sequence = engine_() % 40;
         message.confirmed = true;
         break;
       case 4:
-        stage_.feed(edge::MembershipInput{
-            peers::MessageRejected{peers::DecodeError::checksum_mismatch, "127.0.0.1:99"}});
+        stage_.feed(proxy::MembershipInput{
+            membership::MessageRejected{membership::DecodeError::checksum_mismatch, "127.0.0.1:99"}});
         return;
       default:
         break;
     }
-    stage_.feed(edge::MembershipInput{peers::MessageReceived{message, 0}});
+    stage_.feed(proxy::MembershipInput{membership::MessageReceived{message, 0}});
   }
 
   VirtualStage& stage_;
   std::mt19937_64 engine_;
   std::uint64_t number_ = 0;
-  agreed::Term term_ = 3;
+  consensus::Term term_ = 3;
 };
 
 void put_policy(VirtualStage& stage, const std::string& who, const std::string& body) {
@@ -534,19 +538,19 @@
   put_policy(stage, "ops-4", R"({"key":"first","base":0,"policy":{"attempts_cap":3}})");
   put_policy(stage, "ops-5", R"({"key":"second","base":-1,"policy":{}})");
   put_policy(stage, "ops-6", "nonsense");
-  const agreed::Entry proposed{agreed::Step::propose, 0, "first", 0, R"({"attempts_cap":3})", {}};
+  const consensus::Entry proposed{consensus::Step::propose, 0, "first", 0, R"({"attempts_cap":3})", {}};
   cluster.apply(2, proposed);
-  cluster.carry("n2", agreed::LeaseRequest{5});
-  cluster.carry("n2", agreed::PrepareReply{2, true, {}});
-  cluster.carry("n3", agreed::PrepareReply{2, true, {}});
-  cluster.carry("n3", agreed::LeadershipCheck{cluster.term(), 1});
-  cluster.carry("n3", agreed::CatchUpRequest{0});
+  cluster.carry("n2", consensus::LeaseRequest{5});
+  cluster.carry("n2", consensus::PrepareReply{2, true, {}});
+  cluster.carry("n3", consensus::PrepareReply{2, true, {}});
+  cluster.carry("n3", consensus::LeadershipCheck{cluster.term(), 1});
+  cluster.carry("n3", consensus::CatchUpRequest{0});
   cluster.carry_bytes("n3", "no message");
   cluster.run_for(10);
-  cluster.apply(3, {agreed::Step::commit, 2, {}, 0, {}, {}});
+  cluster.apply(3, {consensus::Step::commit, 2, {}, 0, {}, {}});
   play(stage, "anna send 3 video\nops-7 send GET /v1/policy\nops-8 send POST /v1/policy/abort\n");
   cluster.run_for(100);
-  cluster.apply(4, {agreed::Step::activate, 2, {}, 0, {}, {}});
+  cluster.apply(4, {consensus::Step::activate, 2, {}, 0, {}, {}});
   cluster.run_for(6);
   cluster.confirm(90);
   play(stage, "anna send 4 video\nops-9 send GET /v1/metrics\nops-10 send GET /v1/policy\n");
@@ -555,10 +559,10 @@
        "ops-14 send POST /v1/policy/voters/n4=11/add\nops-15 send POST /v1/policy/voters/n4/remove\n");
   // No voter from here on: a voter that is told of a log ahead of its own asks for a timer in the past
   // without end, which virtual time can't follow.
-  cluster.own(agreed::BecameFollower{"n2", false});
-  cluster.carry("n2", agreed::LeaseRevocation{cluster.term() + 1, 1});
-  cluster.carry("n2", agreed::LogPosition{9, "n2"});
-  cluster.carry("n2", agreed::CatchUpResponse{4, 9, {}});
+  cluster.own(consensus::BecameFollower{"n2", false});
+  cluster.carry("n2", consensus::LeaseRevocation{cluster.term() + 1, 1});
+  cluster.carry("n2", consensus::LogPosition{9, "n2"});
+  cluster.carry("n2", consensus::CatchUpResponse{4, 9, {}});
   play(stage,
        "anna send 5 pages\nwait 8000\nops-13 send POST /v1/peers/n3/forget\nedge send TERM\nwait 3000\n");
 }
@@ -573,4 +577,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/golden/proxy_trace.h
+++ b/tests/golden/proxy_trace.h
@@ -7,17 +7,17 @@
 #include <string>
 #include <vector>
 
-#include "edge/reducer.h"
 #include "golden/golden_record.h"
+#include "proxy/reducer.h"
 
 namespace golden {
 
-[[nodiscard]] std::string text_of(const dahliahall::edge::Input& input);
+[[nodiscard]] std::string text_of(const edge_proxy::proxy::Input& input);
 /// Empty for what is only a text for the log.
-[[nodiscard]] std::string text_of(const dahliahall::edge::Effect& effect);
+[[nodiscard]] std::string text_of(const edge_proxy::proxy::Effect& effect);
 
 /// Records an input of the reducer, and the effects that came of it.
-void record_proxy_step(GoldenRecord& record, dahliahall::Time now, const dahliahall::edge::Input& input,
-                       const std::vector<dahliahall::edge::Effect>& effects);
+void record_proxy_step(GoldenRecord& record, edge_proxy::Time now, const edge_proxy::proxy::Input& input,
+                       const std::vector<edge_proxy::proxy::Effect>& effects);
 
 }  // namespace golden
--- a/tests/golden/routing_golden_test.cpp
+++ b/tests/golden/routing_golden_test.cpp
@@ -12,12 +12,12 @@
 #include <utility>
 #include <vector>
 
-#include "crowded_world.h"
 #include "golden/golden_record.h"
 #include "golden/routing_trace.h"
-#include "slow_start_world.h"
+#include "support/crowded_world.h"
+#include "support/slow_start_world.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using golden::GoldenRecord;
@@ -443,4 +443,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/golden/routing_trace.cpp
+++ b/tests/golden/routing_trace.cpp
@@ -7,7 +7,7 @@
 namespace golden {
 namespace {
 
-using namespace dahliahall;
+using namespace edge_proxy;
 
 // ---- Enumerations ----
 
--- a/tests/golden/routing_trace.h
+++ b/tests/golden/routing_trace.h
@@ -10,7 +10,7 @@
 #include <type_traits>
 #include <vector>
 
-#include "dahliahall/choice.h"
+#include "edge_proxy/router.h"
 #include "golden/golden_record.h"
 
 namespace golden {
@@ -50,13 +50,13 @@
   std::string text_;
 };
 
-[[nodiscard]] std::string text_of(const dahliahall::Settings& settings);
-[[nodiscard]] std::string text_of(const dahliahall::Event& event);
+[[nodiscard]] std::string text_of(const edge_proxy::Settings& settings);
+[[nodiscard]] std::string text_of(const edge_proxy::Event& event);
 /// Empty for what is only a text for the log.
-[[nodiscard]] std::string text_of(const dahliahall::Action& action);
+[[nodiscard]] std::string text_of(const edge_proxy::Action& action);
 
 /// Records an event that a router was given, and the actions it gave.
-void record_routing_step(GoldenRecord& record, int router, dahliahall::Time now,
-                         const dahliahall::Event& event, const std::vector<dahliahall::Action>& actions);
+void record_routing_step(GoldenRecord& record, int router, edge_proxy::Time now,
+                         const edge_proxy::Event& event, const std::vector<edge_proxy::Action>& actions);
 
 }  // namespace golden
--- a/tests/golden/stored_files_golden_test.cpp
+++ b/tests/golden/stored_files_golden_test.cpp
@@ -26,17 +26,17 @@
 #include <variant>
 #include <vector>
 
-#include "agreed/raft_log.h"
-#include "edge/membership.h"
-#include "faulty_folder.h"
+#include "consensus/raft_log.h"
+#include "event_loop/membership_store.h"
+#include "event_loop/overrides_file.h"
 #include "golden/golden_record.h"
-#include "net/kept_file.h"
-#include "net/peer_store.h"
-#include "purge/snapshot.h"
+#include "invalidation/snapshot.h"
+#include "proxy/upstream/endpoint_directory.h"
 #include "storage/folder.h"
 #include "storage/journal.h"
+#include "support/faulty_folder.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using golden::GoldenRecord;
@@ -125,7 +125,7 @@
 TEST_F(GoldenStoredFile, AdminOverrides) {
   const codec::EndpointUpdate all{
       true, {endpoint("cache-a"), endpoint("cache-b"), endpoint("cache c"), endpoint("d")}};
-  edge::EndpointDirectory writer;
+  proxy::EndpointDirectory writer;
   writer.apply(all, Microseconds{5'000'000});
   ASSERT_TRUE(writer.suspend("cache-b", Microseconds{1'700'000'000'000'123}));
   ASSERT_TRUE(writer.suspend("cache c", Microseconds{1'700'000'000'000'456}));
@@ -133,18 +133,18 @@
   ASSERT_TRUE(writer.resume("cache c", Microseconds{1'700'000'001'000'000}));
   ASSERT_FALSE(writer.suspend("unknown", Microseconds{8}));
   std::string problem;
-  net::OverridesFile file(folder_ + "/overrides", [&problem](const char* why) { problem = why; });
+  event_loop::OverridesFile file(folder_ + "/overrides", [&problem](const char* why) { problem = why; });
   file.write(writer.serialized_overrides());
   expect_stored("admin_overrides", written("overrides"));
   EXPECT_EQ(problem, "");
 
   GoldenRecord record("stored_admin_overrides");
   write_file(folder_ + "/old", stored("admin_overrides"));
-  net::OverridesFile old(folder_ + "/old", [&problem](const char* why) { problem = why; });
+  event_loop::OverridesFile old(folder_ + "/old", [&problem](const char* why) { problem = why; });
   const std::optional<std::string> text = old.read_if_new();
   ASSERT_TRUE(text);
   EXPECT_FALSE(old.read_if_new());
-  edge::EndpointDirectory reader;
+  proxy::EndpointDirectory reader;
   reader.apply(all, Microseconds{5'000'000});
   add_endpoints(record, reader.load_overrides(*text));
   for (const char* id : {"cache-a", "cache-b", "cache c", "d"})
@@ -153,7 +153,7 @@
   // Lines that were cut off or that nobody knows are passed over.
   for (const char* damaged : {"", "out", "out 5", "out 5 ", "out x a\nin 6 b\n", "odd 5 a\nout 7 cache-a",
                               "out 9 cache-a\nin 10 cache-a\n", "out -1 cache-b\n"}) {
-    edge::EndpointDirectory other;
+    proxy::EndpointDirectory other;
     other.apply(all, Microseconds{5'000'000});
     record.add("damaged " + golden::quoted(damaged));
     add_endpoints(record, other.load_overrides(damaged));
@@ -164,40 +164,41 @@
 
 // ---- Membership's store ----
 
-peers::MemberUpdate member_update(const std::string& name, peers::MemberStatus state, std::uint64_t value) {
-  peers::MemberUpdate update;
+membership::MemberUpdate member_update(const std::string& name, membership::MemberStatus state,
+                                       std::uint64_t value) {
+  membership::MemberUpdate update;
   update.name = name;
   update.address = "10.0.0." + number(value) + ":7000";
   update.disk_id = 0xa1b2c3d4e5f60718U + value;
-  update.incarnation = (value << peers::kRefutationBits) + 2;
+  update.incarnation = (value << membership::kRefutationBits) + 2;
   update.zone = static_cast<int>(value % 3);
   update.status = state;
-  update.reported_by = state == peers::MemberStatus::dead ? "n4" : "";
+  update.reported_by = state == membership::MemberStatus::dead ? "n4" : "";
   return update;
 }
 
-const char* name_of_member_status(peers::MemberStatus state) {
+const char* name_of_member_status(membership::MemberStatus state) {
   switch (state) {
-    case peers::MemberStatus::alive:
+    case membership::MemberStatus::alive:
       return "alive";
-    case peers::MemberStatus::suspect:
+    case membership::MemberStatus::suspect:
       return "suspect";
-    case peers::MemberStatus::dead:
+    case membership::MemberStatus::dead:
       return "dead";
-    case peers::MemberStatus::left:
+    case membership::MemberStatus::left:
       return "left";
-    case peers::MemberStatus::forgotten:
+    case membership::MemberStatus::forgotten:
       return "forgotten";
-    case peers::MemberStatus::disputed:
+    case membership::MemberStatus::disputed:
       return "disputed";
   }
   return "?";
 }
 
-void add_identity(GoldenRecord& record, const peers::Identity& identity) {
+void add_identity(GoldenRecord& record, const membership::Identity& identity) {
   record.add("identity disk=" + number(identity.disk_id) + " incarnation=" + number(identity.incarnation) +
              " empty_disk=" + (identity.is_new_disk ? "yes" : "no"));
-  for (const peers::MemberUpdate& update : identity.known_members)
+  for (const membership::MemberUpdate& update : identity.known_members)
     record.add("  member name=" + golden::quoted(update.name) + " address=" + golden::quoted(update.address) +
                " disk=" + number(update.disk_id) + " incarnation=" + number(update.incarnation) +
                " zone=" + std::to_string(update.zone) + " status=" + name_of_member_status(update.status) +
@@ -207,23 +208,23 @@
 TEST_F(GoldenStoredFile, MembershipStore) {
   std::vector<std::string> log;
   const auto add_to_log = [&log](const std::string& line) { log.push_back(line); };
-  const peers::MemberUpdate self = member_update("n1", peers::MemberStatus::alive, 1);
+  const membership::MemberUpdate self = member_update("n1", membership::MemberStatus::alive, 1);
   {
-    net::MembershipStore store(folder_, "n1", "west", add_to_log);
-    std::vector<peers::MemberUpdate> members;
-    for (std::uint64_t state = 0; state < peers::kMemberStatusCount; ++state)
+    event_loop::MembershipStore store(folder_, "n1", "west", add_to_log);
+    std::vector<membership::MemberUpdate> members;
+    for (std::uint64_t state = 0; state < membership::kMemberStatusCount; ++state)
       members.push_back(
-          member_update("m" + number(state), static_cast<peers::MemberStatus>(state), state + 2));
+          member_update("m" + number(state), static_cast<membership::MemberStatus>(state), state + 2));
     store.persist(self, std::move(members));
     expect_stored("membership_store", written("peers-n1"));
   }
   GoldenRecord record("stored_membership_store");
   write_file(folder_ + "/peers-n1", stored("membership_store"));
   {
-    net::MembershipStore store(folder_, "n1", "west", add_to_log);
+    event_loop::MembershipStore store(folder_, "n1", "west", add_to_log);
     std::string why;
     ASSERT_TRUE(store.lock(why)) << why;
-    peers::MemberUpdate fresh = self;
+    membership::MemberUpdate fresh = self;
     fresh.disk_id = fresh.incarnation = 0;
     const auto identity = store.open(fresh, why);
     ASSERT_TRUE(identity) << why;
@@ -238,7 +239,7 @@
     std::string bad = good;
     bad[at] = static_cast<char>(bad[at] ^ 4);
     write_file(folder_ + "/peers-n1", at == 0 ? good : bad);
-    net::MembershipStore store(folder_, "n1", at == 0 ? "east" : "west", add_to_log);
+    event_loop::MembershipStore store(folder_, "n1", at == 0 ? "east" : "west", add_to_log);
     std::string why;
     const auto identity = store.open(self, why);
     ASSERT_TRUE(identity) << why;
@@ -305,44 +306,44 @@
 
 // ---- Consensus: journal and snapshot of voters, of a learner ----
 
-const char* name_of_step(agreed::Step step) {
+const char* name_of_step(consensus::Step step) {
   switch (step) {
-    case agreed::Step::propose:
+    case consensus::Step::propose:
       return "propose";
-    case agreed::Step::commit:
+    case consensus::Step::commit:
       return "commit";
-    case agreed::Step::activate:
+    case consensus::Step::activate:
       return "activate";
-    case agreed::Step::abort:
+    case consensus::Step::abort:
       return "abort";
   }
   return "?";
 }
-const char* name_of_change_result(agreed::ChangeResult fate) {
+const char* name_of_change_result(consensus::ChangeResult fate) {
   switch (fate) {
-    case agreed::ChangeResult::active:
+    case consensus::ChangeResult::active:
       return "active";
-    case agreed::ChangeResult::aborted:
+    case consensus::ChangeResult::aborted:
       return "aborted";
-    case agreed::ChangeResult::rejected:
+    case consensus::ChangeResult::rejected:
       return "rejected";
   }
   return "?";
 }
 
-std::string text_of(const agreed::Entry& entry) {
+std::string text_of(const consensus::Entry& entry) {
   return std::string("step=") + name_of_step(entry.step) + " change=" + number(entry.change) +
          " key=" + golden::quoted(entry.key) + " base_epoch=" + number(entry.base_epoch) +
          " policy=" + golden::quoted(entry.policy) + " reason=" + golden::quoted(entry.reason);
 }
-std::string text_of(const agreed::Snapshot& snapshot) {
+std::string text_of(const consensus::Snapshot& snapshot) {
   std::string text = "log_index=" + number(snapshot.index) + " epoch=" + number(snapshot.epoch) +
                      " key=" + golden::quoted(snapshot.key) + " policy=" + golden::quoted(snapshot.policy);
-  for (const agreed::Change& change : snapshot.change)
+  for (const consensus::Change& change : snapshot.change)
     text += " change=" + number(change.id) + " change_epoch=" + number(change.epoch) +
             " change_key=" + golden::quoted(change.key) + " change_policy=" + golden::quoted(change.policy) +
             " committed=" + (change.committed ? "yes" : "no");
-  for (const agreed::ChangeOutcome& outcome : snapshot.outcomes)
+  for (const consensus::ChangeOutcome& outcome : snapshot.outcomes)
     text += " outcome_key=" + golden::quoted(outcome.key) +
             " result=" + name_of_change_result(outcome.result) + " outcome_epoch=" + number(outcome.epoch) +
             " reason=" + golden::quoted(outcome.reason);
@@ -355,18 +356,18 @@
   return text;
 }
 
-std::string text_of(const agreed::Input& input) {
-  if (const auto* applied = std::get_if<agreed::EntryApplied>(&input))
+std::string text_of(const consensus::Input& input) {
+  if (const auto* applied = std::get_if<consensus::EntryApplied>(&input))
     return "applied log_index=" + number(applied->index) + " " +
            (applied->entry ? text_of(*applied->entry) : "no entry");
-  if (const auto* restored = std::get_if<agreed::SnapshotRestored>(&input))
+  if (const auto* restored = std::get_if<consensus::SnapshotRestored>(&input))
     return "restored " + text_of(restored->whole);
-  if (const auto* leader = std::get_if<agreed::BecameLeader>(&input))
+  if (const auto* leader = std::get_if<consensus::BecameLeader>(&input))
     return "became_leader term=" + number(leader->term) + " voters" + text_of(leader->voters);
-  if (const auto* follower = std::get_if<agreed::BecameFollower>(&input))
+  if (const auto* follower = std::get_if<consensus::BecameFollower>(&input))
     return "became_follower leader=" + golden::quoted(follower->leader) +
            " voter=" + (follower->is_voter ? "yes" : "no");
-  if (const auto* voters = std::get_if<agreed::VotersChanged>(&input))
+  if (const auto* voters = std::get_if<consensus::VotersChanged>(&input))
     return "voters" + text_of(voters->names);
   return "another input";
 }
@@ -407,7 +408,7 @@
 
   void start(std::uint64_t seed) {
     for (std::size_t at = 0; at < kSize; ++at) {
-      agreed::RaftLog::Settings settings;
+      consensus::RaftLog::Settings settings;
       settings.name = name(at);
       settings.initial_voters = {name(0), name(1), name(2)};
       settings.snapshot_threshold_entries = snapshot_every_;
@@ -415,8 +416,8 @@
       settings.seed = seed + at;
       Node& node = nodes_[at];
       node.journal = std::make_unique<storage::Journal>(node.folder, "log", 1U << 20U);
-      node.log = std::make_unique<agreed::RaftLog>(settings, *node.journal, now_);
-      agreed::RaftLog::Output out;
+      node.log = std::make_unique<consensus::RaftLog>(settings, *node.journal, now_);
+      consensus::RaftLog::Output out;
       EXPECT_TRUE(node.log->open(out)) << node.log->error();
       record_.add(name(at) + " opened id=" + number(node.log->id()) + " term=" + number(node.log->term()) +
                   " entries=" + number(node.log->entries()) +
@@ -428,15 +429,15 @@
     for (const Microseconds end = now_ + span; now_ < end;) {
       now_ += Microseconds{10'000};
       for (std::size_t at = 0; at < kSize; ++at) {
-        agreed::RaftLog::Output out;
+        consensus::RaftLog::Output out;
         nodes_[at].log->tick(now_, out);
         take_out(at, out);
       }
       for (std::size_t left = on_way_.size(); left > 0; --left) deliver();
     }
   }
-  void append(std::size_t at, const agreed::Entry& entry) {
-    agreed::RaftLog::Output out;
+  void append(std::size_t at, const consensus::Entry& entry) {
+    consensus::RaftLog::Output out;
     nodes_[at].log->append(now_, entry, out);
     take_out(at, out);
   }
@@ -453,29 +454,29 @@
   struct Node {
     FaultyFolder folder;
     std::unique_ptr<storage::Journal> journal;
-    std::unique_ptr<agreed::RaftLog> log;
+    std::unique_ptr<consensus::RaftLog> log;
   };
   struct Packet {
     std::size_t from = 0, to = 0;
     std::string bytes;
   };
 
-  void take_out(std::size_t at, agreed::RaftLog::Output& out) {
+  void take_out(std::size_t at, consensus::RaftLog::Output& out) {
     for (const auto& [to, bytes] : out.messages) on_way_.push_back({at, std::stoul(to.substr(1)), bytes});
-    for (const agreed::Input& input : out.inputs) record_.add(name(at) + " " + text_of(input));
+    for (const consensus::Input& input : out.inputs) record_.add(name(at) + " " + text_of(input));
   }
   void deliver() {
     const Packet packet = std::move(on_way_.front());
     on_way_.pop_front();
     if (packet.from == isolated || packet.to == isolated) return;
-    const auto decoded = agreed::decode(packet.bytes, Microseconds{5'000'000});
+    const auto decoded = consensus::decode(packet.bytes, Microseconds{5'000'000});
     ASSERT_TRUE(decoded);
-    agreed::RaftLog::Output out;
-    agreed::RaftLog& log = *nodes_[packet.to].log;
-    if (const auto* raft = std::get_if<agreed::RaftMessage>(&*decoded)) {
+    consensus::RaftLog::Output out;
+    consensus::RaftLog& log = *nodes_[packet.to].log;
+    if (const auto* raft = std::get_if<consensus::RaftMessage>(&*decoded)) {
       log.on_message(now_, *raft, out);
     } else {
-      log.on_message(now_, name(packet.from), std::get<agreed::BootstrapMessage>(*decoded), out);
+      log.on_message(now_, name(packet.from), std::get<consensus::BootstrapMessage>(*decoded), out);
     }
     take_out(packet.to, out);
   }
@@ -506,7 +507,7 @@
   }
   cluster.start(900);
   cluster.run(std::chrono::seconds(6));
-  cluster.append(cluster.leader(), {agreed::Step::propose, 0, "after", 1, "policy after", ""});
+  cluster.append(cluster.leader(), {consensus::Step::propose, 0, "after", 1, "policy after", ""});
   cluster.run(std::chrono::seconds(1));
 }
 
@@ -518,19 +519,19 @@
     cluster.start(40);
     cluster.run(std::chrono::seconds(6));
     const std::size_t first = cluster.leader();
-    cluster.append(first, {agreed::Step::propose, 0, "k1", 0, std::string("policy\0 1", 9), ""});
+    cluster.append(first, {consensus::Step::propose, 0, "k1", 0, std::string("policy\0 1", 9), ""});
     cluster.run(std::chrono::seconds(1));
     // Entries that no majority has are cut off again.
     cluster.isolated = first;
-    cluster.append(first, {agreed::Step::propose, 0, "lost", 0, "lost", ""});
-    cluster.append(first, {agreed::Step::abort, 2, "", 0, "", "lost"});
+    cluster.append(first, {consensus::Step::propose, 0, "lost", 0, "lost", ""});
+    cluster.append(first, {consensus::Step::abort, 2, "", 0, "", "lost"});
     cluster.run(std::chrono::seconds(6));
-    cluster.append(cluster.leader(), {agreed::Step::commit, 2, "", 0, "", ""});
+    cluster.append(cluster.leader(), {consensus::Step::commit, 2, "", 0, "", ""});
     cluster.run(std::chrono::seconds(1));
     cluster.isolated = Cluster::kSize;
     cluster.run(std::chrono::seconds(3));
-    cluster.append(cluster.leader(), {agreed::Step::activate, 2, "", 0, "", ""});
-    cluster.append(cluster.leader(), {agreed::Step::abort, 2, "", 0, "", "too late"});
+    cluster.append(cluster.leader(), {consensus::Step::activate, 2, "", 0, "", ""});
+    cluster.append(cluster.leader(), {consensus::Step::abort, 2, "", 0, "", "too late"});
     cluster.run(std::chrono::seconds(1));
     for (std::size_t at = 0; at < Cluster::kSize; ++at)
       expect_stored("consensus_journal_" + Cluster::name(at), cluster.on_disk(at));
@@ -553,7 +554,7 @@
       // One is so far behind that it gets a snapshot.
       if (round == 4) cluster.isolated = behind;
       if (round == 12) cluster.isolated = Cluster::kSize;
-      cluster.append(cluster.leader(), {agreed::Step::propose, 0, "k" + std::to_string(round), 0,
+      cluster.append(cluster.leader(), {consensus::Step::propose, 0, "k" + std::to_string(round), 0,
                                         "policy " + std::to_string(round), ""});
       cluster.run(std::chrono::milliseconds(500));
     }
@@ -569,32 +570,32 @@
 
 TEST(GoldenStored, ConsensusLearner) {
   const ZeroedRaftMemory memory;
-  agreed::RaftLog::Settings settings;
+  consensus::RaftLog::Settings settings;
   settings.name = "n9";
   settings.initial_voters = {"n0", "n1", "n2"};
   settings.seed = 5;
   GoldenRecord record("stored_consensus_learner");
   FaultyFolder folder;
-  const auto add = [&record](const agreed::RaftLog::Output& out) {
-    for (const agreed::Input& input : out.inputs) record.add(text_of(input));
+  const auto add = [&record](const consensus::RaftLog::Output& out) {
+    for (const consensus::Input& input : out.inputs) record.add(text_of(input));
   };
   {
     storage::Journal journal(folder, "log", 1U << 20U);
-    agreed::RaftLog log(settings, journal, Microseconds{1'000'000});
-    agreed::RaftLog::Output out;
+    consensus::RaftLog log(settings, journal, Microseconds{1'000'000});
+    consensus::RaftLog::Output out;
     ASSERT_TRUE(log.open(out));
-    agreed::CatchUpResponse entries{0, 5, {}};
-    entries.entries.emplace_back(2, agreed::Entry{agreed::Step::propose, 0, "k1", 0, "policy 1", ""});
-    entries.entries.emplace_back(3, agreed::Entry{agreed::Step::commit, 2, "", 0, "", ""});
-    entries.entries.emplace_back(4, agreed::Entry{agreed::Step::activate, 2, "", 0, "", ""});
+    consensus::CatchUpResponse entries{0, 5, {}};
+    entries.entries.emplace_back(2, consensus::Entry{consensus::Step::propose, 0, "k1", 0, "policy 1", ""});
+    entries.entries.emplace_back(3, consensus::Entry{consensus::Step::commit, 2, "", 0, "", ""});
+    entries.entries.emplace_back(4, consensus::Entry{consensus::Step::activate, 2, "", 0, "", ""});
     log.persist_learned(Microseconds{2'000'000}, {entries}, out);
     add(out);
     expect_stored("consensus_learner_entries", bytes_in(folder, "log"));
-    agreed::Snapshot snapshot{40, 3, "k3", "policy 3", {}, {}};
+    consensus::Snapshot snapshot{40, 3, "k3", "policy 3", {}, {}};
     snapshot.change.push_back({39, 4, "k4", std::string("po\0licy", 7), true});
-    snapshot.outcomes.push_back({"k2", agreed::ChangeResult::aborted, 1, "reason"});
-    snapshot.outcomes.push_back({"k2b", agreed::ChangeResult::rejected, 2, "other"});
-    agreed::RaftLog::Output later;
+    snapshot.outcomes.push_back({"k2", consensus::ChangeResult::aborted, 1, "reason"});
+    snapshot.outcomes.push_back({"k2b", consensus::ChangeResult::rejected, 2, "other"});
+    consensus::RaftLog::Output later;
     log.persist_learned(Microseconds{3'000'000}, {snapshot}, later);
     add(later);
     expect_stored("consensus_learner_snapshot", bytes_in(folder, "log"));
@@ -605,8 +606,8 @@
     put(old, "log", stored(file));
     settings.seed = 6;
     storage::Journal journal(old, "log", 1U << 20U);
-    agreed::RaftLog log(settings, journal, Microseconds{1'000'000});
-    agreed::RaftLog::Output out;
+    consensus::RaftLog log(settings, journal, Microseconds{1'000'000});
+    consensus::RaftLog::Output out;
     ASSERT_TRUE(log.open(out)) << log.error();
     record.add(std::string(file) + " id=" + number(log.id()) + " runs=" + (log.is_running() ? "yes" : "no"));
     add(out);
@@ -617,48 +618,49 @@
 
 // ---- Invalidations ----
 
-const char* name_of_selector_kind(purge::SelectorKind kind) {
+const char* name_of_selector_kind(invalidation::SelectorKind kind) {
   switch (kind) {
-    case purge::SelectorKind::key:
+    case invalidation::SelectorKind::key:
       return "key";
-    case purge::SelectorKind::tag:
+    case invalidation::SelectorKind::tag:
       return "tag";
-    case purge::SelectorKind::prefix:
+    case invalidation::SelectorKind::prefix:
       return "prefix";
-    case purge::SelectorKind::glob:
+    case invalidation::SelectorKind::glob:
       return "glob";
   }
   return "?";
 }
 
 TEST(GoldenStored, InvalidationSnapshot) {
-  purge::SequencerState state;
+  invalidation::SequencerState state;
   state.applied = 41;
   state.highest_seen = 57;
-  const auto hold = [&state](std::uint64_t sequence, purge::SelectorKind kind, const std::string& text) {
-    purge::InvalidationCommand command;
+  const auto hold = [&state](std::uint64_t sequence, invalidation::SelectorKind kind,
+                             const std::string& text) {
+    invalidation::InvalidationCommand command;
     command.number = sequence;
     command.selector = {kind, text};
     command.issued_at = std::chrono::milliseconds(1'764'576'000'480 + static_cast<std::int64_t>(sequence));
     state.out_of_order[sequence] = command;
   };
-  hold(43, purge::SelectorKind::tag, "class-4b");
-  hold(44, purge::SelectorKind::glob, "school/*/proof-?.jpg");
-  hold(50, purge::SelectorKind::prefix, "");
-  hold(51, purge::SelectorKind::prefix, "a/b");
-  hold(57, purge::SelectorKind::key, "one/key");
-  expect_stored("invalidation_snapshot", purge::write_snapshot(state));
-  purge::SequencerState fresh;
-  expect_stored("invalidation_snapshot_empty", purge::write_snapshot(fresh));
+  hold(43, invalidation::SelectorKind::tag, "class-4b");
+  hold(44, invalidation::SelectorKind::glob, "school/*/proof-?.jpg");
+  hold(50, invalidation::SelectorKind::prefix, "");
+  hold(51, invalidation::SelectorKind::prefix, "a/b");
+  hold(57, invalidation::SelectorKind::key, "one/key");
+  expect_stored("invalidation_snapshot", invalidation::write_snapshot(state));
+  invalidation::SequencerState fresh;
+  expect_stored("invalidation_snapshot_empty", invalidation::write_snapshot(fresh));
 
   GoldenRecord record("stored_invalidation_snapshot");
   const auto read = [&record](const std::string& name, const std::string& text, std::size_t max_pending) {
-    const auto result = purge::read_snapshot(text, max_pending);
-    if (const auto* error = std::get_if<purge::SnapshotError>(&result)) {
+    const auto result = invalidation::read_snapshot(text, max_pending);
+    if (const auto* error = std::get_if<invalidation::SnapshotError>(&result)) {
       record.add(name + " error " + golden::quoted(error->message));
       return;
     }
-    const auto& found = std::get<purge::SequencerState>(result);
+    const auto& found = std::get<invalidation::SequencerState>(result);
     record.add(name + " applied=" + number(found.applied) + " highest_seen=" + number(found.highest_seen) +
                " max_pending=" + number(found.max_out_of_order) +
                " requested=" + (found.gap_requested ? "yes" : "no"));
@@ -683,10 +685,11 @@
     read("changed byte " + number(at), bad, 100);
   }
   // With a right checksum but values that can't be: as a state would be written that nobody can have.
-  const auto read_impossible = [&read](const std::string& name, const purge::SequencerState& impossible) {
-    read(name, purge::write_snapshot(impossible), 100);
+  const auto read_impossible = [&read](const std::string& name,
+                                       const invalidation::SequencerState& impossible) {
+    read(name, invalidation::write_snapshot(impossible), 100);
   };
-  purge::SequencerState changed = state;
+  invalidation::SequencerState changed = state;
   changed.applied = 58;
   read_impossible("applied beyond seen", changed);
   changed = state;
@@ -705,4 +708,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/purge_test.cpp
+++ b/tests/invalidation/invalidation_test.cpp
@@ -6,13 +6,13 @@
 #include <string>
 #include <vector>
 
-#include "purge/key_index.h"
-#include "purge/ledger.h"
-#include "purge/selector.h"
-#include "purge/sequencer.h"
-#include "purge/snapshot.h"
+#include "invalidation/invalidation_log.h"
+#include "invalidation/key_index.h"
+#include "invalidation/selector.h"
+#include "invalidation/sequencer.h"
+#include "invalidation/snapshot.h"
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 namespace {
 
 Selector sel(const std::string& text) {
@@ -210,9 +210,9 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 namespace {
 
 SequencerState sample_state() {
@@ -256,4 +256,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
--- a/tests/purge_property_test.cpp
+++ b/tests/invalidation/property_test.cpp
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "purge/selector.h"
-#include "purge/sequencer.h"
+#include "invalidation/selector.h"
+#include "invalidation/sequencer.h"
 
-namespace dahliahall::purge {
+namespace edge_proxy::invalidation {
 namespace {
 
 InvalidationCommand numbered(Sequence n) {
@@ -82,4 +82,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::purge
+}  // namespace edge_proxy::invalidation
--- a/tests/peers_wire_test.cpp
+++ b/tests/membership/codec_test.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: MIT
 // Peers' messages to bytes and back: what is not one costs only itself.
-#include <gtest/gtest.h>
+#include "membership/codec.h"
 
-#include "peers/wire.h"
+#include <gtest/gtest.h>
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
-using namespace peers;
+using namespace membership;
 
 Message some_message() {
   Message m;
@@ -97,4 +97,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/peers_test.cpp
+++ b/tests/membership/reducer_test.cpp
@@ -2,14 +2,14 @@
 // Membership in virtual time: the reducers of many members and what lies between them.
 #include <gtest/gtest.h>
 
-#include "peers_world.h"
+#include "support/membership_world.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
-using peers::MemberStatus;
-using peers::PartitionStatus;
-using peers::Reachability;
+using membership::MemberStatus;
+using membership::PartitionStatus;
+using membership::Reachability;
 
 std::string logs_of(PeersWorld& world) {
   std::string all;
@@ -43,21 +43,21 @@
   // suspicion and that the refutation had missed, while the 299 others held the suspect for alive.
   const auto world = PeersWorld::settled(100);
   world->run(2s);
-  peers::MemberUpdate suspicion = world->node(1).state->self();
+  membership::MemberUpdate suspicion = world->node(1).state->self();
   suspicion.status = MemberStatus::suspect;
   suspicion.reported_by = PeersWorld::name(2);
-  peers::Message told;
-  told.kind = peers::MessageKind::gossip;
+  membership::Message told;
+  told.kind = membership::MessageKind::gossip;
   told.from = world->node(2).state->self();
   told.digest = world->node(2).state->view().digest();
   told.updates = {suspicion};
-  world->feed(0, peers::MessageReceived{told, 0});
+  world->feed(0, membership::MessageReceived{told, 0});
   // From now on node 0 hears of node 1 only what node 1 answers it.
-  world->passes = [&](std::size_t from, std::size_t to, peers::Message& message) {
+  world->passes = [&](std::size_t from, std::size_t to, membership::Message& message) {
     if (to != 0) return true;
     std::erase_if(message.updates,
-                  [](const peers::MemberUpdate& news) { return news.name == PeersWorld::name(1); });
-    return from != 1 || message.kind == peers::MessageKind::ack;
+                  [](const membership::MemberUpdate& news) { return news.name == PeersWorld::name(1); });
+    return from != 1 || message.kind == membership::MessageKind::ack;
   };
   world->run(3s);
   EXPECT_TRUE(world->believes(0, 1, MemberStatus::alive)) << logs_of(*world);
@@ -99,11 +99,11 @@
   // Node 4 starts again as another process under the name n1, on a disk of its own.
   world->kill(4);
   world->run(4s);
-  peers::Settings settings = world->node(1).state->settings();
+  membership::Settings settings = world->node(1).state->settings();
   settings.address = PeersWorld::address(4);
-  world->node(4).state =
-      std::make_unique<peers::State>(settings, peers::Identity{99, 1U << 20U, true, {}}, 7, world->now());
-  world->feed(4, peers::TimerExpired{});
+  world->node(4).state = std::make_unique<membership::State>(
+      settings, membership::Identity{99, 1U << 20U, true, {}}, 7, world->now());
+  world->feed(4, membership::TimerExpired{});
   const auto disputed = [&](std::size_t i) {
     return world->node(i).state->view().partition_status() == PartitionStatus::disputed;
   };
@@ -192,7 +192,7 @@
 TEST(Peers, OneThatLeavesInOrderIsNotRegisteredAnyMore) {
   const auto world = PeersWorld::settled(5);
   world->run(2s);
-  world->feed(2, peers::ShutdownRequested{});
+  world->feed(2, membership::ShutdownRequested{});
   EXPECT_TRUE(world->until([&] { return world->all_believe(2, MemberStatus::left); }, 1s)) << logs_of(*world);
   EXPECT_EQ(world->node(0).state->view().registered(), 4U);
 }
@@ -200,11 +200,11 @@
 TEST(Peers, AnOperatorsWordForgetsADeadOneAndNoOther) {
   const auto world = PeersWorld::settled(4);
   world->run(2s);
-  world->feed(0, peers::ForgetMember{"n3"});
+  world->feed(0, membership::ForgetMember{"n3"});
   EXPECT_TRUE(world->believes(0, 3, MemberStatus::alive)) << "it lives";
   world->kill(3);
   world->run(6s);
-  world->feed(0, peers::ForgetMember{"n3"});
+  world->feed(0, membership::ForgetMember{"n3"});
   EXPECT_TRUE(world->until([&] { return world->all_believe(3, MemberStatus::forgotten); }, 2s))
       << logs_of(*world);
   EXPECT_EQ(world->node(1).state->view().registered(), 3U);
@@ -237,4 +237,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/gone_clients_test.cpp
+++ b/tests/proxy/cancelled_clients_test.cpp
@@ -3,9 +3,9 @@
 // In virtual time here, over real connections in instants_test.cpp.
 #include <gtest/gtest.h>
 
-#include "virtual_stage.h"
+#include "support/virtual_stage.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 std::string without_cancels(std::string config) {
@@ -106,4 +106,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/closing_test.cpp
+++ b/tests/proxy/closing_test.cpp
@@ -4,9 +4,9 @@
 // instants_test.cpp.
 #include <gtest/gtest.h>
 
-#include "virtual_stage.h"
+#include "support/virtual_stage.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 // ---- Closing ----
@@ -133,4 +133,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/watches_test.cpp
+++ b/tests/proxy/discovery_watch_test.cpp
@@ -2,9 +2,9 @@
 // The watch on the list and repeated attempts at rare moments, in virtual time.
 #include <gtest/gtest.h>
 
-#include "virtual_stage.h"
+#include "support/virtual_stage.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 std::string draining(int no, const std::string& id) {
@@ -229,4 +229,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/instants_test.cpp
+++ b/tests/proxy/instants_test.cpp
@@ -8,9 +8,9 @@
 #include <iomanip>
 #include <sstream>
 
-#include "started_program.h"
+#include "support/started_program.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using namespace std::chrono_literals;
@@ -134,7 +134,7 @@
 // ---- Descriptors ----
 
 TEST(Instants, ACallerThatTheSystemHasNoDescriptorForIsServedWithoutASpin) {
-  if (std::getenv("DAHLIAHALL_DEPLOYED") == nullptr) GTEST_SKIP() << "run tests/run.sh, which builds it";
+  if (std::getenv("EDGE_PROXY_DEPLOYED") == nullptr) GTEST_SKIP() << "run tests/run.sh, which builds it";
   StartedProgram program({"box-1", "up-1", "main"}, nullptr, 24);
   for (int i = 0; i < 40; ++i) {
     const std::string client = "idle-" + std::to_string(i);
@@ -151,7 +151,7 @@
 }
 
 TEST(Instants, AFullTableThatNobodyCanLeaveCostsNeitherTimeNorLog) {
-  if (std::getenv("DAHLIAHALL_DEPLOYED") == nullptr) GTEST_SKIP() << "run tests/run.sh, which builds it";
+  if (std::getenv("EDGE_PROXY_DEPLOYED") == nullptr) GTEST_SKIP() << "run tests/run.sh, which builds it";
   StartedProgram program({"box-1", "up-1", "main"}, nullptr, 24);
   // A connection to the cache is up, so that all who come are owed an answer: it takes 32 requests.
   play(program,
@@ -178,7 +178,7 @@
 TEST(Instants, NobodyMakesRoomBeforeAnotherWaits) {
   // The table fills up one by one. Guards the one that took the last descriptor, and the idlest, against
   // being ended when the listener is looked at once more and nobody waits there.
-  if (std::getenv("DAHLIAHALL_DEPLOYED") == nullptr) GTEST_SKIP() << "run tests/run.sh, which builds it";
+  if (std::getenv("EDGE_PROXY_DEPLOYED") == nullptr) GTEST_SKIP() << "run tests/run.sh, which builds it";
   constexpr std::size_t kTable = 24;
   StartedProgram program({"box-1", "up-1", "main"}, nullptr, kTable);
   play(program, "bulletin expect get last=1\nbulletin send head\nbulletin send comment");
@@ -275,4 +275,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/largest_requests_test.cpp
+++ b/tests/proxy/largest_requests_test.cpp
@@ -2,9 +2,9 @@
 // The largest requests of a class get their part of the answers, whatever is short: see crowded_world.h.
 #include <gtest/gtest.h>
 
-#include "crowded_world.h"
+#include "support/crowded_world.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 /// The operators' terms: of the tenth of a class's requests with the largest objects (under 400 of them: the
@@ -42,4 +42,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/agreeing_test.cpp
+++ b/tests/proxy/policy_controller_test.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: MIT
 // Agreement inside the edge's reducer: what is told before the peers are ready, and how long attempts go on
 // under an epoch that is over.
-#include "edge/agreeing.h"
+#include "proxy/cluster/policy_controller.h"
 
 #include <gtest/gtest.h>
 
-#include "scenario.h"
+#include "support/scenario.h"
 
-namespace dahliahall::edge {
+namespace edge_proxy::proxy {
 namespace {
 
 using namespace std::chrono_literals;
@@ -28,16 +28,16 @@
     return config::parse(text, {});
   }
   void ready() {
-    const peers::Identity identity{1, peers::kEpochStep, false, {}};
+    const membership::Identity identity{1, membership::kEpochStep, false, {}};
     peering_.start(identity);
     agreeing_.start(identity);
   }
   /// It leads and has just been granted a lease by itself.
   void lead() {
-    agreeing_.handle(agreed::BecameLeader{1, {"n1"}});
+    agreeing_.handle(consensus::BecameLeader{1, {"n1"}});
     context_.now += 100ms;
     agreeing_.run_timers();  // it asks itself
-    agreeing_.handle(agreed::MessageReceived{"n1", agreed::LeadershipCheckReply{1, 1}});
+    agreeing_.handle(consensus::MessageReceived{"n1", consensus::LeadershipCheckReply{1, 1}});
     ASSERT_EQ(agreeing_.epoch(), 0U);
   }
 
@@ -51,7 +51,7 @@
   ConsensusOutput out;
   out.voters = {{"n1", 7}};
   out.raft_id = 7;
-  out.inputs = {agreed::EntryApplied{4, std::nullopt}};
+  out.inputs = {consensus::EntryApplied{4, std::nullopt}};
   agreeing_.handle(out);
   EXPECT_FALSE(agreeing_.report());
   ready();
@@ -73,4 +73,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::edge
+}  // namespace edge_proxy::proxy
--- a/tests/rare_moments_test.cpp
+++ b/tests/proxy/rare_moments_test.cpp
@@ -9,9 +9,9 @@
 #include <random>
 #include <sstream>
 
-#include "virtual_stage.h"
+#include "support/virtual_stage.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using namespace std::chrono_literals;
@@ -372,7 +372,7 @@
 
 TEST_P(RareMoments, AllRulesHoldUnderACustomersSettings) {
   const Customer& customer = customers().at(GetParam());
-  const char* more = std::getenv("DAHLIAHALL_PLAYS");
+  const char* more = std::getenv("EDGE_PROXY_PLAYS");
   const unsigned plays = more == nullptr ? 3 : static_cast<unsigned>(std::atoi(more));
   for (unsigned seed = 1; seed <= plays && !HasFailure(); ++seed) {
     SCOPED_TRACE(std::string(customer.name) + ", seed " + std::to_string(seed));
@@ -383,4 +383,4 @@
 INSTANTIATE_TEST_SUITE_P(Customers, RareMoments, ::testing::Range<std::size_t>(0, 6));
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/edge_test.cpp
+++ b/tests/proxy/reducer_test.cpp
@@ -7,10 +7,10 @@
 #include <random>
 #include <sstream>
 
-#include "edge/copies.h"
-#include "virtual_stage.h"
+#include "proxy/local_cache.h"
+#include "support/virtual_stage.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 void play(const std::string& scenario, const std::vector<std::string>& members = {"box-1", "up-1", "main"}) {
@@ -847,10 +847,10 @@
 }
 
 TEST(Edge, TheOnCallPageListsEveryReasonForAnEnd) {
-  std::ifstream file(DAHLIAHALL_ONCALL);
+  std::ifstream file(EDGE_PROXY_ONCALL);
   const std::string page(std::istreambuf_iterator<char>(file), {});
-  for (int reason = 0; reason <= static_cast<int>(edge::CloseReason::stopping); ++reason) {
-    const std::string name(edge::name_of(static_cast<edge::CloseReason>(reason)));
+  for (int reason = 0; reason <= static_cast<int>(proxy::CloseReason::stopping); ++reason) {
+    const std::string name(proxy::name_of(static_cast<proxy::CloseReason>(reason)));
     EXPECT_NE(page.find("| `" + name + "` |"), std::string::npos) << name;
   }
 }
@@ -1090,7 +1090,7 @@
 
 TEST(Copies, TakeNoMoreThanTheirPartOfTheMemory) {
   config::Config config = config::parse(config_text({"main"}, {}, 16), {});
-  edge::LocalCache copies(config);
+  proxy::LocalCache copies(config);
   codec::CacheResponse answer;
   answer.status = codec::CacheResponseStatus::hit;
   answer.fields = "ver=a,born=5";
@@ -1165,4 +1165,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/fleet_test.cpp
+++ b/tests/routing/crowded_world_test.cpp
@@ -6,9 +6,9 @@
 #include <deque>
 #include <memory>
 
-#include "bench_free_world.h"
+#include "support/routing_world.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 constexpr int kRouters = 60;
@@ -116,4 +116,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/choice_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: MIT
-#include "dahliahall/choice.h"
+#include "edge_proxy/router.h"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <set>
 
-#include "bench_free_world.h"
+#include "support/routing_world.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 std::size_t final_answers(const std::vector<Action>& actions) {
@@ -891,4 +891,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -2,9 +2,9 @@
 // Slow start over many routers: see slow_start_world.h. bench/slow_start_figures.cpp plays hundreds of seeds.
 #include <gtest/gtest.h>
 
-#include "slow_start_world.h"
+#include "support/slow_start_world.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 void stays_within(SlowStartPlan plan, int seeds) {
@@ -48,4 +48,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/wire_test.cpp
+++ b/tests/simulator/session_test.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-#include "wire.h"
+#include "simulator/session.h"
 
 #include <gtest/gtest.h>
 
 #include <sstream>
 #include <string>
 
-namespace dahliahall::wire {
+namespace edge_proxy::simulator {
 namespace {
 
 const std::string kEnlist =
@@ -96,4 +96,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::wire
+}  // namespace edge_proxy::simulator
--- a/tests/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -6,9 +6,9 @@
 
 #include <filesystem>
 
-#include "faulty_folder.h"
+#include "support/faulty_folder.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using storage::Journal;
@@ -157,7 +157,7 @@
 }
 
 TEST(Journal, OnARealFolderForOneProcessAtATime) {
-  std::string path = "/tmp/dahliahall-journal-XXXXXX";
+  std::string path = "/tmp/edge_proxy-journal-XXXXXX";
   ASSERT_NE(mkdtemp(path.data()), nullptr);
   {
     storage::SystemFolder folder(path), second(path);
@@ -178,4 +178,4 @@
 }
 
 }  // namespace
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/agreed_model.h
+++ b/tests/support/consensus_model.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// An explicit-state search over the reducer of agreement (src/agreed/reducer): three voters, and the log as
-/// a model of Raft's promises (one leader a term; what a majority has is never lost; what only some have may
-/// be kept or lost by the next leader). Time goes in rounds: in each one member may be cut off or stand
+/// An explicit-state search over the reducer of agreement (src/consensus/reducer): three voters, and the log
+/// as a model of Raft's promises (one leader a term; what a majority has is never lost; what only some have
+/// may be kept or lost by the next leader). Time goes in rounds: in each one member may be cut off or stand
 /// still; messages may come a later round, or twice; members crash at any message, with their disk or
 /// without; leaders change; clocks go at the edges of the drift.
 #pragma once
@@ -19,15 +19,15 @@
 #include <utility>
 #include <vector>
 
-#include "agreed/reducer.h"
+#include "consensus/reducer.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 class AgreedModel {
  public:
   static constexpr std::size_t kNodes = 3;
   static constexpr std::size_t kNever = ~std::size_t{0};
-  using Time = agreed::Time;
+  using Time = consensus::Time;
 
   /// Ways in which the program, or what it stands on, is broken on purpose.
   struct Broken {
@@ -90,24 +90,24 @@
  private:
   struct Letter {
     std::size_t from = 0, to = 0;
-    agreed::Message message;
+    consensus::Message message;
     auto operator<=>(const Letter&) const = default;
   };
   struct Node {
-    agreed::State state;
+    consensus::State state;
     Time clock{0};
-    agreed::Term term = 0;    // as its log answers
-    std::size_t applied = 0;  // entries of the log
+    consensus::Term term = 0;  // as its log answers
+    std::size_t applied = 0;   // entries of the log
     int life = 1;
     bool voter = true;
   };
   struct World {
     std::vector<Node> nodes;
-    std::vector<agreed::Entry> log;    // committed
-    agreed::Term newest = 0;           // the last leader's term
-    std::size_t leader = 0;            // it
-    std::vector<agreed::Entry> limbo;  // appended by the last leader, not with a majority yet
-    std::vector<Letter> late;          // comes in a later round
+    std::vector<consensus::Entry> log;    // committed
+    consensus::Term newest = 0;           // the last leader's term
+    std::size_t leader = 0;               // it
+    std::vector<consensus::Entry> limbo;  // appended by the last leader, not with a majority yet
+    std::vector<Letter> late;             // comes in a later round
     int elections = 0, crashes = 0, lost_disks = 0, lates = 0;
   };
   struct Seen {
@@ -134,8 +134,8 @@
   static std::string name(std::size_t i) { return std::string(1, static_cast<char>('x' + i)); }
   static std::size_t number(const std::string& name) { return static_cast<std::size_t>(name[0] - 'x'); }
 
-  agreed::Settings settings(std::size_t i) const {
-    agreed::Settings s;
+  consensus::Settings settings(std::size_t i) const {
+    consensus::Settings s;
     s.name = name(i);
     for (std::size_t v = 0; v < kNodes; ++v) s.voters.push_back(name(v));
     s.lease = Time{broken_.short_lease_leader && i == 1 ? 2 : 12};
@@ -145,8 +145,8 @@
     s.prepare_timeout = Time{60};
     return s;
   }
-  agreed::State fresh(std::size_t i, int life, Time clock) const {
-    return agreed::State(settings(i), static_cast<std::uint64_t>(life) * 1000, i, clock);
+  consensus::State fresh(std::size_t i, int life, Time clock) const {
+    return consensus::State(settings(i), static_cast<std::uint64_t>(life) * 1000, i, clock);
   }
 
   /// One leader, all hold leases on epoch 0, and a change is committed: what follows is what may go wrong.
@@ -156,7 +156,7 @@
     std::map<std::string, bool> reached;
     for (std::size_t i = 0; i < kNodes; ++i) reached[name(i)] = true;
     for (std::size_t i = 0; i < kNodes; ++i)
-      w.nodes[i].state.handle(Time{1000}, agreed::MembersChanged{reached});
+      w.nodes[i].state.handle(Time{1000}, consensus::MembersChanged{reached});
     Course course(*this, w, {});
     course.elect(0, 1, true);
     for (int round = 0; round < 8; ++round) Course(*this, w, {}).run();  // past the leases of leaders before
@@ -165,8 +165,8 @@
     return w;
   }
   static void commit_change(World& w) {
-    w.log.push_back({agreed::Step::propose, 0, "k", 0, "p", {}});
-    w.log.push_back({agreed::Step::commit, 1, {}, 0, {}, {}});
+    w.log.push_back({consensus::Step::propose, 0, "k", 0, "p", {}});
+    w.log.push_back({consensus::Step::commit, 1, {}, 0, {}, {}});
   }
 
   /// A round as it goes by that plan.
@@ -187,7 +187,7 @@
       }
       if (!model_.bounds_.crash_anywhere) inputs_ = 0;
       for (std::size_t i = 0; i < kNodes; ++i) {
-        if (!(plan_.still && plan_.cut == i)) feed(i, agreed::TimerExpired{});
+        if (!(plan_.still && plan_.cut == i)) feed(i, consensus::TimerExpired{});
       }
       crashes_in_ = inputs_;
       pass_letters();
@@ -198,7 +198,7 @@
       for (std::size_t i = 0; i < kNodes; ++i) {
         if (i != w_.leader && hears(i) && hears(w_.leader) && w_.nodes[i].state.lease_manager()) {
           w_.nodes[i].term = w_.newest;
-          feed(i, agreed::BecameFollower{name(w_.leader), w_.nodes[i].voter});
+          feed(i, consensus::BecameFollower{name(w_.leader), w_.nodes[i].voter});
         }
       }
     }
@@ -210,34 +210,34 @@
     void elect(std::size_t i, std::size_t with, bool keep_limbo) {
       if (keep_limbo) w_.log.insert(w_.log.end(), w_.limbo.begin(), w_.limbo.end());
       w_.limbo.clear();
-      const agreed::Term term = std::max(w_.nodes[i].term, w_.nodes[with].term) + 1;
+      const consensus::Term term = std::max(w_.nodes[i].term, w_.nodes[with].term) + 1;
       w_.nodes[i].term = w_.nodes[with].term = term;
       w_.newest = std::max(w_.newest, term);
       w_.leader = i;
       apply(i);
       std::set<std::string> voters;
       for (std::size_t v = 0; v < kNodes; ++v) voters.insert(name(v));
-      feed(i, agreed::BecameLeader{term, voters});
-      feed(with, agreed::BecameFollower{name(i), true});
+      feed(i, consensus::BecameLeader{term, voters});
+      feed(with, consensus::BecameFollower{name(i), true});
       letters_.clear();
     }
     void apply(std::size_t i) {
       while (w_.nodes[i].applied < w_.log.size()) {
         const std::size_t at = w_.nodes[i].applied++;
-        feed(i, agreed::EntryApplied{at + 1, w_.log[at]});
+        feed(i, consensus::EntryApplied{at + 1, w_.log[at]});
       }
     }
     void deliver(const Letter& letter) {
       Node& node = w_.nodes[letter.to];
-      agreed::Message message = letter.message;
-      if (auto* yielded = std::get_if<agreed::LeaseRevocationAck>(&message);
+      consensus::Message message = letter.message;
+      if (auto* yielded = std::get_if<consensus::LeaseRevocationAck>(&message);
           yielded != nullptr && model_.broken_.any_term_yields && node.state.lease_manager())
         yielded->term = node.state.lease_manager()->term();
-      feed(letter.to, agreed::MessageReceived{name(letter.from), message});
+      feed(letter.to, consensus::MessageReceived{name(letter.from), message});
       if (model_.broken_.no_wait_for_leases && node.state.lease_manager()) {
         for (std::size_t i = 0; i < kNodes; ++i)
-          feed(letter.to, agreed::MessageReceived{
-                              name(i), agreed::LeaseRevocationAck{node.state.lease_manager()->term(), 0}});
+          feed(letter.to, consensus::MessageReceived{
+                              name(i), consensus::LeaseRevocationAck{node.state.lease_manager()->term(), 0}});
       }
     }
     void pass_letters() {
@@ -274,53 +274,53 @@
       }
     }
 
-    void feed(std::size_t i, const agreed::Input& input) {
+    void feed(std::size_t i, const consensus::Input& input) {
       if (inputs_++ == plan_.crash_at) {
         story_ += ", " + name(i) + (plan_.empty_disk ? " starts with an empty disk" : " crashes and starts");
         restart(i);
         return;
       }
       Node& node = w_.nodes[i];
-      for (agreed::Effect& effect : node.state.handle(node.clock, input)) {
-        if (auto* send = std::get_if<agreed::SendMessage>(&effect)) {
+      for (consensus::Effect& effect : node.state.handle(node.clock, input)) {
+        if (auto* send = std::get_if<consensus::SendMessage>(&effect)) {
           post(i, number(send->to), std::move(send->message));
-        } else if (auto* append = std::get_if<agreed::AppendEntry>(&effect)) {
+        } else if (auto* append = std::get_if<consensus::AppendEntry>(&effect)) {
           // Of a deposed leader: no majority takes it.
           if (w_.newest == node.term && w_.leader == i) w_.limbo.push_back(append->entry);
-        } else if (auto* asked = std::get_if<agreed::CheckTerm>(&effect)) {
+        } else if (auto* asked = std::get_if<consensus::CheckTerm>(&effect)) {
           const bool good = node.voter && node.term <= asked->check.term;
           if (!good && !model_.broken_.unconfirmed_grants) continue;
-          const agreed::LeadershipCheckReply yes{asked->check.term, asked->check.round};
+          const consensus::LeadershipCheckReply yes{asked->check.term, asked->check.round};
           if (number(asked->from) == i) {
-            feed(i, agreed::MessageReceived{name(i), yes});
+            feed(i, consensus::MessageReceived{name(i), yes});
           } else {
             post(i, number(asked->from), yes);
           }
         }
       }
     }
-    void post(std::size_t from, std::size_t to, agreed::Message message) {
-      if (model_.broken_.unconfirmed_grants && std::holds_alternative<agreed::LeadershipCheck>(message)) {
+    void post(std::size_t from, std::size_t to, consensus::Message message) {
+      if (model_.broken_.unconfirmed_grants && std::holds_alternative<consensus::LeadershipCheck>(message)) {
         // Nobody is asked: the leader takes it for confirmed.
-        const auto& c = std::get<agreed::LeadershipCheck>(message);
-        feed(from, agreed::MessageReceived{name(to), agreed::LeadershipCheckReply{c.term, c.round}});
+        const auto& c = std::get<consensus::LeadershipCheck>(message);
+        feed(from, consensus::MessageReceived{name(to), consensus::LeadershipCheckReply{c.term, c.round}});
         return;
       }
       // The log spreads by itself here.
-      if (std::holds_alternative<agreed::CatchUpRequest>(message) ||
-          std::holds_alternative<agreed::PrepareReply>(message))
+      if (std::holds_alternative<consensus::CatchUpRequest>(message) ||
+          std::holds_alternative<consensus::PrepareReply>(message))
         return;
       letters_.push_back({from, to, std::move(message)});
     }
     void restart(std::size_t i) {
       Node& node = w_.nodes[i];
       ++node.life;
-      const agreed::Snapshot kept = node.state.policy_state().snapshot();
+      const consensus::Snapshot kept = node.state.policy_state().snapshot();
       const std::map<std::string, bool> members = node.state.members();
       const std::uint64_t used = node.state.lease().newest_request();
       node.state = model_.fresh(i, node.life, node.clock);
       if (model_.broken_.numbers_start_anew)
-        node.state = agreed::State(model_.settings(i), used - kNumbersAgain, i, node.clock);
+        node.state = consensus::State(model_.settings(i), used - kNumbersAgain, i, node.clock);
       if (plan_.empty_disk) {
         if (w_.leader == i) w_.limbo.clear();
         node.applied = 0;
@@ -329,10 +329,10 @@
       } else {
         if (model_.broken_.vote_before_write && node.term > 0 && w_.leader != i) --node.term;
         node.applied = kept.index;
-        feed(i, agreed::SnapshotRestored{kept});
-        feed(i, agreed::BecameFollower{"", node.voter});
+        feed(i, consensus::SnapshotRestored{kept});
+        feed(i, consensus::BecameFollower{"", node.voter});
       }
-      feed(i, agreed::MembersChanged{members});
+      feed(i, consensus::MembersChanged{members});
     }
 
     const AgreedModel& model_;
@@ -443,7 +443,7 @@
   void add(World&& world, std::uint32_t from, const std::string& move, int round, Result& result,
            std::deque<std::uint32_t>& open) {
     if (!result.what.empty() || !keys_.insert(key_of(world)).second) return;
-    std::optional<agreed::Epoch> epoch;
+    std::optional<consensus::Epoch> epoch;
     for (const Node& node : world.nodes) {
       const auto decides = node.state.decision_epoch(node.clock);
       if (!decides) continue;
@@ -476,7 +476,7 @@
         text += n.state.debug_state(newest) + " T" + std::to_string(n.term) + " A" +
                 std::to_string(n.applied) + (n.voter ? "v" : "") + "\n";
       }
-      for (const agreed::Entry& e : w.limbo) text += "l" + std::to_string(static_cast<int>(e.step));
+      for (const consensus::Entry& e : w.limbo) text += "l" + std::to_string(static_cast<int>(e.step));
       text += std::to_string(w.log.size()) + name(w.leader) + std::to_string(w.newest);
       for (const Letter& l : w.late) text += " " + name(l.from) + name(l.to) + print(l, newest);
       text += " " + std::to_string(w.elections) + std::to_string(w.crashes) + std::to_string(w.lost_disks) +
@@ -490,17 +490,17 @@
   }
   static std::string print(const Letter& letter, const std::map<std::string, std::uint64_t>& newest) {
     std::string text = std::to_string(letter.message.index()) + ",";
-    if (const auto* m = std::get_if<agreed::LeaseRequest>(&letter.message))
+    if (const auto* m = std::get_if<consensus::LeaseRequest>(&letter.message))
       text += std::to_string(newest.at(name(letter.from)) - m->number);
-    if (const auto* m = std::get_if<agreed::LeaseGrant>(&letter.message))
+    if (const auto* m = std::get_if<consensus::LeaseGrant>(&letter.message))
       text += std::to_string(newest.at(name(letter.to)) - m->request_number) + "," + std::to_string(m->epoch);
-    if (const auto* m = std::get_if<agreed::LeadershipCheck>(&letter.message))
+    if (const auto* m = std::get_if<consensus::LeadershipCheck>(&letter.message))
       text += std::to_string(m->term) + "," + std::to_string(m->round);
-    if (const auto* m = std::get_if<agreed::LeadershipCheckReply>(&letter.message))
+    if (const auto* m = std::get_if<consensus::LeadershipCheckReply>(&letter.message))
       text += std::to_string(m->term) + "," + std::to_string(m->round);
-    if (const auto* m = std::get_if<agreed::LeaseRevocation>(&letter.message))
+    if (const auto* m = std::get_if<consensus::LeaseRevocation>(&letter.message))
       text += std::to_string(m->term);
-    if (const auto* m = std::get_if<agreed::LeaseRevocationAck>(&letter.message))
+    if (const auto* m = std::get_if<consensus::LeaseRevocationAck>(&letter.message))
       text += std::to_string(m->term);
     return text;
   }
@@ -511,4 +511,4 @@
   std::unordered_set<std::size_t> keys_;
 };
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/agreed_world.h
+++ b/tests/support/consensus_world.h
@@ -13,17 +13,17 @@
 #include <string>
 #include <vector>
 
-#include "agreed/raft_log.h"
-#include "faulty_folder.h"
-#include "virtual_time.h"
+#include "consensus/raft_log.h"
+#include "support/faulty_folder.h"
+#include "support/virtual_time.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 using namespace std::chrono_literals;
 
 class AgreedWorld {
  public:
-  using Time = agreed::Time;
+  using Time = consensus::Time;
   struct Answered {
     std::size_t node = 0;
     std::uint64_t call = 0;
@@ -34,14 +34,14 @@
   struct Node {
     std::unique_ptr<FaultyFolder> folder;
     std::unique_ptr<storage::Journal> journal;
-    std::unique_ptr<agreed::RaftLog> log;
-    std::unique_ptr<agreed::State> state;  // none: the process does not run
+    std::unique_ptr<consensus::RaftLog> log;
+    std::unique_ptr<consensus::State> state;  // none: the process does not run
     bool stopped = false;
     std::vector<std::function<void()>> waiting;  // while it is stopped
     double pace = 1;
     std::uint64_t life = 0;
     std::string lines;
-    std::optional<agreed::Epoch> decides;
+    std::optional<consensus::Epoch> decides;
     std::uint64_t sent = 0, ticks = 0;
     Time armed{-1};
   };
@@ -49,15 +49,15 @@
   /// Sees what the parts of a node are given and what they give, before that is carried out.
   struct Observer {
     /// The reducer after an input at that time of the node's clock, and the effects.
-    std::function<void(std::size_t, Time, const agreed::Input&, const std::vector<agreed::Effect>&,
-                       const agreed::State&)>
+    std::function<void(std::size_t, Time, const consensus::Input&, const std::vector<consensus::Effect>&,
+                       const consensus::State&)>
         input;
     /// What came of a call of the log.
-    std::function<void(std::size_t, const agreed::RaftLog::Output&)> log;
+    std::function<void(std::size_t, const consensus::RaftLog::Output&)> log;
   };
 
   AgreedWorld(std::size_t count, std::size_t voters, std::uint64_t seed = 1,
-              std::function<void(agreed::Settings&)> edit = {}, Observer observer = {})
+              std::function<void(consensus::Settings&)> edit = {}, Observer observer = {})
       : voters_(voters), edit_(std::move(edit)), observer_(std::move(observer)), random_(seed) {
     nodes_.resize(count);
     for (std::size_t i = 0; i < count; ++i) {
@@ -73,7 +73,7 @@
     Node& node = nodes_[i];
     ++node.life;
     node.stopped = false;
-    agreed::Settings settings;
+    consensus::Settings settings;
     settings.name = name(i);
     for (std::size_t v = 0; v < voters_; ++v) settings.voters.push_back(name(v));
     settings.check_policy = [i](const std::string& policy) -> std::optional<std::string> {
@@ -81,7 +81,7 @@
       return std::nullopt;
     };
     if (edit_) edit_(settings);
-    agreed::RaftLog::Settings log;
+    consensus::RaftLog::Settings log;
     log.name = settings.name;
     log.initial_voters = settings.voters;
     log.lease = settings.lease;
@@ -89,9 +89,9 @@
     log.trailing_entries = 8;
     log.seed = random_();
     node.journal = std::make_unique<storage::Journal>(*node.folder, "log", 1U << 20U);
-    node.log = std::make_unique<agreed::RaftLog>(log, *node.journal, local(i));
-    node.state = std::make_unique<agreed::State>(settings, node.life << 32U, random_(), local(i));
-    agreed::RaftLog::Output out;
+    node.log = std::make_unique<consensus::RaftLog>(log, *node.journal, local(i));
+    node.state = std::make_unique<consensus::State>(settings, node.life << 32U, random_(), local(i));
+    consensus::RaftLog::Output out;
     node.log->open(out);
     take_out(i, out);
     feed(i, members(i));
@@ -131,16 +131,16 @@
     return run_until(*this, done, most, step);
   }
 
-  void put(std::size_t i, std::uint64_t call, const std::string& key, agreed::Epoch base,
+  void put(std::size_t i, std::uint64_t call, const std::string& key, consensus::Epoch base,
            const std::string& policy) {
-    feed(i, agreed::ProposeCall{call, key, base, policy});
+    feed(i, consensus::ProposeCall{call, key, base, policy});
   }
-  void feed(std::size_t i, const agreed::Input& input) {
+  void feed(std::size_t i, const consensus::Input& input) {
     Node& node = nodes_[i];
     if (!node.state) return;
-    std::vector<agreed::Effect> effects = node.state->handle(local(i), input);
+    std::vector<consensus::Effect> effects = node.state->handle(local(i), input);
     if (observer_.input) observer_.input(i, local(i), input, effects, *node.state);
-    for (agreed::Effect& effect : effects) carry_out(i, effect);
+    for (consensus::Effect& effect : effects) carry_out(i, effect);
     if (node.state) watch(i);
   }
 
@@ -158,7 +158,7 @@
     }
     return std::nullopt;
   }
-  bool all_decide(agreed::Epoch epoch) {
+  bool all_decide(consensus::Epoch epoch) {
     for (std::size_t i = 0; i < size(); ++i) {
       if (runs(i) && nodes_[i].state->decision_epoch(local(i)) != epoch) return false;
     }
@@ -196,18 +196,18 @@
     });
   }
 
-  agreed::MembersChanged members(std::size_t i) const {
-    agreed::MembersChanged all;
+  consensus::MembersChanged members(std::size_t i) const {
+    consensus::MembersChanged all;
     for (std::size_t j = 0; j < size(); ++j)
       all.reachable[name(j)] = j == i || (runs(j) && !(cut && (cut(i, j) || cut(j, i))));
     return all;
   }
   void tick(std::size_t i, std::uint64_t life) {
-    agreed::RaftLog::Output out;
+    consensus::RaftLog::Output out;
     nodes_[i].log->tick(local(i), out);
     take_out(i, out);
     if (++nodes_[i].ticks % 10 == 0) feed(i, members(i));
-    feed(i, agreed::TimerExpired{});
+    feed(i, consensus::TimerExpired{});
     at_node(i, life, 50ms, [this, i, life] { tick(i, life); });
   }
   void arm(std::size_t i) {
@@ -220,48 +220,48 @@
     at_node(i, node.life, span, [this, i, due] {
       if (nodes_[i].armed != due) return;  // armed anew meanwhile
       nodes_[i].armed = Time{-1};
-      feed(i, agreed::TimerExpired{});
+      feed(i, consensus::TimerExpired{});
     });
   }
 
-  void take_out(std::size_t i, agreed::RaftLog::Output& out) {
+  void take_out(std::size_t i, consensus::RaftLog::Output& out) {
     if (observer_.log) observer_.log(i, out);
     for (auto& [to, bytes] : out.messages) transmit(i, to, std::move(bytes));
     for (std::string& line : out.log_lines) note(i, line);
-    for (const agreed::Input& input : out.inputs) feed(i, input);
+    for (const consensus::Input& input : out.inputs) feed(i, input);
   }
-  void carry_out(std::size_t i, agreed::Effect& effect) {
+  void carry_out(std::size_t i, consensus::Effect& effect) {
     Node& node = nodes_[i];
-    agreed::RaftLog::Output out;
-    if (auto* send = std::get_if<agreed::SendMessage>(&effect)) {
-      transmit(i, send->to, agreed::encode(send->message, node.state->settings().lease));
-    } else if (auto* append = std::get_if<agreed::AppendEntry>(&effect)) {
+    consensus::RaftLog::Output out;
+    if (auto* send = std::get_if<consensus::SendMessage>(&effect)) {
+      transmit(i, send->to, consensus::encode(send->message, node.state->settings().lease));
+    } else if (auto* append = std::get_if<consensus::AppendEntry>(&effect)) {
       // As in the program, the log takes it a moment later.
       at_node(i, node.life, 100us, [this, i, entry = append->entry] {
-        agreed::RaftLog::Output later;
+        consensus::RaftLog::Output later;
         nodes_[i].log->append(local(i), entry, later);
         take_out(i, later);
       });
-    } else if (auto* ask = std::get_if<agreed::CheckTerm>(&effect)) {
+    } else if (auto* ask = std::get_if<consensus::CheckTerm>(&effect)) {
       at_node(i, node.life, 100us, [this, i, asked = *ask] {
         if (!nodes_[i].log->can_confirm_leadership(asked.check.term)) return;
-        const agreed::LeadershipCheckReply yes{asked.check.term, asked.check.round};
+        const consensus::LeadershipCheckReply yes{asked.check.term, asked.check.round};
         if (asked.from == name(i)) {
-          feed(i, agreed::MessageReceived{asked.from, yes});
+          feed(i, consensus::MessageReceived{asked.from, yes});
         } else {
-          transmit(i, asked.from, agreed::encode(yes, nodes_[i].state->settings().lease));
+          transmit(i, asked.from, consensus::encode(yes, nodes_[i].state->settings().lease));
         }
       });
-    } else if (auto* learn = std::get_if<agreed::PersistLearned>(&effect)) {
+    } else if (auto* learn = std::get_if<consensus::PersistLearned>(&effect)) {
       at_node(i, node.life, 100us, [this, i, what = *learn] {
-        agreed::RaftLog::Output later;
+        consensus::RaftLog::Output later;
         nodes_[i].log->persist_learned(local(i), what, later);
         take_out(i, later);
       });
-    } else if (auto* answer = std::get_if<agreed::AdminReply>(&effect)) {
+    } else if (auto* answer = std::get_if<consensus::AdminReply>(&effect)) {
       note(i, "answers " + std::to_string(answer->status) + " " + answer->body);
       answers.push_back({i, answer->call, answer->status, answer->body, now_});
-    } else if (auto* line = std::get_if<agreed::LogLine>(&effect)) {
+    } else if (auto* line = std::get_if<consensus::LogLine>(&effect)) {
       note(i, line->line);
     }
   }
@@ -278,15 +278,15 @@
     }
   }
   void heard(std::size_t from, std::size_t i, const std::string& bytes) {
-    const auto carried = agreed::decode(bytes, nodes_[i].state->settings().lease);
+    const auto carried = consensus::decode(bytes, nodes_[i].state->settings().lease);
     if (!carried) return;
-    agreed::RaftLog::Output out;
-    if (const auto* message = std::get_if<agreed::Message>(&*carried)) {
-      feed(i, agreed::MessageReceived{name(from), *message});
-    } else if (const auto* log = std::get_if<agreed::RaftMessage>(&*carried)) {
+    consensus::RaftLog::Output out;
+    if (const auto* message = std::get_if<consensus::Message>(&*carried)) {
+      feed(i, consensus::MessageReceived{name(from), *message});
+    } else if (const auto* log = std::get_if<consensus::RaftMessage>(&*carried)) {
       nodes_[i].log->on_message(local(i), *log, out);
     } else {
-      nodes_[i].log->on_message(local(i), name(from), std::get<agreed::BootstrapMessage>(*carried), out);
+      nodes_[i].log->on_message(local(i), name(from), std::get<consensus::BootstrapMessage>(*carried), out);
     }
     take_out(i, out);
   }
@@ -310,7 +310,7 @@
 
   static constexpr Time kBegan{1h};
   std::size_t voters_;
-  std::function<void(agreed::Settings&)> edit_;
+  std::function<void(consensus::Settings&)> edit_;
   Observer observer_;
   std::mt19937_64 random_;
   Time now_ = kBegan;
@@ -319,4 +319,4 @@
   std::uint64_t order_ = 0;
 };
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/crowded_world.h
+++ b/tests/support/crowded_world.h
@@ -17,9 +17,9 @@
 #include <utility>
 #include <vector>
 
-#include "bench_free_world.h"
+#include "support/routing_world.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 struct CrowdedPlan {
   double load = 0.6;       ///< what is asked, over what the caches can send
@@ -293,4 +293,4 @@
   std::map<std::pair<std::string, int>, JobPtr> jobs_;
 };
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/faulty_folder.h
+++ b/tests/support/faulty_folder.h
@@ -13,7 +13,7 @@
 
 #include "storage/folder.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 class FaultyFolder : public storage::Folder {
  public:
@@ -120,4 +120,4 @@
   std::map<std::string, std::shared_ptr<Inode>> names_, durable_names_;
 };
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/loopback.cpp
+++ b/tests/support/loopback.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-#include "loopback.h"
+#include "support/loopback.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
 
 #include <stdexcept>
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 sockaddr_in loopback(int port) {
   sockaddr_in address{};
@@ -57,4 +57,4 @@
   return fd;
 }
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/loopback.h
+++ b/tests/support/loopback.h
@@ -9,7 +9,7 @@
 
 #include <cstdint>
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 sockaddr_in loopback(int port);
 
@@ -24,4 +24,4 @@
 /// A socket bound to that port; where it is 0, to a free one, which is then told.
 int bound_socket(int& port);
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/peers_world.h
+++ b/tests/support/membership_world.h
@@ -11,22 +11,22 @@
 #include <string>
 #include <vector>
 
-#include "peers/reducer.h"
-#include "virtual_time.h"
+#include "membership/reducer.h"
+#include "support/virtual_time.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 using namespace std::chrono_literals;
 
 class PeersWorld {
  public:
-  using Time = peers::Time;
+  using Time = membership::Time;
   struct Node {
-    std::unique_ptr<peers::State> state;  // none: the process does not run
+    std::unique_ptr<membership::State> state;  // none: the process does not run
     std::uint64_t disk = 0, life = 0;
-    std::vector<peers::MemberUpdate> kept;
+    std::vector<membership::MemberUpdate> kept;
     bool stopped = false;  // SIGSTOP: what comes waits
-    std::vector<peers::Input> waiting;
+    std::vector<membership::Input> waiting;
     std::string log;
     std::uint64_t bytes = 0, messages = 0;  // sent
     Time armed{-1};
@@ -34,19 +34,19 @@
   };
 
   explicit PeersWorld(std::size_t count, std::uint64_t seed = 1,
-                      std::function<void(peers::Settings&)> edit = {})
+                      std::function<void(membership::Settings&)> edit = {})
       : edit_(std::move(edit)), random_(seed) {
     nodes_.resize(count);
     for (std::size_t i = 0; i < count; ++i) start(i, true);
   }
   /// All know all from the start, as after a quiet minute.
   static std::unique_ptr<PeersWorld> settled(std::size_t count, std::uint64_t seed = 1,
-                                             std::function<void(peers::Settings&)> edit = {}) {
+                                             std::function<void(membership::Settings&)> edit = {}) {
     auto world = std::make_unique<PeersWorld>(0, seed, std::move(edit));
     world->nodes_.resize(count);
-    std::vector<peers::MemberUpdate> all;
+    std::vector<membership::MemberUpdate> all;
     for (std::size_t i = 0; i < count; ++i)
-      all.push_back({name(i), address(i), i + 1, 1U << 20U, 0, peers::MemberStatus::alive, {}});
+      all.push_back({name(i), address(i), i + 1, 1U << 20U, 0, membership::MemberStatus::alive, {}});
     for (std::size_t i = 0; i < count; ++i) {
       world->nodes_[i].disk = i + 1;
       world->nodes_[i].kept = all;
@@ -68,18 +68,18 @@
       node.life = 0;
     }
     ++node.life;
-    peers::Settings settings;
+    membership::Settings settings;
     settings.cluster = "test";
     settings.name = name(i);
     settings.address = address(i);
     for (std::size_t s = 0; s < std::min<std::size_t>(3, nodes_.size()); ++s)
       settings.seeds.push_back(address(s));
     if (edit_) edit_(settings);
-    node.state = std::make_unique<peers::State>(
-        std::move(settings), peers::Identity{node.disk, node.life << 20U, empty_disk, node.kept}, random_(),
-        now_);
+    node.state = std::make_unique<membership::State>(
+        std::move(settings), membership::Identity{node.disk, node.life << 20U, empty_disk, node.kept},
+        random_(), now_);
     node.stopped = false;
-    feed(i, peers::TimerExpired{});
+    feed(i, membership::TimerExpired{});
   }
   void kill(std::size_t i) {
     if (nodes_[i].state) nodes_[i].kept = nodes_[i].state->persistent_state();
@@ -89,8 +89,8 @@
   void resume(std::size_t i) {
     Node& node = nodes_[i];
     node.stopped = false;
-    feed(i, peers::TimerExpired{});
-    for (peers::Input& input : std::exchange(node.waiting, {})) feed(i, input);
+    feed(i, membership::TimerExpired{});
+    for (membership::Input& input : std::exchange(node.waiting, {})) feed(i, input);
   }
 
   void run(Time span) {
@@ -107,7 +107,7 @@
       if (!event.input) {
         if (event.at != node.armed) continue;  // armed anew meanwhile
         node.armed = Time{-1};
-        if (!node.stopped) feed(event.node, peers::TimerExpired{});
+        if (!node.stopped) feed(event.node, membership::TimerExpired{});
       } else if (node.stopped) {
         if (node.waiting.size() < 200) node.waiting.push_back(std::move(*event.input));
       } else {
@@ -121,18 +121,18 @@
     return run_until(*this, done, most, step);
   }
 
-  void feed(std::size_t i, const peers::Input& input) {
+  void feed(std::size_t i, const membership::Input& input) {
     Node& node = nodes_[i];
-    std::vector<peers::Effect> effects = node.state->handle(local(i), input);
+    std::vector<membership::Effect> effects = node.state->handle(local(i), input);
     if (observer) observer(i, local(i), input, effects);
-    for (peers::Effect& effect : effects) {
-      if (auto* s = std::get_if<peers::SendDatagram>(&effect)) {
+    for (membership::Effect& effect : effects) {
+      if (auto* s = std::get_if<membership::SendDatagram>(&effect)) {
         transmit(i, s->address, std::move(s->message), false);
-      } else if (auto* x = std::get_if<peers::SendFullSync>(&effect)) {
+      } else if (auto* x = std::get_if<membership::SendFullSync>(&effect)) {
         transmit(i, x->address, std::move(x->message), true);
-      } else if (auto* a = std::get_if<peers::FullSyncReply>(&effect)) {
+      } else if (auto* a = std::get_if<membership::FullSyncReply>(&effect)) {
         transmit(i, address(a->stream - 1), std::move(a->message), true);
-      } else if (auto* l = std::get_if<peers::LogLine>(&effect)) {
+      } else if (auto* l = std::get_if<membership::LogLine>(&effect)) {
         if (logs) node.log += std::to_string(now_.count() / 1000) + " " + l->line + "\n";
       }
     }
@@ -151,15 +151,15 @@
     return kBegan +
            Time{static_cast<Time::rep>(static_cast<double>((now_ - kBegan).count()) * nodes_[i].pace)};
   }
-  [[nodiscard]] const peers::Member* seen(std::size_t by, std::size_t whom) const {
+  [[nodiscard]] const membership::Member* seen(std::size_t by, std::size_t whom) const {
     return nodes_[by].state->view().find(name(whom));
   }
-  [[nodiscard]] bool believes(std::size_t by, std::size_t whom, peers::MemberStatus state) const {
-    const peers::Member* member = seen(by, whom);
+  [[nodiscard]] bool believes(std::size_t by, std::size_t whom, membership::MemberStatus state) const {
+    const membership::Member* member = seen(by, whom);
     return member != nullptr && member->update.status == state;
   }
   /// Whether all that run, and are not stopped, believe this of that one.
-  [[nodiscard]] bool all_believe(std::size_t whom, peers::MemberStatus state) const {
+  [[nodiscard]] bool all_believe(std::size_t whom, membership::MemberStatus state) const {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (i != whom && nodes_[i].state && !nodes_[i].stopped && !believes(i, whom, state)) return false;
     }
@@ -180,7 +180,7 @@
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (!nodes_[i].state) continue;
       for (std::size_t by = 0; by < nodes_.size(); ++by) {
-        if (nodes_[by].state && believes(by, i, peers::MemberStatus::dead)) {
+        if (nodes_[by].state && believes(by, i, membership::MemberStatus::dead)) {
           ++wrong;
           break;
         }
@@ -206,23 +206,24 @@
   std::function<bool(std::size_t, std::size_t)> cut;         ///< from, to
   std::function<Time(std::size_t, std::size_t)> more_delay;  ///< from, to
   /// From, to and what is said, which it may change; false: that message is lost.
-  std::function<bool(std::size_t, std::size_t, peers::Message&)> passes;
+  std::function<bool(std::size_t, std::size_t, membership::Message&)> passes;
   /// Sees each input of a node, at that time of its clock, and the effects before they are carried out.
-  std::function<void(std::size_t, Time, const peers::Input&, const std::vector<peers::Effect>&)> observer;
+  std::function<void(std::size_t, Time, const membership::Input&, const std::vector<membership::Effect>&)>
+      observer;
 
  private:
   struct Event {
     Time at{0};
     std::uint64_t order = 0;
     std::size_t node = 0;
-    std::optional<peers::Input> input;
+    std::optional<membership::Input> input;
     bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
 
-  void transmit(std::size_t from, const std::string& to, peers::Message message, bool stream) {
+  void transmit(std::size_t from, const std::string& to, membership::Message message, bool stream) {
     Node& sender = nodes_[from];
     ++sender.messages;
-    if (weigh) sender.bytes += peers::encode(message, "test").size() + 28;  // with IP and UDP
+    if (weigh) sender.bytes += membership::encode(message, "test").size() + 28;  // with IP and UDP
     const std::size_t target = index(to);
     if (target >= nodes_.size() || !nodes_[target].state) {
       ++to_nobody;
@@ -233,7 +234,7 @@
     if (!stream && loss > 0 && std::uniform_real_distribution<>(0, 1)(random_) < loss) return;
     Time delay{std::uniform_int_distribution<int>(300, 3000)(random_)};
     if (more_delay) delay += more_delay(from, target);
-    peers::MessageReceived heard{std::move(message), stream ? from + 1 : 0};
+    membership::MessageReceived heard{std::move(message), stream ? from + 1 : 0};
     events_.push({now_ + delay, order_++, target, std::move(heard)});
   }
   static std::size_t index(const std::string& address) {
@@ -243,7 +244,7 @@
            std::stoul(address.substr(third + 1, colon - third - 1));
   }
 
-  std::function<void(peers::Settings&)> edit_;
+  std::function<void(membership::Settings&)> edit_;
   std::mt19937_64 random_;
   static constexpr Time kBegan{1h};
   Time now_ = kBegan;
@@ -252,4 +253,4 @@
   std::uint64_t order_ = 0;
 };
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/bench_free_world.h
+++ b/tests/support/routing_world.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "dahliahall/choice.h"
+#include "edge_proxy/router.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 using namespace std::chrono_literals;
 
@@ -158,4 +158,4 @@
   return sent.front();
 }
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/scenario.cpp
+++ b/tests/support/scenario.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "scenario.h"
+#include "support/scenario.h"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 #include <set>
 #include <sstream>
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 std::string u32(std::uint32_t value) {
@@ -411,4 +411,4 @@
          R"("upper_kind":1},"tick":2000,"weights":"nominal"}})";
 }
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/scenario.h
+++ b/tests/support/scenario.h
@@ -41,7 +41,7 @@
 
 #include "config/config.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 enum class Ends { closed, reset, half, refusing, silent, late, stays, deaf, not_at_all };
 
@@ -80,4 +80,4 @@
 std::string listed(const std::string& id, const std::string& address, const std::string& phase = "active",
                    long long up_since_ms = 0);
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/slow_start_world.h
+++ b/tests/support/slow_start_world.h
@@ -14,9 +14,9 @@
 #include <string>
 #include <vector>
 
-#include "bench_free_world.h"
+#include "support/routing_world.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 struct SlowStartPlan {
   int routers = 20;
@@ -279,4 +279,4 @@
   int asked_ = 0, served_ = 0;
 };
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/started_program.cpp
+++ b/tests/support/started_program.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "started_program.h"
+#include "support/started_program.h"
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -19,9 +19,9 @@
 #include <sstream>
 #include <utility>
 
-#include "loopback.h"
+#include "support/loopback.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -40,7 +40,7 @@
                                unsigned descriptors)
     : descriptors_(descriptors) {
   // A sanitizer needs descriptors of its own: where they are to run out, it is the program as it is deployed.
-  if (const char* deployed = std::getenv("DAHLIAHALL_DEPLOYED"); descriptors > 0 && deployed != nullptr)
+  if (const char* deployed = std::getenv("EDGE_PROXY_DEPLOYED"); descriptors > 0 && deployed != nullptr)
     program_ = deployed;
   std::signal(SIGPIPE, SIG_IGN);
   for (const std::string& member : members) listen(member);
@@ -50,10 +50,10 @@
 
   config_ = config_text(members, addresses_);
   if (edit != nullptr) config_ = edit(config_);
-  path_ = "/tmp/dahliahall-test-XXXXXX";
+  path_ = "/tmp/edge_proxy-test-XXXXXX";
   ::close(mkstemp(path_.data()));
   std::ofstream(path_) << config_;
-  folder_ = "/tmp/dahliahall-test-XXXXXX";
+  folder_ = "/tmp/edge_proxy-test-XXXXXX";
   EXPECT_NE(mkdtemp(folder_.data()), nullptr);
   start();
 }
@@ -270,4 +270,4 @@
   }
 }
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/started_program.h
+++ b/tests/support/started_program.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "scenario.h"
+#include "support/scenario.h"
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 class StartedProgram : public Stage {
  public:
@@ -74,8 +74,8 @@
   bool log_stalled_ = false;
   int pid_ = -1, old_pid_ = -1;
   unsigned descriptors_ = 0;
-  std::string program_ = DAHLIAHALL_PROGRAM;
+  std::string program_ = EDGE_PROXY_PROGRAM;
   int exit_code_ = -1;
 };
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tests/virtual_time.h
+++ b/tests/support/virtual_time.h
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <optional>
 
-namespace dahliahall::test {
+namespace edge_proxy::test {
 
 /// Until `done`, asked every `step`; how long it took, or none within `most`.
 template <typename World, typename Done>
@@ -19,4 +19,4 @@
   return std::nullopt;
 }
 
-}  // namespace dahliahall::test
+}  // namespace edge_proxy::test
--- a/tools/run_ctest.sh
+++ b/tools/run_ctest.sh
@@ -23,10 +23,10 @@
 fi
 
 # A test starts programs if its file includes one of these headers: it needs the machine for itself.
-suites=$(grep -rlE --include='*.cpp' '#include "([a-z_]+/)*(started_program|loopback|fleet)\.h"' tests |
+suites=$(grep -rlE --include='*.cpp' '#include "([a-z_]+/)*(started_program|loopback|cluster)\.h"' tests |
   xargs -r sed -nE 's/^(TYPED_)?TEST(_[FP])?\((\w+),.*/\3/p' | sort -u | paste -sd '|')
 [ -n "$suites" ] || { echo "found no test that starts programs: the list of headers in $0 is out of date"; exit 1; }
-serial=$(list_tests -R "^(.*/)?($suites)\\." ; list_tests -L fleet)
+serial=$(list_tests -R "^(.*/)?($suites)\\." ; list_tests -L cluster)
 [ -n "$serial" ] || { echo "no test of the suites $suites in $build"; exit 1; }
 
 # A test folder of its own that takes in the built one and marks the serial tests.
