--- /dev/null
+++ b/tests/routing/source_layout_test.cpp
@@ -0,0 +1,44 @@
+// SPDX-License-Identifier: MIT
+// Bounds on the size of source files, over the whole tree.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <filesystem>
+#include <fstream>
+#include <string>
+
+namespace {
+
+constexpr int kMaxLines = 1000;  // that are not blank
+constexpr std::size_t kMaxColumns = 110;
+
+void check_file(const std::filesystem::path& path) {
+  std::ifstream file(path);
+  ASSERT_TRUE(file.is_open()) << path;
+  int lines = 0;
+  std::size_t longest = 0;
+  for (std::string line; std::getline(file, line);) {
+    if (line.find_first_not_of(" \t\r") != std::string::npos) ++lines;
+    longest = std::max(longest, line.size());
+  }
+  EXPECT_GT(lines, 0) << path;
+  EXPECT_LE(lines, kMaxLines) << path;
+  EXPECT_LE(longest, kMaxColumns) << path;
+}
+
+int check_folder(const std::string& folder) {
+  int files = 0;
+  for (const auto& entry : std::filesystem::recursive_directory_iterator(folder)) {
+    if (entry.path().extension() != ".cpp" && entry.path().extension() != ".h") continue;
+    check_file(entry.path());
+    ++files;
+  }
+  return files;
+}
+
+}  // namespace
+
+TEST(SourceLayout, EveryFileStaysWithinItsBounds) {
+  EXPECT_GT(check_folder(EDGE_PROXY_SOURCE_DIR "/src"), 0);
+  EXPECT_GT(check_folder(EDGE_PROXY_SOURCE_DIR "/include"), 0);
+}
