--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// FNV-1a over 64 bits: alike in all processes and versions, for short texts that nobody chooses to collide.
+/// Hashes over 64 bits that give the same value in all processes, versions and platforms. Not for keys that
+/// an adversary chooses: both are easy to make collide.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +9,28 @@
 
 namespace edge_proxy {
 
+/// Start value of FNV-1a, its "offset basis".
 constexpr std::uint64_t kFnvStart = 0xcbf29ce484222325U;
 
-/// `hash`: of what goes before the text.
-constexpr std::uint64_t fnv1a(std::string_view text, std::uint64_t hash = kFnvStart) {
-  for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3U;
+/// FNV-1a of `text`. To hash several texts as one, pass the hash of those before as `hash`.
+[[nodiscard]] constexpr std::uint64_t fnv1a(std::string_view text, std::uint64_t hash = kFnvStart) {
+  constexpr std::uint64_t kPrime = 0x100000001b3U;
+  for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * kPrime;
   return hash;
 }
 
+/// One step of SplitMix64: each bit of the argument changes about half of the bits of the result.
+[[nodiscard]] constexpr std::uint64_t splitmix64(std::uint64_t value) {
+  value += 0x9e3779b97f4a7c15U;
+  value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9U;
+  value = (value ^ (value >> 27U)) * 0x94d049bb133111ebU;
+  return value ^ (value >> 31U);
+}
+
+/// Count of the values that `top_53_bits` can give: all integers below it are exact as a double.
+constexpr double kTwoTo53 = 9007199254740992.0;
+
+/// The upper 53 bits of a hash. Divided by `kTwoTo53`, they are a number in [0, 1).
+[[nodiscard]] constexpr double top_53_bits(std::uint64_t hash) { return static_cast<double>(hash >> 11U); }
+
 }  // namespace edge_proxy
--- /dev/null
+++ b/src/routing/endpoint_table.cpp
@@ -0,0 +1,80 @@
+// SPDX-License-Identifier: MIT
+#include "routing/endpoint_table.h"
+
+#include <algorithm>
+
+#include "base/hash.h"
+
+namespace edge_proxy::routing {
+
+void EndpointTable::apply(const EndpointList& list) {
+  if (list.kind != ListKind::changes) {  // an endpoint that a complete list lacks is gone
+    for (EndpointStats& stats : endpoints_) stats.endpoint.state = EndpointState::removed;
+  }
+  for (const Endpoint& endpoint : list.endpoints) update(endpoint);
+  for (std::size_t index = 0; index < endpoints_.size(); ++index) forget_if_unused(index);
+}
+
+void EndpointTable::update(const Endpoint& endpoint) {
+  if (endpoint.state == EndpointState::removed && !index_by_id_.contains(endpoint.id)) return;
+  EndpointStats& stats = endpoints_[find_or_add(endpoint.id)];
+  if (endpoint.started != stats.endpoint.started) stats.health.reset_for_new_process();
+  stats.endpoint = endpoint;
+  stats.role = role_of(endpoint);
+}
+
+std::size_t EndpointTable::find_or_add(const std::string& id) {
+  const std::size_t next = free_.empty() ? endpoints_.size() : free_.back();
+  const auto [found, is_new] = index_by_id_.emplace(id, next);
+  if (!is_new) return found->second;
+  if (free_.empty()) {
+    endpoints_.emplace_back();
+  } else {
+    free_.pop_back();
+  }
+  endpoints_[next] = EndpointStats();
+  endpoints_[next].hash = splitmix64(fnv1a(id));
+  return next;
+}
+
+Role EndpointTable::role_of(const Endpoint& endpoint) const {
+  if (endpoint.kind == settings_.origin_kind) return Role::origin;
+  if (endpoint.kind == settings_.parent_kind) return Role::parent;
+  return endpoint.zone == settings_.zone ? Role::cache : Role::elsewhere;
+}
+
+void EndpointTable::remove_reference(std::size_t index) {
+  --endpoints_[index].references;
+  forget_if_unused(index);
+}
+
+/// Guards the memory where endpoints are replaced for ever: what is known of a removed one is dropped with
+/// the last request that names it, and its entry is used again.
+void EndpointTable::forget_if_unused(std::size_t index) {
+  const EndpointStats& stats = endpoints_[index];
+  if (stats.endpoint.state != EndpointState::removed || stats.references > 0) return;
+  if (index_by_id_.erase(stats.endpoint.id) == 0) return;  // forgotten before
+  free_.push_back(index);
+}
+
+std::vector<std::size_t> EndpointTable::running(Role role) const {
+  std::vector<std::size_t> found;
+  for (std::size_t index = 0; index < endpoints_.size(); ++index) {
+    if (endpoints_[index].role == role && endpoints_[index].is_running()) found.push_back(index);
+  }
+  return found;
+}
+
+std::optional<std::size_t> EndpointTable::origin() const {
+  const auto found = running(Role::origin);
+  if (found.empty()) return std::nullopt;
+  return found.front();
+}
+
+std::size_t EndpointTable::ejected_count(Time now) const {
+  return static_cast<std::size_t>(std::count_if(
+      endpoints_.begin(), endpoints_.end(),
+      [now](const EndpointStats& stats) { return stats.is_running() && stats.health.is_ejected(now); }));
+}
+
+}  // namespace edge_proxy::routing
--- /dev/null
+++ b/src/routing/endpoint_table.h
@@ -0,0 +1,76 @@
+// SPDX-License-Identifier: MIT
+/// @file
+/// The endpoints that this router knows, by index, with what it has learnt of each. Decides from the endpoint
+/// list which role each has, and when one is forgotten.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "base/sliding_window_sum.h"
+#include "edge_proxy/router.h"
+#include "routing/concurrency_limit.h"
+#include "routing/endpoint_health.h"
+
+namespace edge_proxy::routing {
+
+/// `elsewhere`: a cache of another zone, which gets no requests.
+enum class Role { cache, parent, origin, elsewhere };
+
+/// What this router knows of one endpoint.
+struct EndpointStats {
+  Endpoint endpoint;
+  std::uint64_t hash = 0;  ///< of its id: its place in the rendezvous order
+  Role role = Role::elsewhere;
+  int references = 0;  ///< attempts of pending requests that name it
+  int in_flight = 0;   ///< own attempts out at it, and fills that name it as source
+  EndpointHealth health;
+  ConcurrencyLimit limit;
+  SlidingWindowSum warm_up_work;  ///< work sent to it while it is warming up
+  Time last_sent_in_warm_up_at{0};
+
+  [[nodiscard]] bool is_running() const { return endpoint.state == EndpointState::running; }
+};
+
+/// Indices stay valid while an endpoint is listed or referenced.
+class EndpointTable {
+ public:
+  /// `settings` has to outlive this object.
+  explicit EndpointTable(const Settings& settings) : settings_(settings) {}
+
+  /// Takes in a list that is not `ListKind::failed`.
+  void apply(const EndpointList& list);
+
+  [[nodiscard]] EndpointStats& operator[](std::size_t index) { return endpoints_[index]; }
+  [[nodiscard]] const EndpointStats& operator[](std::size_t index) const { return endpoints_[index]; }
+
+  /// Indices of the running endpoints of a role, ascending.
+  [[nodiscard]] std::vector<std::size_t> running(Role role) const;
+  [[nodiscard]] std::optional<std::size_t> origin() const;
+
+  void add_reference(std::size_t index) { ++endpoints_[index].references; }
+  void remove_reference(std::size_t index);
+
+  /// Endpoints that are listed or still referenced.
+  [[nodiscard]] std::size_t known_count() const { return index_by_id_.size(); }
+  /// Entries with those that are free for reuse.
+  [[nodiscard]] std::size_t entry_count() const { return endpoints_.size(); }
+  [[nodiscard]] std::size_t ejected_count(Time now) const;
+
+ private:
+  void update(const Endpoint& endpoint);
+  std::size_t find_or_add(const std::string& id);
+  [[nodiscard]] Role role_of(const Endpoint& endpoint) const;
+  void forget_if_unused(std::size_t index);
+
+  const Settings& settings_;
+  std::vector<EndpointStats> endpoints_;
+  std::vector<std::size_t> free_;
+  std::map<std::string, std::size_t> index_by_id_;
+};
+
+}  // namespace edge_proxy::routing
--- /dev/null
+++ b/src/routing/slow_start.cpp
@@ -0,0 +1,120 @@
+// SPDX-License-Identifier: MIT
+#include "routing/slow_start.h"
+
+#include <algorithm>
+
+#include "base/hash.h"
+#include "base/time_units.h"
+#include "routing/settings_queries.h"
+
+namespace edge_proxy::routing {
+namespace {
+
+using namespace std::chrono_literals;
+
+constexpr double kBudgetUse = 0.7;  // part of the budget that is used
+// The same while the process that this router replaces may still send.
+constexpr double kBudgetUseDuringHandover = 0.3;
+constexpr Time kHandoverTime = 4s;  // from this router's start
+constexpr double kLoadGain = 0.1;   // weight of the newest second in the usual load
+constexpr double kMinWeightSum = 1e-3;
+
+}  // namespace
+
+SlowStart::Rule SlowStart::rule_for(Role role) const {
+  if (role == Role::parent) {
+    return {.initial_capacity = settings_.parent_initial_capacity,
+            .overload_factor = settings_.parent_overload_factor,
+            .warm_up_time = settings_.parent_warm_up_time};
+  }
+  return {.initial_capacity = settings_.initial_capacity,
+          .overload_factor = settings_.overload_factor,
+          .warm_up_time = settings_.warm_up_time};
+}
+
+bool SlowStart::is_warming_up(Time now, const EndpointStats& stats) const {
+  const Time started = stats.endpoint.started;
+  return started.count() != 0 && now - started < rule_for(stats.role).warm_up_time;
+}
+
+bool SlowStart::admits(Time now, EndpointStats& stats, double work) const {
+  if (!is_warming_up(now, stats)) return true;
+  const double budget_now = budget(now, stats);
+  if (budget_now >= work) return stats.warm_up_work.sum(now, settings_.overload_window) + work <= budget_now;
+  if (budget_now <= 0) return false;
+  return admits_single(now, stats, work, budget_now);
+}
+
+/// This router's share of the load that the endpoint would have when warm: of its size where the list tells
+/// it, else of what the requests of this router were lately served by its group (what was asked for may be
+/// far above what the group can do).
+double SlowStart::load_share(const EndpointStats& stats) const {
+  const bool is_parent = stats.role == Role::parent;
+  const double weight = weight_of(settings_, stats.endpoint);
+  if (has_endpoint_sizes(settings_))
+    return weight / std::max(1, is_parent ? settings_.router_count : routers_in_zone(settings_));
+  double weights = 0;
+  for (const std::size_t index : endpoints_.running(stats.role))
+    weights += weight_of(settings_, endpoints_[index].endpoint);
+  return (is_parent ? parents_ : caches_).usual * weight / std::max(weights, kMinWeightSum);
+}
+
+/// Work that may be sent within the overload window: the load share, times the least part of its capacity
+/// that the endpoint has by its age, times the factor at which it is overloaded, with a margin.
+double SlowStart::budget(Time now, const EndpointStats& stats) const {
+  const Rule rule = rule_for(stats.role);
+  const double initial = rule.initial_capacity;
+  const double age = std::max(0.0, to_seconds(now - stats.endpoint.started) / to_seconds(rule.warm_up_time));
+  double load = load_share(stats);
+  load *= stats.role == Role::parent ? quota_.parent_share : quota_.cache_share;
+  const double use = now - started_at_ < kHandoverTime ? kBudgetUseDuringHandover : kBudgetUse;
+  return use * rule.overload_factor * (initial + (1 - initial) * age) * load *
+         to_seconds(settings_.overload_window);
+}
+
+/// Less than one request in the overload window is one request in a longer interval, counted from a moment of
+/// this router's own. Else hundreds of routers would send nothing until the endpoint counts as warm, and then
+/// all at once.
+bool SlowStart::admits_single(Time now, const EndpointStats& stats, double work, double budget) const {
+  const double warm_up = to_seconds(rule_for(stats.role).warm_up_time);
+  const Time interval =
+      from_seconds(std::min(to_seconds(settings_.overload_window) * work / budget, warm_up));
+  const double phase = top_53_bits(splitmix64(stats.hash ^ seed_)) / kTwoTo53;
+  const Time started = stats.endpoint.started;
+  const Time last_sent = stats.last_sent_in_warm_up_at;
+  const Time wait = last_sent < started ? from_seconds(phase * to_seconds(interval)) : interval;
+  return now - std::max(last_sent, started) >= wait;
+}
+
+void SlowStart::record_sent(Time now, EndpointStats& stats, double work) const {
+  if (!is_warming_up(now, stats)) return;
+  stats.warm_up_work.add(now, work);
+  stats.last_sent_in_warm_up_at = now;
+}
+
+void SlowStart::record_served(Role role, double work) {
+  if (role == Role::cache) caches_.this_second += work;
+  if (role == Role::parent) parents_.this_second += work;
+}
+
+void SlowStart::update_usual_load(Time now) {
+  // Seconds in which most of a group is warming up, or fails though it is listed, do not show what its
+  // endpoints can do: after a restart of all, budgets that followed them would fall to nothing.
+  if (is_mostly_warm(now, Role::cache)) caches_.usual += kLoadGain * (caches_.this_second - caches_.usual);
+  if (is_mostly_warm(now, Role::parent))
+    parents_.usual += kLoadGain * (parents_.this_second - parents_.usual);
+  caches_.this_second = 0;
+  parents_.this_second = 0;
+}
+
+bool SlowStart::is_mostly_warm(Time now, Role role) const {
+  const auto group = endpoints_.running(role);
+  const auto warm =
+      static_cast<std::size_t>(std::count_if(group.begin(), group.end(), [this, now](std::size_t index) {
+        const EndpointStats& stats = endpoints_[index];
+        return !is_warming_up(now, stats) && !stats.health.has_failed_repeatedly();
+      }));
+  return warm > 0 && 2 * warm >= group.size();
+}
+
+}  // namespace edge_proxy::routing
