--- a/src/admission/quota_leases.cpp
+++ b/src/admission/quota_leases.cpp
@@ -9,160 +9,231 @@
 namespace edge_proxy::admission {
 namespace {
 
-/// The holder ends its lease this much earlier: what was decided by then has gone out by its end.
-constexpr std::chrono::milliseconds kMargin{500};
+/// The holder ends its lease this much earlier, so that requests admitted under it have been sent by its end.
+constexpr std::chrono::milliseconds kLeaseMargin{500};
 
-std::uint64_t hash_of(const std::string& name) { return fnv1a(name) * 0x9e3779b97f4a7c15U; }
+/// Spreads the sum of names' hashes over all bits: 2^64 divided by the golden ratio.
+constexpr std::uint64_t kHashMultiplier = 0x9e3779b97f4a7c15U;
+
+std::uint64_t hash_of(const std::string& name) { return fnv1a(name) * kHashMultiplier; }
+
+std::uint64_t hash_of_names(const QuotaLeases::MemberTable& members) {
+  std::uint64_t hash = 0;
+  for (const auto& [name, identity] : members) hash += hash_of(name);
+  return hash;
+}
 
 }  // namespace
 
 QuotaLeases::QuotaLeases(Settings settings, Time confirmed_not_before,
                          const std::vector<UnfencedHolder>& unfenced)
     : settings_(std::move(settings)), confirmed_not_before_(confirmed_not_before) {
-  for (const UnfencedHolder& ghost : unfenced) track_unfenced(ghost);
+  for (const UnfencedHolder& holder : unfenced) track_unfenced(holder);
 }
 
 QuotaLeases::Time QuotaLeases::lease_expiry_bound(Time lease, double drift) {
   return std::chrono::duration_cast<Time>(std::chrono::duration<double, std::micro>(lease) * (1 + 2 * drift));
 }
 
-void QuotaLeases::track_unfenced(UnfencedHolder ghost) {
-  const auto same = [&ghost](const UnfencedRecord& h) { return h.holder == ghost; };
-  if (std::any_of(unfenced_.begin(), unfenced_.end(), same)) return;
-  // Guards the memory against a name whose disk is new again and again while somebody is missing. Who has
-  // heard of the newest one renews none of those before any more, so its end is theirs as well.
-  if (ghost.replaced) {
-    std::erase_if(unfenced_, [&ghost](const UnfencedRecord& h) {
-      return h.holder.replaced && h.holder.name == ghost.name;
-    });
-  }
-  unfenced_.push_back({std::move(ghost), ++announced_version_, {}, {}, Time{0}});
-}
+// ---- Registered members and unfenced holders ----
 
-void QuotaLeases::drop_unfenced(const std::string& name) {
-  counted_by_members_.erase(name);
-  renewed_at_.erase(name);
+void QuotaLeases::update_members(Time now, const MemberTable& members, const std::set<std::string>& shut_down,
+                                 bool participates) {
+  const MemberTable before = std::exchange(members_, members);
+  member_names_hash_ = hash_of_names(members_);
+  track_departed(before, shut_down);
+  drop_rejoined_holders();
+  participates_ = participates;
+  if (!participates) on_forgotten();
+  update(now);
 }
 
-void QuotaLeases::update_members(Time now, const MemberTable& roster,
-                                 const std::set<std::string>& gone_in_order, bool takes_part) {
-  const auto before = std::exchange(members_, roster);
-  member_names_hash_ = 0;
-  for (const auto& [name, holder] : members_) member_names_hash_ += hash_of(name);
-  for (const auto& [name, holder] : before) {
-    const auto is = members_.find(name);
-    if (is != members_.end() && is->second.disk == holder.disk) continue;
-    drop_unfenced(name);
+/// Those of `before` that are missing or replaced may still use their leases, unless they shut down.
+void QuotaLeases::track_departed(const MemberTable& before, const std::set<std::string>& shut_down) {
+  for (const auto& [name, identity] : before) {
+    const auto current = members_.find(name);
+    const bool is_registered = current != members_.end();
+    if (is_registered && current->second.disk == identity.disk) continue;
+    drop_acks_of(name);
     if (name == settings_.name) continue;
-    if (is != members_.end()) {
-      track_unfenced({name, holder, true});
-    } else if (gone_in_order.count(name) == 0) {
-      track_unfenced({name, holder, false});
+    if (is_registered) {
+      track_unfenced({name, identity, true});
+    } else if (shut_down.count(name) == 0) {
+      track_unfenced({name, identity, false});
     }
   }
-  // One that was forgotten and lives has heard so by the time it joins anew, and has stopped.
-  std::erase_if(unfenced_, [&](const UnfencedRecord& h) {
-    const auto is = members_.find(h.holder.name);
-    return !h.holder.replaced && is != members_.end() && is->second.disk == h.holder.identity.disk;
+}
+
+void QuotaLeases::track_unfenced(UnfencedHolder holder) {
+  const auto is_same = [&holder](const UnfencedRecord& record) { return record.holder == holder; };
+  if (std::any_of(unfenced_.begin(), unfenced_.end(), is_same)) return;
+  // Guards the memory against a name whose disk is replaced again and again while a member is missing. Who
+  // has acknowledged the newest holder renews none of the earlier ones either, so all are fenced with it.
+  if (holder.replaced) {
+    std::erase_if(unfenced_, [&holder](const UnfencedRecord& record) {
+      return record.holder.replaced && record.holder.name == holder.name;
+    });
+  }
+  unfenced_.push_back({std::move(holder), ++announced_version_, {}, {}, Time{0}});
+}
+
+/// A forgotten member that runs has learned that, and stopped using its share, before it joins anew.
+void QuotaLeases::drop_rejoined_holders() {
+  std::erase_if(unfenced_, [this](const UnfencedRecord& record) {
+    if (record.holder.replaced) return false;
+    const auto current = members_.find(record.holder.name);
+    return current != members_.end() && current->second.disk == record.holder.identity.disk;
   });
-  participates_ = takes_part;
-  if (!takes_part) on_forgotten();
-  update(now);
+}
+
+void QuotaLeases::drop_acks_of(const std::string& name) {
+  counted_by_.erase(name);
+  renewed_at_.erase(name);
 }
 
 void QuotaLeases::on_forgotten() {
   confirmed_ = false;
-  counted_by_members_.clear();
+  counted_by_.clear();
   renewed_at_.clear();
 }
 
-void QuotaLeases::update_members(Time now, const QuotaAck& acked) {
+// ---- Acknowledgements, confirmation and fencing ----
+
+void QuotaLeases::on_ack(Time now, const QuotaAck& ack) {
   const auto self = members_.find(settings_.name);
-  if (self == members_.end() || members_.count(acked.from) == 0 || acked.from == settings_.name) return;
-  for (UnfencedRecord& h : unfenced_) {
-    if (acked.announced_version < h.announced_in) continue;
-    h.heard_by.insert(acked.from);
-    if (acked.confirmed) h.heard_by_confirmed.insert(acked.from);
+  if (self == members_.end() || members_.count(ack.from) == 0 || ack.from == settings_.name) return;
+  for (UnfencedRecord& record : unfenced_) {
+    if (ack.announced_version < record.announced_in) continue;
+    record.acknowledged_by.insert(ack.from);
+    if (ack.confirmed) record.acknowledged_by_confirmed.insert(ack.from);
   }
-  if (acked.counted_disk == self->second.disk) {
-    if (acked.member_names_hash == member_names_hash_) counted_by_members_.insert(acked.from);
-    if (acked.confirmed) renewed_at_[acked.from] = std::max(renewed_at_[acked.from], acked.ping_sent);
+  if (ack.counted_disk == self->second.disk) {
+    if (ack.member_names_hash == member_names_hash_) counted_by_.insert(ack.from);
+    if (ack.confirmed) renewed_at_[ack.from] = std::max(renewed_at_[ack.from], ack.ping_sent);
   }
   update(now);
 }
 
 void QuotaLeases::update(Time now) {
-  for (UnfencedRecord& h : unfenced_) {
-    // Itself and the one whose name it is are the only ones that need not have heard: with fewer it is not
-    // worth to look at each, as at each answer in a fleet of many with ghosts.
-    if (h.fenced_at > Time{0} || h.heard_by.size() + 2 < members_.size()) continue;
-    std::size_t sure = confirmed_ ? 1 : 0;
-    const bool all = std::all_of(members_.begin(), members_.end(), [&](const auto& member) {
-      return member.first == settings_.name || member.first == h.holder.name ||
-             h.heard_by.count(member.first) != 0;
-    });
-    for (const std::string& name : h.heard_by_confirmed) sure += members_.count(name);
-    // Guards against a smaller side that forgets a larger one: that one goes on renewing its own leases.
-    if (!all || sure * 2 < counted_members()) continue;
-    h.fenced_at = now + lease_expiry_bound(settings_.lease, settings_.max_clock_drift);
+  schedule_fencing(now);
+  drop_fenced(now);
+  update_confirmation(now);
+}
+
+/// Sets the time at which a holder is fenced once enough members have acknowledged that they no longer renew
+/// its lease.
+void QuotaLeases::schedule_fencing(Time now) {
+  for (UnfencedRecord& record : unfenced_) {
+    if (record.fenced_at > Time{0} || !acknowledged_by_all(record)) continue;
+    // Guards against a minority that forgets the majority, which goes on renewing its own leases.
+    if (confirmed_acknowledgements(record) * 2 < counted_members()) continue;
+    record.fenced_at = now + lease_expiry_bound(settings_.lease, settings_.max_clock_drift);
   }
-  std::erase_if(unfenced_,
-                [now](const UnfencedRecord& h) { return h.fenced_at > Time{0} && h.fenced_at <= now; });
-  if (confirmed_ || !participates_ || now < confirmed_not_before_) return;
-  // All others: those in `counted_by_` are registered, and itself is not among them.
-  const bool all = counted_by_members_.size() + 1 == members_.size() && members_.count(settings_.name) != 0;
-  // Guards against halves of a new fleet that never met: each would take the whole for its own.
-  confirmed_ = all && members_.size() * 2 > settings_.expected_members;
 }
 
-std::size_t QuotaLeases::unregistered_unfenced() const {
-  return static_cast<std::size_t>(std::count_if(unfenced_.begin(), unfenced_.end(),
-                                                [](const UnfencedRecord& h) { return !h.holder.replaced; }));
+bool QuotaLeases::acknowledged_by_all(const UnfencedRecord& record) const {
+  // Only this member and the one that has the holder's name need not acknowledge. The comparison of sizes
+  // spares the search below at each ack in a large cluster with many holders.
+  if (record.acknowledged_by.size() + 2 < members_.size()) return false;
+  return std::all_of(members_.begin(), members_.end(), [&](const auto& member) {
+    return member.first == settings_.name || member.first == record.holder.name ||
+           record.acknowledged_by.count(member.first) != 0;
+  });
+}
+
+/// Confirmed members that acknowledged the holder, this one included; those since unregistered left out.
+std::size_t QuotaLeases::confirmed_acknowledgements(const UnfencedRecord& record) const {
+  std::size_t count = confirmed_ ? 1 : 0;
+  for (const std::string& name : record.acknowledged_by_confirmed) count += members_.count(name);
+  return count;
+}
+
+void QuotaLeases::drop_fenced(Time now) {
+  std::erase_if(unfenced_, [now](const UnfencedRecord& record) {
+    return record.fenced_at > Time{0} && record.fenced_at <= now;
+  });
 }
 
+void QuotaLeases::update_confirmation(Time now) {
+  if (confirmed_ || !participates_ || now < confirmed_not_before_) return;
+  // All others: those in `counted_by_` are registered, and this member is not among them.
+  const bool counted_by_all =
+      counted_by_.size() + 1 == members_.size() && members_.count(settings_.name) != 0;
+  // Guards against halves of a new cluster that never met: each would take the whole budget for its own.
+  confirmed_ = counted_by_all && members_.size() * 2 > settings_.expected_members;
+}
+
+// ---- The share ----
+
 QuotaLeases::QuotaShare QuotaLeases::share(Time now) const {
-  const std::size_t all = std::max<std::size_t>(1, counted_members());
+  const std::size_t counted = std::max<std::size_t>(1, counted_members());
   const auto self = members_.find(settings_.name);
-  // More than half, itself one of them, renew it: the least recent of the newest that make up that many.
-  Time until = Time::max();
-  if (const std::size_t others = all / 2; others > 0) {
-    std::vector<Time> renewed;
-    for (const auto& [name, sent] : renewed_at_) renewed.push_back(sent);
-    std::sort(renewed.rbegin(), renewed.rend());
-    until = renewed.size() < others ? Time{0} : renewed[others - 1] + settings_.lease - kMargin;
-  }
-  if (!confirmed_ || !participates_ || self == members_.end() || until <= now) {
-    const double little = settings_.reserve_share / static_cast<double>(std::max(settings_.max_members, all));
-    return {little, little, false, Time::max()};
-  }
-  std::size_t zone = 0;
-  for (const auto& [name, holder] : members_) zone += holder.zone == self->second.zone ? 1 : 0;
-  for (const UnfencedRecord& h : unfenced_)
-    zone += !h.holder.replaced && h.holder.identity.zone == self->second.zone ? 1 : 0;
-  return {(1 - settings_.reserve_share) / static_cast<double>(all),
-          (1 - settings_.reserve_share) / static_cast<double>(std::max<std::size_t>(1, zone)), true, until};
+  const Time expires_at = lease_end(counted);
+  if (!confirmed_ || !participates_ || self == members_.end() || expires_at <= now)
+    return reserve_share(counted);
+  const std::size_t in_zone = std::max<std::size_t>(1, counted_members_in_zone(self->second.zone));
+  return {(1 - settings_.reserve_share) / static_cast<double>(counted),
+          (1 - settings_.reserve_share) / static_cast<double>(in_zone), true, expires_at};
 }
 
+/// When fewer than a majority of `counted`, itself included, have renewed the lease recently enough. 0: they
+/// never did. The maximum: it needs no other member.
+QuotaLeases::Time QuotaLeases::lease_end(std::size_t counted) const {
+  const std::size_t others_needed = counted / 2;
+  if (others_needed == 0) return Time::max();
+  if (renewed_at_.size() < others_needed) return Time{0};
+  std::vector<Time> renewals;
+  for (const auto& [name, sent_at] : renewed_at_) renewals.push_back(sent_at);
+  std::sort(renewals.rbegin(), renewals.rend());
+  return renewals[others_needed - 1] + settings_.lease - kLeaseMargin;
+}
+
+/// An equal part of the reserve, whatever the number of members without a lease.
+QuotaLeases::QuotaShare QuotaLeases::reserve_share(std::size_t counted) const {
+  const std::size_t most_members = std::max(settings_.max_members, counted);
+  const double part = settings_.reserve_share / static_cast<double>(most_members);
+  return {part, part, false, Time::max()};
+}
+
+std::size_t QuotaLeases::unregistered_holders() const {
+  return static_cast<std::size_t>(
+      std::count_if(unfenced_.begin(), unfenced_.end(),
+                    [](const UnfencedRecord& record) { return !record.holder.replaced; }));
+}
+
+std::size_t QuotaLeases::counted_members_in_zone(int zone) const {
+  std::size_t count = 0;
+  for (const auto& [name, identity] : members_) count += identity.zone == zone ? 1 : 0;
+  for (const UnfencedRecord& record : unfenced_)
+    count += !record.holder.replaced && record.holder.identity.zone == zone ? 1 : 0;
+  return count;
+}
+
+// ---- What other members and the next process are given ----
+
 std::uint64_t QuotaLeases::counted_disk_of(const std::string& name) const {
   const auto found = members_.find(name);
-  if (found == members_.end()) return 0;
-  // Another disk under a name is counted only once the one before has stopped for certain.
-  const bool haunted = std::any_of(unfenced_.begin(), unfenced_.end(), [&name](const UnfencedRecord& h) {
-    return h.holder.replaced && h.holder.name == name;
+  // The new disk of a name is counted only once the holder before it is fenced.
+  if (found == members_.end() || is_replaced_holder_unfenced(name)) return 0;
+  return found->second.disk;
+}
+
+bool QuotaLeases::is_replaced_holder_unfenced(const std::string& name) const {
+  return std::any_of(unfenced_.begin(), unfenced_.end(), [&name](const UnfencedRecord& record) {
+    return record.holder.replaced && record.holder.name == name;
   });
-  return haunted ? 0 : found->second.disk;
 }
 
 std::vector<QuotaLeases::UnfencedHolder> QuotaLeases::unfenced_holders() const {
-  std::vector<UnfencedHolder> all;
-  for (const UnfencedRecord& h : unfenced_) all.push_back(h.holder);
-  return all;
+  std::vector<UnfencedHolder> holders;
+  for (const UnfencedRecord& record : unfenced_) holders.push_back(record.holder);
+  return holders;
 }
 
 std::vector<std::string> QuotaLeases::announced_names() const {
   std::vector<std::string> names;
-  for (const UnfencedRecord& h : unfenced_) {
-    if (h.fenced_at == Time{0}) names.push_back(h.holder.name);
+  for (const UnfencedRecord& record : unfenced_) {
+    if (record.fenced_at == Time{0}) names.push_back(record.holder.name);
   }
   return names;
 }
--- a/src/admission/quota_leases.h
+++ b/src/admission/quota_leases.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Which part of what all proxies share (the budget of a just-started cache or parent) this one may use,
-/// whatever is cut off from what: docs/membership.md, "Shares". No I/O, no clock.
+/// Divides a budget of the whole cluster (requests that a just-started cache or parent can bear) among its
+/// members by leases, so that a network partition never lets them exceed it together: docs/membership.md,
+/// "Quota leases". No I/O, no clock.
 #pragma once
 
 #include <chrono>
@@ -14,86 +15,99 @@
 
 namespace edge_proxy::admission {
 
-/// Invariant: the parts that all processes use at one moment, on all sides of any cut, never exceed the
-/// whole.
+/// One member's lease on its share of the cluster's budget.
 ///
-/// Each holds the whole over the number of members that it counts. A member uses its share only while it is
-/// *sure*: every member that it counts has said that it counts this one, from a list of the same names; so
-/// each of those that use a share is counted by all others that do. One that left in order has stopped, and
-/// is not counted any more. One that an operator forgot, or whose name another disk has now, is a *ghost*: it
-/// may still send on the other side of a cut, and is counted until its lease has run out on both sides. The
-/// holder stops when more than half of those it counts, all of them sure, have not renewed its lease within
-/// `lease` of its own clock; the others hand its share on only when half of all and every one that is
-/// registered have said that they renew it no more, `lease` and the drift of two clocks after the last of
-/// them did.
+/// Invariant: the shares that all processes use at one moment, on all sides of any partition, never add up to
+/// more than the whole budget. Each member divides the budget by the number of members that it counts:
+/// the registered ones, itself included, and the unfenced holders.
+///
+/// Confirmation: a member uses its share only while it is *confirmed*: every member that it counts has
+/// acknowledged that it counts this one, from a list of the same names. Each user of a share is therefore
+/// counted by all other users.
+///
+/// Lease: a member stops using its share when fewer than a majority of the members that it counts, itself
+/// and confirmed ones only, have acknowledged a ping that it sent within `Settings::lease` of its own clock.
+///
+/// Unfenced holders: a member that shut down gracefully has stopped using its share and is no longer counted.
+/// One that an operator forgot, or whose name another disk has taken over, may still send on the other side
+/// of a partition. It is counted until it is fenced: every registered member, and confirmed ones that are
+/// half of all counted, have acknowledged that they no longer renew its lease, and since the last of these
+/// acknowledgements a lease and the drift of two clocks have passed.
 class QuotaLeases {
  public:
+  /// Time of this process's monotonic clock.
   using Time = std::chrono::microseconds;
 
   struct Settings {
-    std::string name;
+    std::string name;  ///< this member
     Time lease{60'000'000};
-    double max_clock_drift = 0.01;  ///< how much faster one clock may go than another, at most
-    double reserve_share = 0.1;     ///< part of the whole that those without a share divide
-    std::size_t expected_members =
-        1;  ///< members that a new fleet begins with: half of them have to be found first
-    std::size_t max_members = 1024;  ///< members that there may be, at most
+    double max_clock_drift = 0.01;     ///< fraction by which a clock may be faster or slower than real time
+    double reserve_share = 0.1;        ///< fraction of the budget for the members without a lease
+    std::size_t expected_members = 1;  ///< initial size of a new cluster: more than half have to be found
+    std::size_t max_members = 1024;    ///< upper bound of the cluster's size
   };
+  /// Who is behind a name: a member whose disk was replaced is another member under the same name.
   struct MemberIdentity {
     std::uint64_t disk = 0;
     int zone = 0;
     bool operator==(const MemberIdentity&) const = default;
   };
-  using MemberTable = std::map<std::string, MemberIdentity>;  ///< registered members, itself too
+  /// The registered members by name, this one included.
+  using MemberTable = std::map<std::string, MemberIdentity>;
+  /// A former member that may still use its lease.
   struct UnfencedHolder {
     std::string name;
     MemberIdentity identity;
-    bool replaced =
-        false;  ///< another disk has the name: that one is not counted as well, but not sure until then
+    /// Another disk has the name now. The name is counted once, and its new owner can't be confirmed before
+    /// this holder is fenced.
+    bool replaced = false;
     bool operator==(const UnfencedHolder&) const = default;
   };
-  /// What a member has said in its answer to a ping of this one.
+  /// What a member acknowledged in its answer to a ping of this one.
   struct QuotaAck {
     std::string from;
-    Time ping_sent{0};                    ///< when the ping went
-    std::uint64_t announced_version = 0;  ///< told() when it went, where all marks went with it; else 0
-    std::uint64_t counted_disk = 0;       ///< the disk under which it counts this one; 0: it does not
-    std::uint64_t member_names_hash = 0;  ///< of the names that it counts
-    bool confirmed = false;
+    Time ping_sent{0};  ///< when this member sent the ping
+    /// `QuotaLeases::announced_version()` at that time, if the ping carried all announced names; else 0.
+    std::uint64_t announced_version = 0;
+    std::uint64_t counted_disk = 0;       ///< disk under which the sender counts this member; 0: it does not
+    std::uint64_t member_names_hash = 0;  ///< of the names that the sender counts
+    bool confirmed = false;               ///< the sender is confirmed
   };
-  /// What may be used, as parts of the whole.
+  /// What this member may use, as fractions of the budgets.
   struct QuotaShare {
-    double of_cluster = 0;   ///< of what all members share
-    double of_zone = 0;      ///< of what those of its zone share
-    bool has_lease = false;  ///< its share; else a little of the reserve
-    Time expires_at{0};      ///< by its own clock: then it has to be asked for anew
+    double of_cluster = 0;   ///< of the budget of all members
+    double of_zone = 0;      ///< of the budget of the members of its zone
+    bool has_lease = false;  ///< holds its share; else uses a part of the reserve
+    Time expires_at{0};      ///< when to compute the share again at the latest
     bool operator==(const QuotaShare&) const = default;
   };
 
-  /// `ghosts`: those that an earlier process with this disk knew of.
-  /// `not_before`: sure at that time at the earliest, of one with an empty disk: a lease after its start.
-  /// Guards against many whose disks are new at once, and who know nothing of one that is cut off from them.
+  /// @param confirmed_not_before earliest time of confirmation. For an empty disk one lease after the start:
+  ///   guards against many members with new disks that know nothing of one behind a partition.
+  /// @param unfenced the unfenced holders that an earlier process with this disk knew of.
   QuotaLeases(Settings settings, Time confirmed_not_before, const std::vector<UnfencedHolder>& unfenced);
-  /// A lease of the other side, by this side's clock.
+  /// How long a lease of another member can last by this member's clock.
   static Time lease_expiry_bound(Time lease, double drift);
 
-  /// The registered members as they are now; `gone_in_order`: those of the ones missing that left in order.
-  /// `takes_part`: false while its own name is disputed, after it left or was forgotten.
-  void update_members(Time now, const MemberTable& roster, const std::set<std::string>& gone_in_order,
-                      bool takes_part);
-  void update_members(Time now, const QuotaAck& acked);
-  /// It was forgotten, and joins anew: nobody is bound to count it.
+  /// Replaces the registered members. `shut_down`: names that left gracefully. `participates`: false while
+  /// this member's own name is disputed, and after it left or was forgotten.
+  void update_members(Time now, const MemberTable& members, const std::set<std::string>& shut_down,
+                      bool participates);
+  /// Takes in an acknowledgement. One from a name that is not registered is ignored.
+  void on_ack(Time now, const QuotaAck& ack);
+  /// This member was forgotten and joins anew: no other member is bound to count it.
   void on_forgotten();
 
   [[nodiscard]] QuotaShare share(Time now) const;
+  /// Whether all counted members count this one.
   [[nodiscard]] bool confirmed() const { return confirmed_; }
-  /// The disk under which a member is counted, to be told to it; 0: not yet.
+  /// The disk under which this member counts `name`, for the ack to it; 0: it does not count it (yet).
   [[nodiscard]] std::uint64_t counted_disk_of(const std::string& name) const;
-  [[nodiscard]] std::uint64_t member_names_hash() const {
-    return member_names_hash_;
-  }  ///< of those counted: alike for the same ones
-  /// Names of ghosts that others have to hear of, and the mark of what they then have heard.
+  /// Equal at two members that count the same names.
+  [[nodiscard]] std::uint64_t member_names_hash() const { return member_names_hash_; }
+  /// Names of the unfenced holders that not all members have acknowledged yet: pings have to carry them.
   [[nodiscard]] std::vector<std::string> announced_names() const;
+  /// Rises with each new unfenced holder. An ack to a ping with all announced names covers this version.
   [[nodiscard]] std::uint64_t announced_version() const { return announced_version_; }
   [[nodiscard]] std::size_t unfenced_count() const { return unfenced_.size(); }
   [[nodiscard]] std::vector<UnfencedHolder> unfenced_holders() const;
@@ -101,24 +115,39 @@
  private:
   struct UnfencedRecord {
     UnfencedHolder holder;
-    std::uint64_t announced_in = 0;  // as told() counts
-    std::set<std::string> heard_by, heard_by_confirmed;
-    Time fenced_at{0};  // 0: not all have heard of it
+    std::uint64_t announced_in = 0;  // the announced_version() that includes it
+    std::set<std::string> acknowledged_by;
+    std::set<std::string> acknowledged_by_confirmed;
+    Time fenced_at{0};  // 0: not all have acknowledged it
   };
 
-  void track_unfenced(UnfencedHolder ghost);
+  void track_unfenced(UnfencedHolder holder);
+  void track_departed(const MemberTable& before, const std::set<std::string>& shut_down);
+  void drop_rejoined_holders();
+  void drop_acks_of(const std::string& name);
+
   void update(Time now);
-  void drop_unfenced(const std::string& name);
-  [[nodiscard]] std::size_t counted_members() const { return members_.size() + unregistered_unfenced(); }
-  [[nodiscard]] std::size_t unregistered_unfenced() const;
+  void schedule_fencing(Time now);
+  [[nodiscard]] bool acknowledged_by_all(const UnfencedRecord& record) const;
+  [[nodiscard]] std::size_t confirmed_acknowledgements(const UnfencedRecord& record) const;
+  void drop_fenced(Time now);
+  void update_confirmation(Time now);
+
+  [[nodiscard]] bool is_replaced_holder_unfenced(const std::string& name) const;
+  [[nodiscard]] std::size_t counted_members() const { return members_.size() + unregistered_holders(); }
+  [[nodiscard]] std::size_t unregistered_holders() const;
+  [[nodiscard]] std::size_t counted_members_in_zone(int zone) const;
+  [[nodiscard]] Time lease_end(std::size_t counted) const;
+  [[nodiscard]] QuotaShare reserve_share(std::size_t counted) const;
 
   Settings settings_;
   Time confirmed_not_before_;
   MemberTable members_;
   std::uint64_t member_names_hash_ = 0;
-  bool confirmed_ = false, participates_ = true;
-  std::set<std::string> counted_by_members_;
-  std::map<std::string, Time> renewed_at_;  // when the ping went that a sure member answered last
+  bool confirmed_ = false;
+  bool participates_ = true;
+  std::set<std::string> counted_by_;        // members that count this one, from a list of the same names
+  std::map<std::string, Time> renewed_at_;  // send time of the newest ping that a confirmed member acked
   std::vector<UnfencedRecord> unfenced_;
   std::uint64_t announced_version_ = 1;
 };
--- a/src/membership/reducer.cpp
+++ b/src/membership/reducer.cpp
@@ -265,7 +265,7 @@
   if (probe.target == m.from.name && m.target.empty()) {
     if (Member* member = view_.find(probe.target)) set_reachability(*member, Reachability::direct);
     if (settings_.lifeguard) local_health(-1);
-    quota_.update_members(
+    quota_.on_ack(
         now_, admission::QuotaLeases::QuotaAck{m.from.name, probe.sent_at, probe.announced_version,
                                                m.counted_disk, m.member_names_hash, m.confirmed});
     probes_.erase(found);
--- a/tests/golden/membership_golden_test.cpp
+++ b/tests/golden/membership_golden_test.cpp
@@ -290,7 +290,7 @@
               drawn(random, {leases.member_names_hash(), leases.member_names_hash(),
                              leases.member_names_hash(), 5UL}),
               random() % 8 != 0};
-          leases.update_members(now, acked);
+          leases.on_ack(now, acked);
           input.verbatim("kind", "acked")
               .field("by", acked.from)
               .field("sent", acked.ping_sent)
