--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -6,52 +6,110 @@
 #include <algorithm>
 #include <array>
 #include <charconv>
+#include <optional>
 
 #include "membership.pb.h"
 
 namespace edge_proxy::membership {
 namespace {
 
-constexpr std::uint32_t kVersion = 1;
-constexpr std::uint32_t kMostZones = 4096;
-constexpr std::size_t kFixed = 72;  // bytes of an item's tags, lengths and numbers, at most
+constexpr std::uint32_t kProtocolVersion = 1;
+constexpr std::uint32_t kMaxZones = 4096;
+/// Upper bound of the tags, lengths and numbers of one update.
+constexpr std::size_t kUpdateOverheadBytes = 72;
+constexpr int kMaxOctet = 255;
+constexpr int kMaxPort = 65535;
 
-void write(const MemberUpdate& news, pb::Member& out) {
-  out.set_name(news.name);
-  out.set_address(news.address);
-  out.set_disk(news.disk_id);
-  out.set_incarnation(news.incarnation);
-  out.set_zone(static_cast<std::uint32_t>(news.zone));
-  out.set_state(static_cast<std::uint32_t>(news.status));
-  out.set_by(news.reported_by);
+std::uint64_t checksum_of(const std::string& payload) { return XXH3_64bits(payload.data(), payload.size()); }
+
+bool is_empty_or_valid_name(std::string_view name) { return name.empty() || is_valid_name(name); }
+bool is_empty_or_valid_address(std::string_view address) {
+  return address.empty() || is_valid_address(address);
+}
+
+void write(const MemberUpdate& update, pb::MemberUpdate& out) {
+  out.set_name(update.name);
+  out.set_address(update.address);
+  out.set_disk_id(update.disk_id);
+  out.set_incarnation(update.incarnation);
+  out.set_zone(static_cast<std::uint32_t>(update.zone));
+  out.set_status(static_cast<std::uint32_t>(update.status));
+  out.set_reported_by(update.reported_by);
+}
+
+bool is_valid(const pb::MemberUpdate& update) {
+  return is_valid_name(update.name()) && is_valid_address(update.address()) && update.zone() < kMaxZones &&
+         update.status() < kMemberStatusCount && is_empty_or_valid_name(update.reported_by());
 }
 
-bool read(const pb::Member& in, MemberUpdate& out) {
-  if (!is_valid_name(in.name()) || !is_valid_address(in.address()) || in.zone() >= kMostZones ||
-      in.state() >= kMemberStatusCount || !(in.by().empty() || is_valid_name(in.by())))
+MemberUpdate read(const pb::MemberUpdate& in) {
+  return {.name = in.name(),
+          .address = in.address(),
+          .disk_id = in.disk_id(),
+          .incarnation = in.incarnation(),
+          .zone = static_cast<int>(in.zone()),
+          .status = static_cast<MemberStatus>(in.status()),
+          .reported_by = in.reported_by()};
+}
+
+bool is_valid(const pb::Message& message) {
+  if (message.kind() >= kMessageKindCount || !is_empty_or_valid_name(message.to()) ||
+      !is_valid(message.from()) || !is_empty_or_valid_name(message.target()) ||
+      !is_empty_or_valid_address(message.target_address()))
     return false;
-  out = {in.name(),
-         in.address(),
-         in.disk(),
-         in.incarnation(),
-         static_cast<int>(in.zone()),
-         static_cast<MemberStatus>(in.state()),
-         in.by()};
+  const auto kind = static_cast<MessageKind>(message.kind());
+  const bool has_target = !message.target().empty() && !message.target_address().empty();
+  if (kind == MessageKind::ping_req && !has_target) return false;
+  if ((kind == MessageKind::user_message) == message.user_payload().empty()) return false;
+  return std::all_of(message.updates().begin(), message.updates().end(),
+                     [](const pb::MemberUpdate& update) { return is_valid(update); });
+}
+
+Message read(const pb::Message& in) {
+  Message message;
+  message.kind = static_cast<MessageKind>(in.kind());
+  message.sequence = in.sequence();
+  message.to = in.to();
+  message.from = read(in.from());
+  message.digest = in.digest();
+  message.target = in.target();
+  message.target_address = in.target_address();
+  message.counted_disk = in.counted_disk();
+  message.member_names_hash = in.member_names_hash();
+  message.confirmed = in.confirmed();
+  message.payload = in.user_payload();
+  message.updates.reserve(static_cast<std::size_t>(in.updates_size()));
+  for (const pb::MemberUpdate& update : in.updates()) message.updates.push_back(read(update));
+  return message;
+}
+
+/// Takes a number of 0 to `max` off the front of `text`.
+std::optional<int> take_number(std::string_view& text, int max) {
+  int value = -1;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (error != std::errc{} || value < 0 || value > max) return std::nullopt;
+  text.remove_prefix(static_cast<std::size_t>(end - text.data()));
+  return value;
+}
+
+bool take_char(std::string_view& text, char wanted) {
+  if (text.empty() || text.front() != wanted) return false;
+  text.remove_prefix(1);
   return true;
 }
 
 }  // namespace
 
-std::string_view name_of(MemberStatus state) {
-  static constexpr std::array<std::string_view, kMemberStatusCount> names{"alive", "suspect",   "dead",
-                                                                          "left",  "forgotten", "disputed"};
-  return names[static_cast<std::size_t>(state)];
+std::string_view name_of(MemberStatus status) {
+  static constexpr std::array<std::string_view, kMemberStatusCount> kNames{"alive", "suspect",   "dead",
+                                                                           "left",  "forgotten", "disputed"};
+  return kNames[static_cast<std::size_t>(status)];
 }
 
-std::string_view name_of(DecodeError reason) {
-  static constexpr std::array<std::string_view, kDecodeErrorCount> names{
+std::string_view name_of(DecodeError error) {
+  static constexpr std::array<std::string_view, kDecodeErrorCount> kNames{
       "malformed", "oversized", "corrupt", "other_cluster", "other_version", "bad_field"};
-  return names[static_cast<std::size_t>(reason)];
+  return kNames[static_cast<std::size_t>(error)];
 }
 
 bool is_valid_name(std::string_view name) {
@@ -62,89 +120,59 @@
 }
 
 bool is_valid_address(std::string_view address) {
-  const auto number = [&address](int most, char until) {
-    int value = -1;
-    const auto [end, problem] = std::from_chars(address.data(), address.data() + address.size(), value);
-    if (problem != std::errc{} || value < 0 || value > most) return false;
-    address.remove_prefix(static_cast<std::size_t>(end - address.data()));
-    if (until == '\0') return address.empty() && value > 0;
-    if (address.empty() || address.front() != until) return false;
-    address.remove_prefix(1);
-    return true;
-  };
-  return number(255, '.') && number(255, '.') && number(255, '.') && number(255, ':') && number(65535, '\0');
+  for (const char separator : {'.', '.', '.', ':'}) {
+    if (!take_number(address, kMaxOctet) || !take_char(address, separator)) return false;
+  }
+  const std::optional<int> port = take_number(address, kMaxPort);
+  return port && *port > 0 && address.empty();
 }
 
-std::size_t encoded_size(const MemberUpdate& news) {
-  return kFixed + news.name.size() + news.address.size() + news.reported_by.size();
+std::size_t encoded_size(const MemberUpdate& update) {
+  return kUpdateOverheadBytes + update.name.size() + update.address.size() + update.reported_by.size();
 }
 
 std::size_t header_size(const Message& message, const std::string& cluster) {
-  return 2 * kFixed + cluster.size() + message.to.size() + encoded_size(message.from) +
+  return 2 * kUpdateOverheadBytes + cluster.size() + message.to.size() + encoded_size(message.from) +
          message.target.size() + message.target_address.size() + message.payload.size();
 }
 
 std::string encode(const Message& message, const std::string& cluster) {
-  pb::Packet packet;
-  packet.set_cluster(cluster);
-  packet.set_kind(static_cast<std::uint32_t>(message.kind));
-  packet.set_number(message.sequence);
-  packet.set_to(message.to);
-  write(message.from, *packet.mutable_from());
-  packet.set_digest(message.digest);
-  packet.set_target(message.target);
-  packet.set_target_address(message.target_address);
-  for (const MemberUpdate& news : message.updates) write(news, *packet.add_news());
-  packet.set_counts(message.counted_disk);
-  packet.set_names(message.member_names_hash);
-  packet.set_sure(message.confirmed);
-  packet.set_payload(message.payload);
+  pb::Message out;
+  out.set_cluster(cluster);
+  out.set_kind(static_cast<std::uint32_t>(message.kind));
+  out.set_sequence(message.sequence);
+  out.set_to(message.to);
+  write(message.from, *out.mutable_from());
+  out.set_digest(message.digest);
+  out.set_target(message.target);
+  out.set_target_address(message.target_address);
+  for (const MemberUpdate& update : message.updates) write(update, *out.add_updates());
+  out.set_counted_disk(message.counted_disk);
+  out.set_member_names_hash(message.member_names_hash);
+  out.set_confirmed(message.confirmed);
+  out.set_user_payload(message.payload);
   pb::Envelope envelope;
-  envelope.set_version(kVersion);
-  packet.SerializeToString(envelope.mutable_packet());
-  envelope.set_sum(XXH3_64bits(envelope.packet().data(), envelope.packet().size()));
+  envelope.set_version(kProtocolVersion);
+  out.SerializeToString(envelope.mutable_payload());
+  envelope.set_checksum(checksum_of(envelope.payload()));
   return envelope.SerializeAsString();
 }
 
 std::variant<Message, DecodeError> decode(std::string_view bytes, const std::string& cluster,
-                                          std::size_t most) {
-  if (bytes.size() > most) return DecodeError::oversized;
+                                          std::size_t max_bytes) {
+  if (bytes.size() > max_bytes) return DecodeError::oversized;
   pb::Envelope envelope;
   if (!envelope.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return DecodeError::malformed;
-  // The version first: guards against reading another one's fields by this one's meaning.
-  if (envelope.version() != kVersion)
-    return envelope.version() == 0 ? DecodeError::malformed : DecodeError::wrong_version;
-  // Guards the list of members against names that flipped bits have made up.
-  if (XXH3_64bits(envelope.packet().data(), envelope.packet().size()) != envelope.sum())
-    return DecodeError::checksum_mismatch;
-  pb::Packet packet;
-  if (!packet.ParseFromString(envelope.packet())) return DecodeError::malformed;
-  if (packet.cluster() != cluster) return DecodeError::wrong_cluster;
-  Message message;
-  if (packet.kind() >= kMessageKindCount || !(packet.to().empty() || is_valid_name(packet.to())) ||
-      !read(packet.from(), message.from) || !(packet.target().empty() || is_valid_name(packet.target())) ||
-      !(packet.target_address().empty() || is_valid_address(packet.target_address())))
-    return DecodeError::invalid_field;
-  message.kind = static_cast<MessageKind>(packet.kind());
-  if (message.kind == MessageKind::ping_req && (packet.target().empty() || packet.target_address().empty()))
-    return DecodeError::invalid_field;
-  message.sequence = packet.number();
-  message.to = packet.to();
-  message.digest = packet.digest();
-  message.target = packet.target();
-  message.target_address = packet.target_address();
-  message.counted_disk = packet.counts();
-  message.member_names_hash = packet.names();
-  message.confirmed = packet.sure();
-  if ((message.kind == MessageKind::user_message) == packet.payload().empty())
-    return DecodeError::invalid_field;
-  message.payload = packet.payload();
-  message.updates.resize(static_cast<std::size_t>(packet.news_size()));
-  for (int i = 0; i < packet.news_size(); ++i) {
-    if (!read(packet.news(i), message.updates[static_cast<std::size_t>(i)]))
-      return DecodeError::invalid_field;
-  }
-  return message;
+  // The version first: guards against reading another version's fields by this one's meaning.
+  if (envelope.version() == 0) return DecodeError::malformed;
+  if (envelope.version() != kProtocolVersion) return DecodeError::wrong_version;
+  // Guards the list of members against names made up by flipped bits.
+  if (checksum_of(envelope.payload()) != envelope.checksum()) return DecodeError::checksum_mismatch;
+  pb::Message message;
+  if (!message.ParseFromString(envelope.payload())) return DecodeError::malformed;
+  if (message.cluster() != cluster) return DecodeError::wrong_cluster;
+  if (!is_valid(message)) return DecodeError::invalid_field;
+  return read(message);
 }
 
 }  // namespace edge_proxy::membership
--- a/src/membership/codec.h
+++ b/src/membership/codec.h
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Peers' messages to bytes and back, through Protocol Buffers. Every field is checked.
+/// Encodes and decodes messages between members, through Protocol Buffers. Every field of a received message
+/// is validated.
 #pragma once
 
 #include <cstddef>
-#include <optional>
+#include <cstdint>
 #include <string>
 #include <string_view>
 #include <variant>
@@ -13,7 +14,7 @@
 
 namespace edge_proxy::membership {
 
-/// Why bytes that came are no message for this proxy.
+/// Why received bytes are not a message for this proxy.
 enum class DecodeError : std::uint8_t {
   malformed,
   oversized,
@@ -23,22 +24,25 @@
   invalid_field
 };
 constexpr std::size_t kDecodeErrorCount = 6;
-std::string_view name_of(DecodeError reason);
+/// As it stands in the log and in the names of metrics.
+std::string_view name_of(DecodeError error);
 
-constexpr std::size_t kMaxNameBytes = 64;  ///< bytes, of names, addresses and clusters
+/// Upper bound for names of members, addresses and names of clusters.
+constexpr std::size_t kMaxNameBytes = 64;
 
+/// The message as it is sent, for members of `cluster`.
 std::string encode(const Message& message, const std::string& cluster);
-/// `most`: bytes that it may have.
+/// Reads and validates a message of at most `max_bytes` that was sent in `cluster`.
 std::variant<Message, DecodeError> decode(std::string_view bytes, const std::string& cluster,
-                                          std::size_t most);
-
-/// Whether the text can name a member: 1 to kMaxName letters, digits, '-', '_' or '.'.
-bool is_valid_name(std::string_view name);
-/// Whether it is an IPv4 address and a port.
-bool is_valid_address(std::string_view address);
-/// Bytes that the item takes in a message, at most.
-std::size_t encoded_size(const MemberUpdate& news);
-/// Bytes that the message takes without its news, at most.
-std::size_t header_size(const Message& message, const std::string& cluster);
+                                          std::size_t max_bytes);
+
+/// Whether the text can name a member: 1 to kMaxNameBytes letters, digits, '-', '_' or '.'.
+[[nodiscard]] bool is_valid_name(std::string_view name);
+/// Whether the text is an IPv4 address and a port other than 0.
+[[nodiscard]] bool is_valid_address(std::string_view address);
+/// Upper bound of the bytes that an update takes in a message.
+[[nodiscard]] std::size_t encoded_size(const MemberUpdate& update);
+/// Upper bound of the bytes that a message takes without its updates.
+[[nodiscard]] std::size_t header_size(const Message& message, const std::string& cluster);
 
 }  // namespace edge_proxy::membership
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What edge proxies tell each other of themselves and of others (docs/membership.md). Plain values: how they
-/// look on the wire is codec's matter (membership/codec.h).
+/// Messages between the members of a cluster and what they say about members (docs/membership.md). Plain
+/// values: membership/codec.h encodes them.
 #pragma once
 
 #include <chrono>
@@ -17,74 +17,79 @@
 /// Monotonic time of this process; never compared with another process's.
 using Time = std::chrono::microseconds;
 
-/// What is believed of a member. The first three are registered; the others are kept as marks, so that old
-/// news does not bring them back.
+/// What is known about a member. Those that left or were forgotten are kept as tombstones, so that an
+/// outdated update does not bring them back.
 enum class MemberStatus : std::uint8_t {
   alive,
   suspect,    ///< it did not answer; it may still refute that
-  dead,       ///< nobody reaches it; it stays registered
-  left,       ///< it said so
-  forgotten,  ///< an operator said so
-  disputed    ///< two processes use this name: neither takes part until one has been stopped
+  dead,       ///< no member reaches it; it stays registered
+  left,       ///< it shut down gracefully
+  forgotten,  ///< an operator removed it
+  disputed    ///< two processes use this name: neither participates until one has been stopped
 };
 constexpr std::size_t kMemberStatusCount = 6;
-std::string_view name_of(MemberStatus state);
-constexpr bool is_registered(MemberStatus state) {
-  return state == MemberStatus::alive || state == MemberStatus::suspect || state == MemberStatus::dead ||
-         state == MemberStatus::disputed;
+std::string_view name_of(MemberStatus status);
+/// Whether the member belongs to the cluster, reachable or not.
+constexpr bool is_registered(MemberStatus status) {
+  return status == MemberStatus::alive || status == MemberStatus::suspect || status == MemberStatus::dead ||
+         status == MemberStatus::disputed;
 }
-constexpr bool is_reachable(MemberStatus state) {
-  return state == MemberStatus::alive || state == MemberStatus::suspect;
+constexpr bool is_reachable(MemberStatus status) {
+  return status == MemberStatus::alive || status == MemberStatus::suspect;
 }
 
+/// What some member knows about a member; the unit of gossip.
 struct MemberUpdate {
   std::string name;
-  std::string address;            ///< host:port, of its datagrams and of its stream
-  std::uint64_t disk_id = 0;      ///< the mark of its disk: another one is another member under that name
-  std::uint64_t incarnation = 0;  ///< only the member itself raises it; never falls, whatever the disk
+  std::string address;        ///< host:port, for datagrams and for streams
+  std::uint64_t disk_id = 0;  ///< a name with another disk is another member
+  /// Only the member itself raises it. It never falls, not even with an empty disk.
+  std::uint64_t incarnation = 0;
   int zone = 0;
   MemberStatus status = MemberStatus::alive;
-  std::string reported_by;  ///< who says so first, of suspect and dead
+  std::string reported_by{};  ///< who first reported the status, of suspect, dead and forgotten members
   bool operator==(const MemberUpdate&) const = default;
 };
 
-/// The incarnation counts the member's lives (its starts, and its joining anew once it was forgotten) above
-/// these bits, and what it refuted within one below them.
+/// The incarnation counts epochs (starts of the member, and rejoins after it was forgotten) above these bits,
+/// and within an epoch what the member refuted below them.
 constexpr unsigned kRefutationBits = 20;
 constexpr std::uint64_t kEpochStep = std::uint64_t{1} << kRefutationBits;
 
-/// Newer news has the greater age: a later life; within one, that the member has gone for good, which nothing
-/// that it said before it heard so undoes; then the higher incarnation. At the same one, the state that comes
-/// later in Liveness.
-inline std::tuple<std::uint64_t, bool, std::uint64_t> precedence_of(const MemberUpdate& news) {
-  return {news.incarnation >> kRefutationBits, !is_registered(news.status), news.incarnation};
+/// Orders the updates of one member: the later epoch wins; within an epoch that the member is no longer
+/// registered, which nothing that it sent before it learned of it undoes; then the higher incarnation. Among
+/// equal ones, the status that comes later in MemberStatus wins.
+inline std::tuple<std::uint64_t, bool, std::uint64_t> precedence_of(const MemberUpdate& update) {
+  return {update.incarnation >> kRefutationBits, !is_registered(update.status), update.incarnation};
 }
 
 enum class MessageKind : std::uint8_t {
   ping,
-  ack,        ///< to a ping, from its target; `number` is the ping's
-  nack,       ///< from one asked to ping another: no answer so far
-  ping_req,   ///< ping `target` for me
-  gossip,     ///< news alone
-  full_sync,  ///< all that is known, over a stream; answered by the like
+  ack,        ///< answers a ping; `sequence` is the ping's
+  nack,       ///< answers a ping_req: the target has not answered so far
+  ping_req,   ///< asks the receiver to ping `target`
+  gossip,     ///< carries updates only
+  full_sync,  ///< all that the sender knows, over a stream; answered by full_sync_reply
   full_sync_reply,
-  user_message  ///< `payload` is another subsystem's, for that member
+  user_message  ///< `payload` belongs to another subsystem of the receiver
 };
 constexpr std::size_t kMessageKindCount = 8;
 
 struct Message {
   MessageKind kind = MessageKind::ping;
-  std::uint64_t sequence = 0;          ///< names the ping or the question, for its sender
-  std::string to;                      ///< the member it is meant for; empty: whoever is at that address
-  MemberUpdate from;                   ///< the sender, of itself
-  std::uint64_t digest = 0;            ///< of the sender's view
-  std::string target, target_address;  ///< of ask; an ack that is passed on names who acked as `target`
+  std::uint64_t sequence = 0;  ///< identifies a ping or ping_req to its sender
+  std::string to;              ///< the member it is meant for; empty: whichever has that address
+  MemberUpdate from;           ///< the sender, as it describes itself
+  std::uint64_t digest = 0;    ///< of the sender's view
+  /// Of ping_req: the member to ping. Of an ack that was relayed: the member that sent it.
+  std::string target;
+  std::string target_address;  ///< of ping_req
   std::vector<MemberUpdate> updates;
-  // Of acks, for the shares of what all use (admission/quota_leases.h).
-  std::uint64_t counted_disk = 0;       ///< the disk under which the receiver is counted; 0: it is not
+  // The next three: of ack, for the quota leases (admission/quota_leases.h).
+  std::uint64_t counted_disk = 0;       ///< disk under which the sender counts the receiver; 0: it does not
   std::uint64_t member_names_hash = 0;  ///< of the names that the sender counts
-  bool confirmed = false;               ///< the sender is counted by all
-  std::string payload;                  ///< of carry
+  bool confirmed = false;               ///< the sender is counted by all others
+  std::string payload;                  ///< of user_message
 };
 
 }  // namespace edge_proxy::membership
