--- a/src/membership/broadcast_queue.h
+++ b/src/membership/broadcast_queue.h
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// News that is still to be passed on: each item a bounded number of times, the least told first.
+/// Updates that are still to be broadcast by gossip: each a bounded number of times, the least often sent
+/// first.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
-#include <set>
 #include <string>
 #include <utility>
 #include <vector>
@@ -16,39 +17,33 @@
 
 class BroadcastQueue {
  public:
-  /// Newer news of a name takes the place of older; one more suspicion of it stands beside the first.
+  /// Replaces an earlier update of the same member. Suspicions of a member by different reporters are kept
+  /// side by side: each of them may confirm the others.
   void enqueue(const MemberUpdate& update) {
-    const std::string key =
-        update.status == MemberStatus::suspect ? update.name + '\n' + update.reported_by : update.name;
-    if (update.status != MemberStatus::suspect) drop_suspicions_of(update.name);
-    drop(key);
-    const QueuePosition place{0, next_++};
-    by_position_.emplace(place, key);
-    items_.emplace(key, Item{update, place});
+    const bool is_suspicion = update.status == MemberStatus::suspect;
+    const std::string key = is_suspicion ? suspicion_prefix(update.name) + update.reported_by : update.name;
+    if (!is_suspicion) remove_suspicions_of(update.name);
+    remove(key);
+    const QueuePosition position{0, next_order_++};
+    by_position_.emplace(position, key);
+    items_.emplace(key, Item{update, position});
   }
 
-  /// Items that fit into `room` bytes. Each is given out `most` times in all, then dropped.
+  /// Updates that fit into `max_bytes` by `size_of`. Each is returned `max_transmits` times in all, then
+  /// dropped.
   template <typename SizeOf>
   std::vector<MemberUpdate> take(std::size_t max_bytes, std::size_t max_transmits, SizeOf&& size_of) {
     std::vector<MemberUpdate> taken;
-    std::vector<std::string> transmitted;
-    for (const auto& [place, key] : by_position_) {
-      const MemberUpdate& news = items_.at(key).update;
-      const std::size_t size = size_of(news);
+    std::vector<std::string> keys;
+    for (const auto& [position, key] : by_position_) {
+      const MemberUpdate& update = items_.at(key).update;
+      const std::size_t size = size_of(update);
       if (size > max_bytes) break;
       max_bytes -= size;
-      taken.push_back(news);
-      transmitted.push_back(key);
-    }
-    for (const std::string& key : transmitted) {
-      const auto found = items_.find(key);
-      by_position_.erase(found->second.position);
-      if (++found->second.position.first >= max_transmits) {
-        items_.erase(found);
-      } else {
-        by_position_.emplace(found->second.position, key);
-      }
+      taken.push_back(update);
+      keys.push_back(key);
     }
+    for (const std::string& key : keys) count_transmit(key, max_transmits);
     return taken;
   }
 
@@ -56,21 +51,36 @@
   [[nodiscard]] std::size_t size() const { return items_.size(); }
 
  private:
-  using QueuePosition = std::pair<std::size_t, std::uint64_t>;  // how often told, then which came first
+  /// Fewest transmits first, then the earliest enqueued.
+  using QueuePosition = std::pair<std::size_t, std::uint64_t>;
   struct Item {
     MemberUpdate update;
     QueuePosition position;
   };
 
-  void drop(const std::string& key) {
+  /// Names hold no line breaks, so this is no prefix of another member's key.
+  static std::string suspicion_prefix(const std::string& name) { return name + '\n'; }
+
+  void count_transmit(const std::string& key, std::size_t max_transmits) {
+    const auto found = items_.find(key);
+    QueuePosition& position = found->second.position;
+    by_position_.erase(position);
+    ++position.first;
+    if (position.first >= max_transmits) {
+      items_.erase(found);
+    } else {
+      by_position_.emplace(position, key);
+    }
+  }
+  void remove(const std::string& key) {
     const auto found = items_.find(key);
     if (found == items_.end()) return;
     by_position_.erase(found->second.position);
     items_.erase(found);
   }
-  void drop_suspicions_of(const std::string& name) {
-    const std::string front = name + '\n';
-    for (auto it = items_.lower_bound(front); it != items_.end() && it->first.starts_with(front);) {
+  void remove_suspicions_of(const std::string& name) {
+    const std::string prefix = suspicion_prefix(name);
+    for (auto it = items_.lower_bound(prefix); it != items_.end() && it->first.starts_with(prefix);) {
       by_position_.erase(it->second.position);
       it = items_.erase(it);
     }
@@ -78,7 +88,7 @@
 
   std::map<std::string, Item> items_;
   std::map<QueuePosition, std::string> by_position_;
-  std::uint64_t next_ = 0;
+  std::uint64_t next_order_ = 0;
 };
 
 }  // namespace edge_proxy::membership
--- a/src/membership/durations.h
+++ b/src/membership/durations.h
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Spans in proportion.
+/// Arithmetic on durations.
 #pragma once
 
 #include "membership/types.h"
 
 namespace edge_proxy::membership {
 
-inline Time scaled(Time span, double factor) {
-  return Time{static_cast<Time::rep>(static_cast<double>(span.count()) * factor)};
+/// `duration` multiplied by `factor`, truncated to whole microseconds.
+inline Time scaled(Time duration, double factor) {
+  return Time{static_cast<Time::rep>(static_cast<double>(duration.count()) * factor)};
 }
 
 }  // namespace edge_proxy::membership
--- /dev/null
+++ b/src/membership/events.h
@@ -0,0 +1,81 @@
+// SPDX-License-Identifier: MIT
+/// @file
+/// Inputs and effects of membership's reducer (membership/reducer.h), and who a process is at its start.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "membership/codec.h"
+#include "membership/types.h"
+
+namespace edge_proxy::membership {
+
+// ---- Inputs ----
+
+/// A decoded and validated message. `stream`: where a full sync is to be answered; 0 for datagrams.
+struct MessageReceived {
+  Message message;
+  std::uint64_t stream = 0;
+};
+/// Received bytes that are not a message for this proxy, and the address that sent them.
+struct MessageRejected {
+  DecodeError reason = DecodeError::malformed;
+  std::string address;
+};
+/// The time that State::next_due() gave has come.
+struct TimerExpired {};
+struct ShutdownRequested {};
+/// An operator states that a dead member will never return.
+struct ForgetMember {
+  std::string name;
+};
+/// Sends bytes of another subsystem to a registered member, in a datagram if they fit, else over a stream.
+/// They may be lost.
+struct SendUserMessage {
+  std::string to, payload;
+};
+using Input = std::variant<MessageReceived, MessageRejected, TimerExpired, ShutdownRequested, ForgetMember,
+                           SendUserMessage>;
+
+// ---- Effects ----
+
+struct SendDatagram {
+  std::string address;
+  Message message;
+};
+/// Sends over a new stream; an answer on it comes as MessageReceived.
+struct SendFullSync {
+  std::string address;
+  Message message;
+};
+/// Answers on the stream of a received full sync.
+struct FullSyncReply {
+  std::uint64_t stream = 0;
+  Message message;
+};
+struct LogLine {
+  std::string line;
+};
+/// State::persistent_state() has changed and has to be stored.
+struct PersistState {};
+/// A registered member sent bytes to another subsystem of this proxy.
+struct UserMessageReceived {
+  std::string from, payload;
+};
+using Effect =
+    std::variant<SendDatagram, SendFullSync, FullSyncReply, LogLine, PersistState, UserMessageReceived>;
+
+// ---- Start ----
+
+/// Who this process is, as its store has it.
+struct Identity {
+  std::uint64_t disk_id = 0;
+  std::uint64_t incarnation = 1;            ///< greater than any that was used with this disk before
+  bool is_new_disk = true;                  ///< nothing was stored: another member may have had the name
+  std::vector<MemberUpdate> known_members;  ///< the stored State::persistent_state()
+};
+
+}  // namespace edge_proxy::membership
--- /dev/null
+++ b/src/membership/gossip.h
@@ -0,0 +1,43 @@
+// SPDX-License-Identifier: MIT
+/// @file
+/// Periodic dissemination: gossip messages while updates are pending, and pings to suspects so that they can
+/// refute.
+#pragma once
+
+#include "membership/context.h"
+#include "membership/messenger.h"
+#include "membership/probe_order.h"
+#include "membership/suspicion_timers.h"
+
+namespace edge_proxy::membership {
+
+class Gossip {
+ public:
+  Gossip(Context& context, Messenger& messenger, ProbeOrder& probe_order, const SuspicionTimers& suspicions)
+      : context_(context),
+        messenger_(messenger),
+        probe_order_(probe_order),
+        suspicions_(suspicions),
+        next_gossip_(context.now) {}
+
+  /// Sends pending updates and pings suspects if it is time to.
+  void run_timers();
+  /// Sends that this member shuts down, before it stops.
+  void announce_shutdown(const MemberUpdate& update);
+
+  /// The maximum where nothing is pending.
+  [[nodiscard]] Time next_due() const { return has_work() ? next_gossip_ : Time::max(); }
+
+ private:
+  [[nodiscard]] bool has_work() const { return !messenger_.broadcasts().empty() || !suspicions_.empty(); }
+  void send_updates();
+  void ping_suspects();
+
+  Context& context_;
+  Messenger& messenger_;
+  ProbeOrder& probe_order_;
+  const SuspicionTimers& suspicions_;
+  Time next_gossip_;
+};
+
+}  // namespace edge_proxy::membership
--- a/src/membership/settings.h
+++ b/src/membership/settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What the peers' decisions are set by. Defaults and their reasons: docs/membership.md, "Values".
+/// Settings of membership. Defaults and their reasons: docs/membership.md, "Values".
 #pragma once
 
 #include <cstddef>
@@ -14,30 +14,31 @@
 
 struct Settings {
   std::string cluster;
-  std::string name;
-  std::string address;             ///< host:port that the others reach it at
-  std::vector<std::string> seeds;  ///< addresses asked by one that knows nobody
-  /// Where to send what is for an address that members tell of themselves, if it is not that address.
+  std::string name;                ///< of this member
+  std::string address;             ///< host:port at which the other members reach it
+  std::vector<std::string> seeds;  ///< addresses to contact while no other member is known
+  /// Where to send what is meant for an address that a member announced, if not to that address.
   std::map<std::string, std::string> address_overrides;
   int zone = 0;
-  std::size_t max_members = 1024;  ///< names known at once, marks of those that have gone counted apart
-  std::size_t max_datagram_bytes = 1200;  ///< bytes of one at most
+  std::size_t max_members = 1024;         ///< registered members; as many tombstones are kept beside them
+  std::size_t max_datagram_bytes = 1200;  ///< upper bound of one datagram
   Time probe_interval{200'000};
-  Time probe_timeout{80'000};   ///< then others are asked to reach the target
+  Time probe_timeout{80'000};   ///< without an ack by then, other members are asked to ping the target
   int indirect_ping_count = 3;  ///< how many are asked
   Time gossip_interval{100'000};
-  int gossip_fanout = 3;
-  double retransmit_factor = 4;  ///< an item goes out this many times log10(members + 1)
+  int gossip_fanout = 3;         ///< members that get a gossip message at each interval
+  double retransmit_factor = 4;  ///< an update is sent this many times log10(members + 1)
   Time min_suspicion_timeout{800'000};
-  double suspicion_factor = 1.5;  ///< times log10(members), times probe_every; suspicion_least at the least
-  double max_suspicion_multiple = 4;    ///< times the least, with no confirmation
-  int max_confirmations = 2;            ///< independent ones that bring it down to the least
-  int max_health_score = 8;             ///< of itself: probes slow down up to this many times more
-  Time full_sync_interval{30'000'000};  ///< for 32 members; longer in proportion for more
-  Time reconnect_interval{1'000'000};   ///< one that is not reached is asked whether it is back
+  /// The timeout is this many times log10(members) times probe_interval, min_suspicion_timeout at the least.
+  double suspicion_factor = 1.5;
+  double max_suspicion_multiple = 4;    ///< times that timeout, without confirmations
+  int max_confirmations = 2;            ///< independent ones that shorten it to the timeout itself
+  int max_health_score = 8;             ///< each point makes probes slower by one more of their interval
+  Time full_sync_interval{30'000'000};  ///< of up to 32 members; longer in proportion for more
+  Time reconnect_interval{1'000'000};   ///< how often one unreachable member is pinged
   Time quota_lease{60'000'000};         ///< admission/quota_leases.h
-  std::size_t expected_members = 1;     ///< members that a new fleet begins with
-  bool lifeguard = true;                ///< false only to measure what the refinements bring
+  std::size_t expected_members = 1;     ///< initial size of a new cluster
+  bool lifeguard = true;                ///< false: plain SWIM, to measure what Lifeguard's extensions bring
   bool operator==(const Settings&) const = default;
 };
 
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -3,120 +3,152 @@
 
 #include <algorithm>
 #include <array>
+#include <utility>
 
 #include "base/hash.h"
 
 namespace edge_proxy::membership {
 namespace {
 
-std::uint64_t mix(std::uint64_t x) {
-  x += 0x9e3779b97f4a7c15U;
-  x = (x ^ (x >> 30U)) * 0xbf58476d1ce4e5b9U;
-  x = (x ^ (x >> 27U)) * 0x94d049bb133111ebU;
-  return x ^ (x >> 31U);
+/// The finalizer of splitmix64.
+std::uint64_t mix(std::uint64_t value) {
+  value += 0x9e3779b97f4a7c15U;
+  value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9U;
+  value = (value ^ (value >> 27U)) * 0x94d049bb133111ebU;
+  return value ^ (value >> 31U);
 }
 
-std::uint64_t hash_of(const MemberUpdate& news) {
-  const std::uint64_t hash = fnv1a(news.address, fnv1a(news.name));
-  // A suspicion is no disagreement: it is either refuted or becomes a death.
-  const MemberStatus state = news.status == MemberStatus::suspect ? MemberStatus::alive : news.status;
-  return mix(hash ^ mix(news.disk_id ^ mix(news.incarnation ^ mix(static_cast<std::uint64_t>(state)))));
+std::uint64_t hash_of(const MemberUpdate& update) {
+  const std::uint64_t hash = fnv1a(update.address, fnv1a(update.name));
+  // A suspicion is no disagreement: it is either refuted or followed by a death.
+  const MemberStatus status = update.status == MemberStatus::suspect ? MemberStatus::alive : update.status;
+  return mix(hash ^ mix(update.disk_id ^ mix(update.incarnation ^ mix(static_cast<std::uint64_t>(status)))));
+}
+
+bool is_suspicion_of_suspect(const MemberUpdate& update, const MemberUpdate& known) {
+  return update.status == MemberStatus::suspect && known.status == MemberStatus::suspect &&
+         update.disk_id == known.disk_id && precedence_of(update) == precedence_of(known);
+}
+
+bool is_outdated(const MemberUpdate& update, const MemberUpdate& known) {
+  if (precedence_of(update) != precedence_of(known)) return precedence_of(update) < precedence_of(known);
+  // Guards against two processes of one name that arrived at the same incarnation: the greater disk wins here
+  // as at every member, and the other process learns of it from the answers.
+  if (update.disk_id != known.disk_id) return update.disk_id < known.disk_id;
+  return update.status <= known.status;
+}
+
+/// Sets what depends on the status of the member's new update.
+void start_status(Member& member, Time now) {
+  const MemberUpdate& update = member.update;
+  member.suspected_by.clear();
+  if (update.status == MemberStatus::suspect) {
+    member.suspected_since = now;
+    member.suspected_by.insert(update.reported_by);
+  }
 }
 
 }  // namespace
 
-std::string_view name_of(Reachability way) {
-  static constexpr std::array<std::string_view, 5> names{"unknown", "direct", "through", "one_way", "none"};
-  return names[static_cast<std::size_t>(way)];
+std::string_view name_of(Reachability reachability) {
+  static constexpr std::array<std::string_view, 5> kNames{"unknown", "direct", "through", "one_way", "none"};
+  return kNames[static_cast<std::size_t>(reachability)];
 }
 
-std::string_view name_of(PartitionStatus standing) {
-  static constexpr std::array<std::string_view, 4> names{"whole", "part", "alone", "disputed"};
-  return names[static_cast<std::size_t>(standing)];
+std::string_view name_of(PartitionStatus status) {
+  static constexpr std::array<std::string_view, 4> kNames{"whole", "part", "alone", "disputed"};
+  return kNames[static_cast<std::size_t>(status)];
 }
 
 const Member* View::find(const std::string& name) const {
   const auto found = members_.find(name);
   return found == members_.end() ? nullptr : &found->second;
 }
+
 Member* View::find(const std::string& name) {
   const auto found = members_.find(name);
   return found == members_.end() ? nullptr : &found->second;
 }
 
+std::vector<MemberUpdate> View::updates() const {
+  std::vector<MemberUpdate> all;
+  all.reserve(members_.size());
+  for (const auto& [name, member] : members_) all.push_back(member.update);
+  return all;
+}
+
 bool View::has_no_room_for(const std::string& name) const {
   return members_.count(name) == 0 && registered_ >= max_members_;
 }
 
-View::Merged View::merge(const MemberUpdate& news, Time now) {
-  Merged taken;
-  if (has_no_room_for(news.name)) return taken;
-  const auto found = members_.find(news.name);
-  if (found == members_.end()) {
-    Member member;
-    member.update = news;
-    member.status_since = now;
-    if (news.status == MemberStatus::suspect)
-      member.suspected_by.insert(news.reported_by), member.suspected_since = now;
-    add_to_counts(member, 1);
-    members_.emplace(news.name, std::move(member));
-    if (!membership::is_registered(news.status)) add_tombstone(news.name);
-    taken.result = MergeResult::changed;
-    taken.is_new = true;
-    return taken;
-  }
-  Member& member = found->second;
-  const MemberUpdate before = member.update;
-  if (precedence_of(news) < precedence_of(before)) return taken;
-  if (precedence_of(news) == precedence_of(before)) {
-    // Guards against two processes of one name that came to the same number at once: the greater disk stands
-    // here as everywhere, and the other one is told by what comes back.
-    if (news.disk_id != before.disk_id && news.disk_id < before.disk_id) return taken;
-    if (news.disk_id == before.disk_id) {
-      if (news.status == MemberStatus::suspect && before.status == MemberStatus::suspect) {
-        if (news.reported_by.empty() || !member.suspected_by.insert(news.reported_by).second) return taken;
-        taken.result = MergeResult::confirmation;
-        return taken;
-      }
-      if (news.status <= before.status) return taken;
-    }
+View::Merged View::merge(const MemberUpdate& update, Time now) {
+  if (has_no_room_for(update.name)) return {};
+  Member* member = find(update.name);
+  if (member == nullptr) return add(update, now);
+  if (is_suspicion_of_suspect(update, member->update)) {
+    const bool is_new_reporter =
+        !update.reported_by.empty() && member->suspected_by.insert(update.reported_by).second;
+    return {.result = is_new_reporter ? MergeResult::confirmation : MergeResult::outdated};
   }
-  add_to_counts(member, -1);
-  member.update = news;
-  if (news.address != before.address) taken.previous_address = before.address;
-  if (news.disk_id != before.disk_id) taken.replaced = before;
-  if (news.status != before.status || taken.replaced) {
+  if (is_outdated(update, member->update)) return {};
+  return replace(*member, update, now);
+}
+
+View::Merged View::add(const MemberUpdate& update, Time now) {
+  Member member;
+  member.update = update;
+  member.status_since = now;
+  start_status(member, now);
+  include_in_totals(member);
+  members_.emplace(update.name, std::move(member));
+  if (!is_registered(update.status)) add_tombstone(update.name);
+  return {.result = MergeResult::changed, .is_new = true};
+}
+
+View::Merged View::replace(Member& member, const MemberUpdate& update, Time now) {
+  Merged merged{.result = MergeResult::changed};
+  exclude_from_totals(member);
+  const MemberUpdate before = std::exchange(member.update, update);
+  if (update.address != before.address) merged.previous_address = before.address;
+  if (update.disk_id != before.disk_id) merged.replaced = before;
+  if (update.status != before.status || merged.replaced) {
     member.status_since = now;
-    taken.previous_status = before.status;
+    merged.previous_status = before.status;
   }
-  member.suspected_by.clear();
-  if (news.status == MemberStatus::suspect) {
-    member.suspected_since = now;
-    member.suspected_by.insert(news.reported_by);
+  start_status(member, now);
+  if (update.status == MemberStatus::dead) {
+    member.reachability = Reachability::unreachable;
+    member.reachability_since = now;
   }
-  if (news.status == MemberStatus::dead)
-    member.reachability = Reachability::unreachable, member.reachability_since = now;
-  add_to_counts(member, 1);
-  if (!membership::is_registered(news.status) && membership::is_registered(before.status))
-    add_tombstone(news.name);
-  if (membership::is_registered(news.status) && !membership::is_registered(before.status))
-    std::erase(tombstones_, news.name);
-  taken.result = MergeResult::changed;
-  return taken;
-}
-
-void View::add_to_counts(const Member& member, int sign) {
+  include_in_totals(member);
+  const bool was_registered = is_registered(before.status);
+  if (was_registered && !is_registered(update.status)) add_tombstone(update.name);
+  if (!was_registered && is_registered(update.status)) std::erase(tombstones_, update.name);
+  return merged;
+}
+
+// The digest is a sum, so that the order of updates does not matter. Tombstones are kept for a bounded time
+// only, so they stay out of it.
+
+void View::include_in_totals(const Member& member) {
+  ++revision_;
+  if (is_registered(member.update.status)) {
+    ++registered_;
+    digest_ += hash_of(member.update);
+  }
+  if (is_reachable(member.update.status)) ++reachable_;
+}
+
+void View::exclude_from_totals(const Member& member) {
   ++revision_;
-  const auto step = [sign](std::size_t& number) { sign > 0 ? ++number : --number; };
-  if (membership::is_registered(member.update.status)) {
-    step(registered_);
-    // Marks of those that have gone are kept for a bounded time only, so they stay out of the digest.
-    digest_ += sign > 0 ? hash_of(member.update) : ~hash_of(member.update) + 1;
+  if (is_registered(member.update.status)) {
+    --registered_;
+    digest_ -= hash_of(member.update);
   }
-  if (is_reachable(member.update.status)) step(reachable_);
+  if (is_reachable(member.update.status)) --reachable_;
 }
 
-/// Guards the memory against names that come and go for ever: of those that have gone, the newest are kept.
+/// Guards the memory against names that come and go for ever: only the newest tombstones are kept.
 void View::add_tombstone(const std::string& name) {
   tombstones_.push_back(name);
   if (tombstones_.size() <= max_members_) return;
--- a/src/membership/view.h
+++ b/src/membership/view.h
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What one proxy believes of all others: merges news, keeps marks of those that have gone, tells where it
-/// stands. No I/O, no clock.
+/// The member table of one proxy: merges updates, keeps tombstones of former members, and derives on which
+/// side of a partition the proxy is. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
 #include <deque>
-#include <functional>
 #include <optional>
 #include <set>
 #include <string>
@@ -18,80 +17,95 @@
 
 namespace edge_proxy::membership {
 
-/// How this proxy and a member reach each other.
+/// How this proxy reaches a member.
 enum class Reachability : std::uint8_t {
-  unknown,  ///< nothing heard yet
-  direct,
-  indirect,  ///< only by way of others: cut off from each other, and yet no death
-  one_way,   ///< what it sends comes here, but it does not hear from here
+  unknown,   ///< not probed yet
+  direct,    ///< it answers this proxy's pings
+  indirect,  ///< only relayed pings reach it: the link between the two is cut, the member is not dead
+  one_way,   ///< its datagrams arrive here, but pings from here do not reach it
   unreachable
 };
-std::string_view name_of(Reachability way);
+/// As it stands in the log and in the report.
+std::string_view name_of(Reachability reachability);
 
+/// A member with what this proxy observed of it.
 struct Member {
   MemberUpdate update;
-  Time status_since{0};                ///< of its state
-  std::set<std::string> suspected_by;  ///< who suspects it, independently
-  Time suspicion_deadline{0};          ///< of suspect: then it counts as dead
-  Time suspected_since{0};             ///< when that began
+  Time status_since{0};
+  std::set<std::string> suspected_by;  ///< reporters that suspect it, independently of each other
+  Time suspicion_deadline{0};          ///< of a suspect: when it counts as dead
+  Time suspected_since{0};
   Reachability reachability = Reachability::unknown;
-  Time last_heard{0};  ///< its last datagram
   Time reachability_since{0};
+  Time last_heard{0};  ///< when its newest message arrived
 };
 
-/// Where a proxy stands.
+/// On which side of a partition this proxy is.
 enum class PartitionStatus : std::uint8_t {
   majority,  ///< it reaches more than half of the registered members, itself counted
   minority,  ///< it reaches some, but not more than half
   isolated,  ///< others are registered and it reaches none
-  disputed   ///< another process uses its name: it takes no part
+  disputed   ///< another process uses its name: it does not participate
 };
-std::string_view name_of(PartitionStatus standing);
+/// As it stands in the log and in the report.
+std::string_view name_of(PartitionStatus status);
 
 class View {
  public:
-  /// What became of an item of news.
   enum class MergeResult {
-    outdated,     ///< known already, or overtaken
-    changed,      ///< the state or the record changed
-    confirmation  ///< a suspicion that is known, from one more member
+    outdated,     ///< known already, or superseded
+    changed,      ///< the table changed
+    confirmation  ///< a known suspicion, by one more reporter
   };
+  /// What a merge changed.
   struct Merged {
     MergeResult result = MergeResult::outdated;
-    bool is_new = false;                          ///< the name was not known before
-    std::optional<MemberUpdate> replaced;         ///< another member under that name
-    std::optional<MemberStatus> previous_status;  ///< the state before, where it changed
-    std::optional<std::string> previous_address;  ///< the address before
+    bool is_new = false;                            ///< the name was not in the table before
+    std::optional<MemberUpdate> replaced{};         ///< the member with another disk that had the name
+    std::optional<MemberStatus> previous_status{};  ///< set if the status changed or the member was replaced
+    std::optional<std::string> previous_address{};  ///< set if the address changed
   };
 
-  View(std::string self, std::size_t most) : self_(std::move(self)), max_members_(most) {}
+  /// `self`: the name of this member.
+  View(std::string self, std::size_t max_members) : self_(std::move(self)), max_members_(max_members) {}
 
-  /// Takes one item in. Nothing where it is about a name that no room is left for (`full`).
-  Merged merge(const MemberUpdate& news, Time now);
+  /// Ignores an update of a new name while the table is full.
+  Merged merge(const MemberUpdate& update, Time now);
+  /// Whether the name is new and the table holds `max_members` registered members.
   [[nodiscard]] bool has_no_room_for(const std::string& name) const;
 
   [[nodiscard]] const Member* find(const std::string& name) const;
   Member* find(const std::string& name);
+  /// Registered members and tombstones.
   [[nodiscard]] const std::unordered_map<std::string, Member>& members() const { return members_; }
+  /// The whole table as updates, in the order of members().
+  [[nodiscard]] std::vector<MemberUpdate> updates() const;
 
+  /// Number of registered members, this one included.
   [[nodiscard]] std::size_t registered() const { return registered_; }
+  /// Number of reachable members, this one included.
   [[nodiscard]] std::size_t reachable() const { return reachable_; }
   [[nodiscard]] PartitionStatus partition_status() const;
-  /// Alike at two proxies whose views are alike, whatever the order in which they came to them.
+  /// Equal at two members with equal views, whatever the order in which their updates arrived.
   [[nodiscard]] std::uint64_t digest() const { return digest_; }
-  /// Another one where a member came, went or changed.
+  /// Rises whenever a member is added, removed or changed.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
  private:
-  void add_to_counts(const Member& member, int sign);
+  Merged add(const MemberUpdate& update, Time now);
+  Merged replace(Member& member, const MemberUpdate& update, Time now);
+  void include_in_totals(const Member& member);
+  void exclude_from_totals(const Member& member);
   void add_tombstone(const std::string& name);
 
   std::string self_;
   std::size_t max_members_;
   std::unordered_map<std::string, Member> members_;
-  std::deque<std::string> tombstones_;  // marks of those that are not registered any more, oldest first
-  std::size_t registered_ = 0, reachable_ = 0;
-  std::uint64_t digest_ = 0, revision_ = 0;
+  std::deque<std::string> tombstones_;  // names that are no longer registered, oldest first
+  std::size_t registered_ = 0;
+  std::size_t reachable_ = 0;
+  std::uint64_t digest_ = 0;
+  std::uint64_t revision_ = 0;
 };
 
 }  // namespace edge_proxy::membership
