--- a/src/membership/report.h
+++ b/src/membership/report.h
@@ -1,24 +1,24 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What operators are shown of the peers. No I/O.
+/// Membership as operators see it: a JSON report and metrics. No I/O.
 #pragma once
 
+#include <cstdint>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "membership/reducer.h"
 
 namespace edge_proxy::membership {
 
-/// One JSON object: where this proxy stands, and each member. Times are milliseconds before `now`.
-std::string report(const State& state, Time now);
+/// One JSON object with this proxy's own status and each member. Times are milliseconds before `now`.
+[[nodiscard]] std::string report(const State& state, Time now);
 
 struct Metric {
   std::string name;
   std::uint64_t value = 0;
-  bool is_counter = false;  ///< from the start; else what is so now
+  bool is_counter = false;  ///< counts since the start; else a gauge
 };
-std::vector<Metric> metrics(const State& state, Time now);
+[[nodiscard]] std::vector<Metric> metrics(const State& state, Time now);
 
 }  // namespace edge_proxy::membership
