--- a/bench/membership_figures.cpp
+++ b/bench/membership_figures.cpp
@@ -8,48 +8,49 @@
 #include <cstring>
 #include <string>
 
-#include "../tests/peers_world.h"
+#include "support/membership_world.h"
 
 namespace {
 
 using namespace std::chrono_literals;
 using edge_proxy::membership::MemberStatus;
-using edge_proxy::test::PeersWorld;
+using edge_proxy::test::MembershipWorld;
 
-double seconds(PeersWorld::Time span) { return std::chrono::duration<double>(span).count(); }
+double seconds(MembershipWorld::Time span) { return std::chrono::duration<double>(span).count(); }
 
-/// The plain baseline: every member sends all others a word each second and takes one for dead that has sent
-/// none for `silent`. What is measured is computed from draws alone: nothing spreads, each finds out by
-/// itself.
-double heartbeat_known(std::size_t members, double silent, std::mt19937_64& random) {
+/// The baseline: every member sends a heartbeat to all others each second and takes one for dead that has
+/// sent none for `dead_after` seconds. Returns the time, computed from random draws alone, until all know of
+/// a death: nothing spreads, each finds out by itself.
+double heartbeat_detection_time(std::size_t members, double dead_after, std::mt19937_64& random) {
   std::uniform_real_distribution<> phase(0, 1);
-  const double last_word = -phase(random);  // before the death, at 0
+  const double last_heartbeat = -phase(random);  // before the death, at 0
   double known = 0;
   for (std::size_t i = 1; i < members; ++i) {
-    // Looked at once in 0.1 s.
-    const double due = last_word + silent;
+    // Checked each 0.1 s.
+    const double due = last_heartbeat + dead_after;
     known = std::max(known, due + 0.1 * phase(random));
   }
   return known;
 }
 
-void known(std::size_t members, int plays) {
+void known(std::size_t members, int runs) {
   std::vector<double> spans, beats;
   std::mt19937_64 random(11);
-  for (int play = 0; play < plays;) {
-    const auto world = PeersWorld::settled(members, 100 + static_cast<std::uint64_t>(play));
+  for (int run = 0; run < runs;) {
+    const auto world = MembershipWorld::settled(members, 100 + static_cast<std::uint64_t>(run));
     world->logs = false;
     world->run(2s);
     // Some kills in one world, one after another: each starts from a quiet fleet.
-    for (int kill = 0; kill < 10 && play < plays; ++kill, ++play) {
-      const std::size_t whom = (static_cast<std::size_t>(play) * 7 + 3) % members;
-      if (!world->node(whom).state) continue;
+    for (int kill = 0; kill < 10 && run < runs; ++kill, ++run) {
+      const std::size_t member = (static_cast<std::size_t>(run) * 7 + 3) % members;
+      if (!world->node(member).state) continue;
       world->run(std::chrono::milliseconds(random() % 1000));
-      world->kill(whom);
-      const auto took = world->until([&] { return world->all_believe(whom, MemberStatus::dead); }, 60s, 10ms);
+      world->kill(member);
+      const auto took =
+          world->until([&] { return world->all_believe(member, MemberStatus::dead); }, 60s, 10ms);
       spans.push_back(took ? seconds(*took) : 60);
-      beats.push_back(heartbeat_known(members, 3, random));
-      world->start(whom, false);
+      beats.push_back(heartbeat_detection_time(members, 3, random));
+      world->start(member, false);
       world->run(4s);
     }
   }
@@ -68,8 +69,8 @@
 void loss(std::size_t members, int minutes) {
   for (const bool lifeguard : {true, false}) {
     for (const double part : {0.1, 0.25}) {
-      const auto world =
-          PeersWorld::settled(members, 3, [lifeguard](auto& settings) { settings.lifeguard = lifeguard; });
+      const auto world = MembershipWorld::settled(
+          members, 3, [lifeguard](auto& settings) { settings.lifeguard = lifeguard; });
       world->logs = false;
       world->loss = part;
       world->run(std::chrono::minutes(minutes));
@@ -79,7 +80,7 @@
     }
     // Slow ones: a tenth stand still for 1.5 s out of 5 s each.
     const auto world =
-        PeersWorld::settled(members, 4, [lifeguard](auto& settings) { settings.lifeguard = lifeguard; });
+        MembershipWorld::settled(members, 4, [lifeguard](auto& settings) { settings.lifeguard = lifeguard; });
     world->logs = false;
     for (int turn = 0; turn < minutes * 12; ++turn) {
       for (std::size_t i = 0; i < members; i += 10) world->stop(i);
@@ -99,10 +100,10 @@
 }
 
 void traffic(std::size_t members, int spans) {
-  const auto world = PeersWorld::settled(members);
+  const auto world = MembershipWorld::settled(members);
   world->logs = false;
   world->run(5s);
-  world->weigh = true;
+  world->count_bytes = true;
   std::uint64_t messages = 0, bytes = 0;
   for (std::size_t i = 0; i < members; ++i) messages -= world->node(i).messages;
   world->run(std::chrono::seconds(spans));
@@ -121,7 +122,7 @@
 }
 
 void churn(std::size_t members, int minutes) {
-  const auto world = PeersWorld::settled(members);
+  const auto world = MembershipWorld::settled(members);
   world->logs = false;
   world->run(10s);
   const auto entries = [&] {
@@ -134,11 +135,11 @@
   std::mt19937_64 random(5);
   const std::size_t before = entries();
   for (int turn = 0; turn < minutes * 6; ++turn) {
-    const std::size_t whom = random() % members;
-    if (world->node(whom).state) {
-      world->kill(whom);
+    const std::size_t member = random() % members;
+    if (world->node(member).state) {
+      world->kill(member);
     } else {
-      world->start(whom, random() % 3 == 0);
+      world->start(member, random() % 3 == 0);
     }
     world->run(10s);
   }
@@ -153,7 +154,7 @@
 }
 
 void zone(std::size_t members, int seconds_cut) {
-  const auto world = PeersWorld::settled(members);
+  const auto world = MembershipWorld::settled(members);
   world->logs = false;
   world->run(2s);
   world->cut = [members](std::size_t a, std::size_t b) { return (a < members / 3) != (b < members / 3); };
@@ -169,7 +170,7 @@
 }
 
 void third(std::size_t members) {
-  const auto world = PeersWorld::settled(members);
+  const auto world = MembershipWorld::settled(members);
   world->logs = false;
   world->run(2s);
   for (std::size_t i = 0; i < members; i += 3) world->kill(i);
@@ -188,16 +189,16 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-  if (count < 3) {
+int main(int argc, char** argv) {
+  if (argc < 3) {
     std::fprintf(stderr,
                  "usage: %s known|loss|traffic|churn|zone|third MEMBERS [PLAYS, MINUTES or SECONDS]\n",
-                 words[0]);
+                 argv[0]);
     return 2;
   }
-  const std::string what = words[1];
-  const std::size_t members = std::stoul(words[2]);
-  const int size = count > 3 ? std::stoi(words[3]) : 10;
+  const std::string what = argv[1];
+  const std::size_t members = std::stoul(argv[2]);
+  const int size = argc > 3 ? std::stoi(argv[3]) : 10;
   if (what == "known") known(members, size);
   if (what == "loss") loss(members, size);
   if (what == "traffic") traffic(members, size);
--- a/tests/admission/quota_leases_test.cpp
+++ b/tests/admission/quota_leases_test.cpp
@@ -16,8 +16,8 @@
 
 constexpr auto kLease = 6s;
 
-std::unique_ptr<PeersWorld> settled_world(std::size_t count, std::uint64_t seed = 1) {
-  auto world = PeersWorld::settled(count, seed, [count](membership::Settings& settings) {
+std::unique_ptr<MembershipWorld> settled_world(std::size_t count, std::uint64_t seed = 1) {
+  auto world = MembershipWorld::settled(count, seed, [count](membership::Settings& settings) {
     settings.quota_lease = kLease;
     settings.expected_members = count;
     settings.max_members = 64;
@@ -27,7 +27,7 @@
 }
 
 /// The sum of the parts that all processes that run may use now.
-double total_share(PeersWorld& world) {
+double total_share(MembershipWorld& world) {
   double sum = 0;
   for (std::size_t i = 0; i < world.size(); ++i) {
     if (world.node(i).state && !world.node(i).stopped)
@@ -36,7 +36,7 @@
   return sum;
 }
 
-bool all_hold_lease(PeersWorld& world, double part) {
+bool all_hold_lease(MembershipWorld& world, double part) {
   for (std::size_t i = 0; i < world.size(); ++i) {
     if (!world.node(i).state) continue;
     const QuotaLeases::QuotaShare held = world.node(i).state->quota().share(world.local(i));
@@ -164,7 +164,7 @@
   // Node 4 is the new machine under the name n3, alone at first.
   world->cut = [](std::size_t a, std::size_t b) { return a == 4 || b == 4; };
   membership::Settings settings = world->node(3).state->settings();
-  settings.address = PeersWorld::address(4);
+  settings.address = MembershipWorld::address(4);
   world->node(4).state = std::make_unique<membership::State>(
       settings, membership::Identity{99, std::uint64_t{9} << membership::kRefutationBits, true, {}}, 7,
       world->local(4));
@@ -256,7 +256,7 @@
           break;
         case 6:
           if (world->node(by).state && !world->node(by).stopped)
-            world->feed(by, membership::ForgetMember{PeersWorld::name(whom)});
+            world->feed(by, membership::ForgetMember{MembershipWorld::name(whom)});
           story += std::to_string(by) + " forgets " + std::to_string(whom) + "\n";
           break;
         case 7:
--- a/tests/golden/membership_golden_test.cpp
+++ b/tests/golden/membership_golden_test.cpp
@@ -27,7 +27,7 @@
  public:
   MembershipPlay(const std::string& record_name, std::size_t count, std::uint64_t seed)
       : record_(record_name), random_(seed) {
-    world_ = PeersWorld::settled(count, seed, [count](membership::Settings& settings) {
+    world_ = MembershipWorld::settled(count, seed, [count](membership::Settings& settings) {
       settings.quota_lease = 6s;
       settings.expected_members = count;
       settings.max_members = 12;
@@ -37,7 +37,7 @@
     world_->drift = 0.004;
     world_->observer = [this](std::size_t i, membership::Time now, const membership::Input& input,
                               const std::vector<membership::Effect>& effects) {
-      golden::add_step(record_, PeersWorld::name(i), now, input, effects, *world_->node(i).state);
+      golden::add_step(record_, MembershipWorld::name(i), now, input, effects, *world_->node(i).state);
     };
   }
 
@@ -90,7 +90,7 @@
         world_->kill(whom);
         break;
       case 8:
-        if (runs(by)) world_->feed(by, membership::ForgetMember{PeersWorld::name(whom)});
+        if (runs(by)) world_->feed(by, membership::ForgetMember{MembershipWorld::name(whom)});
         break;
       case 9:
         if (runs(whom)) world_->stop(whom);
@@ -104,8 +104,8 @@
         }
     }
     if (runs(by)) {
-      world_->feed(by,
-                   membership::SendUserMessage{PeersWorld::name(whom), std::string(random_() % 1500, 'x')});
+      world_->feed(
+          by, membership::SendUserMessage{MembershipWorld::name(whom), std::string(random_() % 1500, 'x')});
       world_->feed(by, membership::MessageRejected{
                            static_cast<membership::DecodeError>(random_() % membership::kDecodeErrorCount),
                            "10.9.9.9:1"});
@@ -116,7 +116,7 @@
   void dispute_name(std::size_t whose, std::size_t place) {
     if (whose == place || !world_->node(whose).state) return;
     membership::Settings settings = world_->node(whose).state->settings();
-    settings.address = PeersWorld::address(place);
+    settings.address = MembershipWorld::address(place);
     world_->kill(place);
     world_->node(place).stopped = false;
     world_->node(place).state = std::make_unique<membership::State>(
@@ -130,7 +130,7 @@
       if (!world_->node(i).state) continue;
       const membership::State& state = *world_->node(i).state;
       const membership::Time now = world_->local(i);
-      record_.add(PeersWorld::name(i) + " " + golden::state_of(state.quota(), now));
+      record_.add(MembershipWorld::name(i) + " " + golden::state_of(state.quota(), now));
       record_.add("  report=" + golden::quoted(membership::report(state, now)));
       TraceLine figures("  figures");
       for (const membership::Metric& figure : membership::metrics(state, now))
@@ -141,7 +141,7 @@
 
   GoldenRecord record_;
   std::mt19937_64 random_;
-  std::unique_ptr<PeersWorld> world_;
+  std::unique_ptr<MembershipWorld> world_;
 };
 
 TEST(MembershipGolden, DrawnPlaySeed1OfFiveMembers) { MembershipPlay("membership_play_1", 5, 1).play(18); }
@@ -152,11 +152,11 @@
 /// New members that know the seeds alone, all of them at first unknown to each other.
 TEST(MembershipGolden, NewMembersFindEachOther) {
   GoldenRecord record("membership_join");
-  PeersWorld world(6, 5);
+  MembershipWorld world(6, 5);
   world.loss = 0.05;
   world.observer = [&](std::size_t i, membership::Time now, const membership::Input& input,
                        const std::vector<membership::Effect>& effects) {
-    golden::add_step(record, PeersWorld::name(i), now, input, effects, *world.node(i).state);
+    golden::add_step(record, MembershipWorld::name(i), now, input, effects, *world.node(i).state);
   };
   world.run(3s);
   record.check();
@@ -165,14 +165,14 @@
 /// Within the newest two lives, so that not all is old after a while.
 membership::MemberUpdate drawn_update(std::mt19937_64& random, std::uint64_t newest_life = 3) {
   membership::MemberUpdate update;
-  update.name = PeersWorld::name(random() % 12);
-  update.address = PeersWorld::address(random() % 9);
+  update.name = MembershipWorld::name(random() % 12);
+  update.address = MembershipWorld::address(random() % 9);
   update.disk_id = 1 + random() % 2;
   update.incarnation = ((newest_life - random() % 2) << membership::kRefutationBits) + random() % 3;
   update.zone = static_cast<int>(random() % 2);
   update.status = static_cast<MemberStatus>(random() % membership::kMemberStatusCount);
   if (update.status == MemberStatus::suspect || update.status == MemberStatus::dead)
-    update.reported_by = PeersWorld::name(random() % 3);
+    update.reported_by = MembershipWorld::name(random() % 3);
   return update;
 }
 
--- a/tests/membership/codec_test.cpp
+++ b/tests/membership/codec_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Peers' messages to bytes and back: what is not one costs only itself.
+// Encoding of membership messages, and the validation of what is received.
 #include "membership/codec.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 using namespace membership;
 
-Message some_message() {
+Message example_message() {
   Message m;
   m.kind = MessageKind::ping_req;
   m.sequence = 77;
@@ -25,15 +25,16 @@
   return m;
 }
 
-DecodeError refusal_of(std::string_view bytes, const std::string& cluster = "c", std::size_t most = 1200) {
+DecodeError decode_error_of(std::string_view bytes, const std::string& cluster = "c",
+                            std::size_t most = 1200) {
   const auto decoded = decode(bytes, cluster, most);
   EXPECT_TRUE(std::holds_alternative<DecodeError>(decoded));
   return std::holds_alternative<DecodeError>(decoded) ? std::get<DecodeError>(decoded)
                                                       : DecodeError::malformed;
 }
 
-TEST(PeersWire, AMessageComesBackAsItWas) {
-  const Message m = some_message();
+TEST(MembershipCodec, AMessageComesBackAsItWas) {
+  const Message m = example_message();
   const auto decoded = decode(encode(m, "c"), "c", 1200);
   ASSERT_TRUE(std::holds_alternative<Message>(decoded));
   const auto& back = std::get<Message>(decoded);
@@ -47,8 +48,8 @@
             std::tie(m.digest, m.target, m.target_address, m.counted_disk, m.member_names_hash, m.confirmed));
 }
 
-TEST(PeersWire, NoFlippedBitAndNoTornMessageIsTakenForOne) {
-  const std::string bytes = encode(some_message(), "c");
+TEST(MembershipCodec, NoFlippedBitAndNoTornMessageIsTakenForOne) {
+  const std::string bytes = encode(example_message(), "c");
   for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
     std::string flipped = bytes;
     flipped[bit / 8] = static_cast<char>(flipped[bit / 8] ^ (1 << (bit % 8)));
@@ -60,21 +61,21 @@
         << size;
 }
 
-TEST(PeersWire, StrangersAreRefusedByReason) {
-  const std::string bytes = encode(some_message(), "c");
-  EXPECT_EQ(refusal_of(bytes, "another"), DecodeError::wrong_cluster);
-  EXPECT_EQ(refusal_of(bytes, "c", bytes.size() - 1), DecodeError::oversized);
-  EXPECT_EQ(refusal_of("GET / HTTP/1.1"), DecodeError::malformed);
+TEST(MembershipCodec, StrangersAreRefusedByReason) {
+  const std::string bytes = encode(example_message(), "c");
+  EXPECT_EQ(decode_error_of(bytes, "another"), DecodeError::wrong_cluster);
+  EXPECT_EQ(decode_error_of(bytes, "c", bytes.size() - 1), DecodeError::oversized);
+  EXPECT_EQ(decode_error_of("GET / HTTP/1.1"), DecodeError::malformed);
   std::string next = bytes;
   next[1] = 2;  // the version: the first field
-  EXPECT_EQ(refusal_of(next), DecodeError::wrong_version);
+  EXPECT_EQ(decode_error_of(next), DecodeError::wrong_version);
 }
 
-TEST(PeersWire, EveryFieldIsChecked) {
+TEST(MembershipCodec, EveryFieldIsChecked) {
   const auto refused = [](auto&& edit) {
-    Message m = some_message();
+    Message m = example_message();
     edit(m);
-    return refusal_of(encode(m, "c")) == DecodeError::invalid_field;
+    return decode_error_of(encode(m, "c")) == DecodeError::invalid_field;
   };
   EXPECT_TRUE(refused([](Message& m) { m.from.name = "a b"; }));
   EXPECT_TRUE(refused([](Message& m) { m.from.name = std::string(kMaxNameBytes + 1, 'a'); }));
@@ -90,8 +91,8 @@
   EXPECT_TRUE(refused([](Message& m) { m.kind = static_cast<MessageKind>(kMessageKindCount); }));
 }
 
-TEST(PeersWire, SizesAreReckonedNoSmallerThanTheyAre) {
-  Message m = some_message();
+TEST(MembershipCodec, SizesAreReckonedNoSmallerThanTheyAre) {
+  Message m = example_message();
   const std::size_t with = encode(m, "c").size();
   EXPECT_LE(with, header_size(m, "c") + encoded_size(m.updates[0]));
 }
--- a/tests/membership/reducer_test.cpp
+++ b/tests/membership/reducer_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Membership in virtual time: the reducers of many members and what lies between them.
+// Membership in virtual time: the reducers of many members on a simulated network.
 #include <gtest/gtest.h>
 
 #include "support/membership_world.h"
@@ -11,22 +11,22 @@
 using membership::PartitionStatus;
 using membership::Reachability;
 
-std::string logs_of(PeersWorld& world) {
+std::string logs_of(MembershipWorld& world) {
   std::string all;
   for (std::size_t i = 0; i < std::min<std::size_t>(world.size(), 8); ++i)
-    all += "-- " + PeersWorld::name(i) + "\n" + world.node(i).log;
+    all += "-- " + MembershipWorld::name(i) + "\n" + world.node(i).log;
   return all;
 }
 
-TEST(Peers, FiveThatKnowOneSeedFindEachOther) {
-  PeersWorld world(5);
+TEST(Membership, FiveThatKnowOneSeedFindEachOther) {
+  MembershipWorld world(5);
   EXPECT_TRUE(world.until([&] { return world.agreed() && world.node(4).state->view().reachable() == 5; }, 5s))
       << logs_of(world);
   EXPECT_EQ(world.node(3).state->view().partition_status(), PartitionStatus::majority);
 }
 
-TEST(Peers, AKilledOneIsKnownToAllAndStaysRegistered) {
-  const auto world = PeersWorld::settled(5);
+TEST(Membership, AKilledOneIsKnownToAllAndStaysRegistered) {
+  const auto world = MembershipWorld::settled(5);
   world->run(2s);
   world->kill(2);
   EXPECT_TRUE(world->until([&] { return world->all_believe(2, MemberStatus::dead); }, 5s)) << logs_of(*world);
@@ -38,14 +38,14 @@
   EXPECT_EQ(world->seen(0, 2)->update.disk_id, 3U) << "the same disk: the same member";
 }
 
-TEST(Peers, ARefutationThatMissesOneMemberIsAskedFor) {
+TEST(Membership, ARefutationThatMissesOneMemberIsAskedFor) {
   // Found at 300 members and 10% loss: each wrong declaration came from one member that had heard of the
   // suspicion and that the refutation had missed, while the 299 others held the suspect for alive.
-  const auto world = PeersWorld::settled(100);
+  const auto world = MembershipWorld::settled(100);
   world->run(2s);
   membership::MemberUpdate suspicion = world->node(1).state->self();
   suspicion.status = MemberStatus::suspect;
-  suspicion.reported_by = PeersWorld::name(2);
+  suspicion.reported_by = MembershipWorld::name(2);
   membership::Message told;
   told.kind = membership::MessageKind::gossip;
   told.from = world->node(2).state->self();
@@ -53,10 +53,10 @@
   told.updates = {suspicion};
   world->feed(0, membership::MessageReceived{told, 0});
   // From now on node 0 hears of node 1 only what node 1 answers it.
-  world->passes = [&](std::size_t from, std::size_t to, membership::Message& message) {
+  world->filter = [&](std::size_t from, std::size_t to, membership::Message& message) {
     if (to != 0) return true;
     std::erase_if(message.updates,
-                  [](const membership::MemberUpdate& news) { return news.name == PeersWorld::name(1); });
+                  [](const membership::MemberUpdate& news) { return news.name == MembershipWorld::name(1); });
     return from != 1 || message.kind == membership::MessageKind::ack;
   };
   world->run(3s);
@@ -65,19 +65,19 @@
   EXPECT_EQ(world->deaths_declared(), 0U) << logs_of(*world);
 }
 
-TEST(Peers, ASuspectThatIsAskedOnceMoreAndIsDeadCountsAsDeadInTime) {
+TEST(Membership, ASuspectThatIsAskedOnceMoreAndIsDeadCountsAsDeadInTime) {
   // Asking once more delays nothing, and costs each member a bounded number of messages.
-  const auto world = PeersWorld::settled(60);
+  const auto world = MembershipWorld::settled(60);
   world->run(2s);
   world->kill(7);
   const auto took = world->until([&] { return world->all_believe(7, MemberStatus::dead); }, 5s, 10ms);
   ASSERT_TRUE(took) << logs_of(*world);
   EXPECT_LE(*took, 3s);
-  EXPECT_LE(world->to_nobody, 59U * 20U) << "messages to the dead one";
+  EXPECT_LE(world->undeliverable, 59U * 20U) << "messages to the dead one";
 }
 
-TEST(Peers, OneThatComesBackWithAnEmptyDiskIsAnotherMember) {
-  const auto world = PeersWorld::settled(4);
+TEST(Membership, OneThatComesBackWithAnEmptyDiskIsAnotherMember) {
+  const auto world = MembershipWorld::settled(4);
   world->run(2s);
   world->kill(1);
   world->run(1s);  // before its death is known: only the others can tell it what it is to be above
@@ -93,14 +93,14 @@
   EXPECT_NE(world->node(0).log.find("peer replaced name=n1"), std::string::npos) << logs_of(*world);
 }
 
-TEST(Peers, ASecondProcessOfOneNameIsToldAndSoIsTheFirst) {
-  auto world = PeersWorld::settled(5);
+TEST(Membership, ASecondProcessOfOneNameIsToldAndSoIsTheFirst) {
+  auto world = MembershipWorld::settled(5);
   world->run(10s);
   // Node 4 starts again as another process under the name n1, on a disk of its own.
   world->kill(4);
   world->run(4s);
   membership::Settings settings = world->node(1).state->settings();
-  settings.address = PeersWorld::address(4);
+  settings.address = MembershipWorld::address(4);
   world->node(4).state = std::make_unique<membership::State>(
       settings, membership::Identity{99, 1U << 20U, true, {}}, 7, world->now());
   world->feed(4, membership::TimerExpired{});
@@ -122,8 +122,8 @@
       << logs_of(*world);
 }
 
-TEST(Peers, ACutIsSeenOnBothSidesAndHealsByItself) {
-  const auto world = PeersWorld::settled(5);
+TEST(Membership, ACutIsSeenOnBothSidesAndHealsByItself) {
+  const auto world = MembershipWorld::settled(5);
   world->run(2s);
   world->cut = [](std::size_t a, std::size_t b) { return (a < 2) != (b < 2); };
   EXPECT_TRUE(world->until(
@@ -140,8 +140,8 @@
       << logs_of(*world);
 }
 
-TEST(Peers, AnEvenSplitIsWholeNowhere) {
-  const auto world = PeersWorld::settled(4);
+TEST(Membership, AnEvenSplitIsWholeNowhere) {
+  const auto world = MembershipWorld::settled(4);
   world->run(2s);
   world->cut = [](std::size_t a, std::size_t b) { return (a < 2) != (b < 2); };
   world->run(6s);
@@ -149,8 +149,8 @@
     EXPECT_EQ(world->node(i).state->view().partition_status(), PartitionStatus::minority) << i;
 }
 
-TEST(Peers, AOneWayCutAndABridgeAreToldFromADeath) {
-  const auto world = PeersWorld::settled(5);
+TEST(Membership, AOneWayCutAndABridgeAreToldFromADeath) {
+  const auto world = MembershipWorld::settled(5);
   world->run(4s);
   world->cut = [](std::size_t a, std::size_t b) { return a == 0 && b == 1; };
   EXPECT_TRUE(world->until(
@@ -171,8 +171,8 @@
   EXPECT_EQ(world->seen(1, 0)->reachability, Reachability::indirect);
 }
 
-TEST(Peers, OneThatStoodStillDoubtsItselfAndKillsNobody) {
-  const auto world = PeersWorld::settled(5);
+TEST(Membership, OneThatStoodStillDoubtsItselfAndKillsNobody) {
+  const auto world = MembershipWorld::settled(5);
   world->run(2s);
   world->stop(3);
   world->run(5s);
@@ -189,16 +189,16 @@
   EXPECT_EQ(world->node(3).state->counters().suspected, 0U) << logs_of(*world);
 }
 
-TEST(Peers, OneThatLeavesInOrderIsNotRegisteredAnyMore) {
-  const auto world = PeersWorld::settled(5);
+TEST(Membership, OneThatLeavesInOrderIsNotRegisteredAnyMore) {
+  const auto world = MembershipWorld::settled(5);
   world->run(2s);
   world->feed(2, membership::ShutdownRequested{});
   EXPECT_TRUE(world->until([&] { return world->all_believe(2, MemberStatus::left); }, 1s)) << logs_of(*world);
   EXPECT_EQ(world->node(0).state->view().registered(), 4U);
 }
 
-TEST(Peers, AnOperatorsWordForgetsADeadOneAndNoOther) {
-  const auto world = PeersWorld::settled(4);
+TEST(Membership, AnOperatorsWordForgetsADeadOneAndNoOther) {
+  const auto world = MembershipWorld::settled(4);
   world->run(2s);
   world->feed(0, membership::ForgetMember{"n3"});
   EXPECT_TRUE(world->believes(0, 3, MemberStatus::alive)) << "it lives";
@@ -210,18 +210,18 @@
   EXPECT_EQ(world->node(1).state->view().registered(), 3U);
 }
 
-TEST(Peers, ATenthAndAQuarterOfDatagramsLostKillNobody) {
+TEST(Membership, ATenthAndAQuarterOfDatagramsLostKillNobody) {
   for (const double loss : {0.1, 0.25}) {
-    const auto world = PeersWorld::settled(20, 5);
+    const auto world = MembershipWorld::settled(20, 5);
     world->loss = loss;
     world->run(60s);
     EXPECT_EQ(world->deaths_declared(), 0U) << loss << logs_of(*world);
   }
 }
 
-TEST(Peers, ManyLearnOfAThirdOfThemKilledAtOnce) {  // 1,000 of them: bench/peers_figures
+TEST(Membership, ManyLearnOfAThirdOfThemKilledAtOnce) {  // 1,000 of them: bench/membership_figures
   constexpr std::size_t kMembers = 150;
-  const auto world = PeersWorld::settled(kMembers);
+  const auto world = MembershipWorld::settled(kMembers);
   world->logs = false;
   world->run(1s);
   for (std::size_t i = 0; i < kMembers; i += 3) world->kill(i);
--- a/tests/support/membership_world.h
+++ b/tests/support/membership_world.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Many members' reducers in virtual time, with what lies between them: delay, loss, cuts, standstills.
+/// The reducers of many members in virtual time, on a network with delays, loss and partitions; processes can
+/// be killed, stopped and started again.
 #pragma once
 
 #include <functional>
@@ -18,38 +19,39 @@
 
 using namespace std::chrono_literals;
 
-class PeersWorld {
+class MembershipWorld {
  public:
   using Time = membership::Time;
   struct Node {
     std::unique_ptr<membership::State> state;  // none: the process does not run
-    std::uint64_t disk = 0, life = 0;
-    std::vector<membership::MemberUpdate> kept;
-    bool stopped = false;  // SIGSTOP: what comes waits
-    std::vector<membership::Input> waiting;
+    std::uint64_t disk = 0;
+    std::uint64_t epoch = 0;                       // number of starts
+    std::vector<membership::MemberUpdate> stored;  // persistent state at the last kill
+    bool stopped = false;                          // as by SIGSTOP: inputs wait
+    std::vector<membership::Input> waiting_inputs;
     std::string log;
     std::uint64_t bytes = 0, messages = 0;  // sent
-    Time armed{-1};
-    double pace = 1;  // of its clock
+    Time timer_at{-1};                      // of the newest timer event; -1: none
+    double clock_rate = 1;
   };
 
-  explicit PeersWorld(std::size_t count, std::uint64_t seed = 1,
-                      std::function<void(membership::Settings&)> edit = {})
+  explicit MembershipWorld(std::size_t count, std::uint64_t seed = 1,
+                           std::function<void(membership::Settings&)> edit = {})
       : edit_(std::move(edit)), random_(seed) {
     nodes_.resize(count);
     for (std::size_t i = 0; i < count; ++i) start(i, true);
   }
   /// All know all from the start, as after a quiet minute.
-  static std::unique_ptr<PeersWorld> settled(std::size_t count, std::uint64_t seed = 1,
-                                             std::function<void(membership::Settings&)> edit = {}) {
-    auto world = std::make_unique<PeersWorld>(0, seed, std::move(edit));
+  static std::unique_ptr<MembershipWorld> settled(std::size_t count, std::uint64_t seed = 1,
+                                                  std::function<void(membership::Settings&)> edit = {}) {
+    auto world = std::make_unique<MembershipWorld>(0, seed, std::move(edit));
     world->nodes_.resize(count);
     std::vector<membership::MemberUpdate> all;
     for (std::size_t i = 0; i < count; ++i)
       all.push_back({name(i), address(i), i + 1, 1U << 20U, 0, membership::MemberStatus::alive, {}});
     for (std::size_t i = 0; i < count; ++i) {
       world->nodes_[i].disk = i + 1;
-      world->nodes_[i].kept = all;
+      world->nodes_[i].stored = all;
       world->start(i, false);
     }
     return world;
@@ -64,10 +66,10 @@
     Node& node = nodes_[i];
     if (empty_disk) {
       node.disk = random_() | 1U;
-      node.kept.clear();
-      node.life = 0;
+      node.stored.clear();
+      node.epoch = 0;
     }
-    ++node.life;
+    ++node.epoch;
     membership::Settings settings;
     settings.cluster = "test";
     settings.name = name(i);
@@ -76,13 +78,13 @@
       settings.seeds.push_back(address(s));
     if (edit_) edit_(settings);
     node.state = std::make_unique<membership::State>(
-        std::move(settings), membership::Identity{node.disk, node.life << 20U, empty_disk, node.kept},
+        std::move(settings), membership::Identity{node.disk, node.epoch << 20U, empty_disk, node.stored},
         random_(), now_);
     node.stopped = false;
     feed(i, membership::TimerExpired{});
   }
   void kill(std::size_t i) {
-    if (nodes_[i].state) nodes_[i].kept = nodes_[i].state->persistent_state();
+    if (nodes_[i].state) nodes_[i].stored = nodes_[i].state->persistent_state();
     nodes_[i].state.reset();
   }
   void stop(std::size_t i) { nodes_[i].stopped = true; }
@@ -90,12 +92,13 @@
     Node& node = nodes_[i];
     node.stopped = false;
     feed(i, membership::TimerExpired{});
-    for (membership::Input& input : std::exchange(node.waiting, {})) feed(i, input);
+    for (membership::Input& input : std::exchange(node.waiting_inputs, {})) feed(i, input);
   }
 
   void run(Time span) {
-    if (drift > 0 && now_ == kBegan) {
-      for (Node& node : nodes_) node.pace = std::uniform_real_distribution<>(1 - drift, 1 + drift)(random_);
+    if (drift > 0 && now_ == kStart) {
+      for (Node& node : nodes_)
+        node.clock_rate = std::uniform_real_distribution<>(1 - drift, 1 + drift)(random_);
     }
     const Time end = now_ + span;
     while (!events_.empty() && events_.top().at <= end) {
@@ -105,11 +108,11 @@
       Node& node = nodes_[event.node];
       if (!node.state) continue;
       if (!event.input) {
-        if (event.at != node.armed) continue;  // armed anew meanwhile
-        node.armed = Time{-1};
+        if (event.at != node.timer_at) continue;  // a newer timer replaced it
+        node.timer_at = Time{-1};
         if (!node.stopped) feed(event.node, membership::TimerExpired{});
       } else if (node.stopped) {
-        if (node.waiting.size() < 200) node.waiting.push_back(std::move(*event.input));
+        if (node.waiting_inputs.size() < 200) node.waiting_inputs.push_back(std::move(*event.input));
       } else {
         feed(event.node, *event.input);
       }
@@ -117,8 +120,8 @@
     now_ = end;
   }
   template <typename Done>
-  std::optional<Time> until(Done&& done, Time most, Time step = 20ms) {
-    return run_until(*this, done, most, step);
+  std::optional<Time> until(Done&& done, Time timeout, Time step = 20ms) {
+    return run_until(*this, done, timeout, step);
   }
 
   void feed(std::size_t i, const membership::Input& input) {
@@ -138,30 +141,31 @@
     }
     const Time due = node.state->next_due();
     if (due == Time::max()) return;
-    const double ahead = static_cast<double>((due - kBegan).count()) / node.pace;
-    const Time wanted = std::max(kBegan + Time{static_cast<Time::rep>(ahead) + 1}, now_);
-    if (wanted != node.armed) {
-      node.armed = wanted;
-      events_.push({node.armed, order_++, i, std::nullopt});
+    const double ahead = static_cast<double>((due - kStart).count()) / node.clock_rate;
+    const Time wanted = std::max(kStart + Time{static_cast<Time::rep>(ahead) + 1}, now_);
+    if (wanted != node.timer_at) {
+      node.timer_at = wanted;
+      events_.push({node.timer_at, order_++, i, std::nullopt});
     }
   }
 
-  /// What that member's own clock shows.
+  /// The time by that member's own clock.
   [[nodiscard]] Time local(std::size_t i) const {
-    return kBegan +
-           Time{static_cast<Time::rep>(static_cast<double>((now_ - kBegan).count()) * nodes_[i].pace)};
+    return kStart +
+           Time{static_cast<Time::rep>(static_cast<double>((now_ - kStart).count()) * nodes_[i].clock_rate)};
   }
-  [[nodiscard]] const membership::Member* seen(std::size_t by, std::size_t whom) const {
-    return nodes_[by].state->view().find(name(whom));
+  [[nodiscard]] const membership::Member* seen(std::size_t observer_node, std::size_t member) const {
+    return nodes_[observer_node].state->view().find(name(member));
   }
-  [[nodiscard]] bool believes(std::size_t by, std::size_t whom, membership::MemberStatus state) const {
-    const membership::Member* member = seen(by, whom);
-    return member != nullptr && member->update.status == state;
+  [[nodiscard]] bool believes(std::size_t observer_node, std::size_t member,
+                              membership::MemberStatus status) const {
+    const membership::Member* found = seen(observer_node, member);
+    return found != nullptr && found->update.status == status;
   }
-  /// Whether all that run, and are not stopped, believe this of that one.
-  [[nodiscard]] bool all_believe(std::size_t whom, membership::MemberStatus state) const {
+  /// Whether all members that run, and are not stopped, have that status for it.
+  [[nodiscard]] bool all_believe(std::size_t member, membership::MemberStatus status) const {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      if (i != whom && nodes_[i].state && !nodes_[i].stopped && !believes(i, whom, state)) return false;
+      if (i != member && nodes_[i].state && !nodes_[i].stopped && !believes(i, member, status)) return false;
     }
     return true;
   }
@@ -174,7 +178,7 @@
     }
     return true;
   }
-  /// Members that run and that somebody believes dead.
+  /// Number of members that run and that some other one holds for dead.
   [[nodiscard]] std::size_t wrongly_dead() const {
     std::size_t wrong = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
@@ -199,14 +203,14 @@
   [[nodiscard]] Time now() const { return now_; }
 
   double loss = 0;
-  double drift = 0;  ///< clocks go this much faster or slower, at most; set before any time has passed
+  double drift = 0;  ///< upper bound of the clocks' relative error; to be set before the first run()
   bool logs = true;
-  std::uint64_t to_nobody = 0;                               ///< messages to members that do not run
-  bool weigh = false;                                        ///< counts bytes as they are on the wire
-  std::function<bool(std::size_t, std::size_t)> cut;         ///< from, to
-  std::function<Time(std::size_t, std::size_t)> more_delay;  ///< from, to
-  /// From, to and what is said, which it may change; false: that message is lost.
-  std::function<bool(std::size_t, std::size_t, membership::Message&)> passes;
+  std::uint64_t undeliverable = 0;                            ///< messages to members that do not run
+  bool count_bytes = false;                                   ///< counts bytes as they are on the wire
+  std::function<bool(std::size_t, std::size_t)> cut;          ///< from, to
+  std::function<Time(std::size_t, std::size_t)> extra_delay;  ///< from, to
+  /// From, to and the message, which it may change; false: the message is lost.
+  std::function<bool(std::size_t, std::size_t, membership::Message&)> filter;
   /// Sees each input of a node, at that time of its clock, and the effects before they are carried out.
   std::function<void(std::size_t, Time, const membership::Input&, const std::vector<membership::Effect>&)>
       observer;
@@ -223,17 +227,17 @@
   void transmit(std::size_t from, const std::string& to, membership::Message message, bool stream) {
     Node& sender = nodes_[from];
     ++sender.messages;
-    if (weigh) sender.bytes += membership::encode(message, "test").size() + 28;  // with IP and UDP
+    if (count_bytes) sender.bytes += membership::encode(message, "test").size() + 28;  // with IP and UDP
     const std::size_t target = index(to);
     if (target >= nodes_.size() || !nodes_[target].state) {
-      ++to_nobody;
+      ++undeliverable;
       return;
     }
     if (cut && (cut(from, target) || (stream && cut(target, from)))) return;
-    if (passes && !passes(from, target, message)) return;
+    if (filter && !filter(from, target, message)) return;
     if (!stream && loss > 0 && std::uniform_real_distribution<>(0, 1)(random_) < loss) return;
     Time delay{std::uniform_int_distribution<int>(300, 3000)(random_)};
-    if (more_delay) delay += more_delay(from, target);
+    if (extra_delay) delay += extra_delay(from, target);
     membership::MessageReceived heard{std::move(message), stream ? from + 1 : 0};
     events_.push({now_ + delay, order_++, target, std::move(heard)});
   }
@@ -246,8 +250,8 @@
 
   std::function<void(membership::Settings&)> edit_;
   std::mt19937_64 random_;
-  static constexpr Time kBegan{1h};
-  Time now_ = kBegan;
+  static constexpr Time kStart{1h};
+  Time now_ = kStart;
   std::vector<Node> nodes_;
   std::priority_queue<Event> events_;
   std::uint64_t order_ = 0;
