--- a/src/event_loop/consensus_thread.cpp
+++ b/src/event_loop/consensus_thread.cpp
@@ -1,8 +1,6 @@
 // SPDX-License-Identifier: MIT
 #include "event_loop/consensus_thread.h"
 
-#include <glib.h>
-
 #include <charconv>
 #include <chrono>
 #include <cstring>
@@ -10,6 +8,8 @@
 #include <random>
 #include <utility>
 
+#include "event_loop/glib_source.h"
+
 namespace edge_proxy::event_loop {
 namespace {
 
@@ -54,26 +54,10 @@
 }
 
 void ConsensusThread::deliver(proxy::ConsensusOutput out) {
-  struct Parcel {
-    std::shared_ptr<ConsensusThread*> to;
-    proxy::ConsensusOutput out;
-  };
-  auto* parcel = new Parcel{is_alive_, std::move(out)};
-  // Always by a source of the loop's. Guards against GLib's own call for this, which runs it on this thread
-  // as long as the main loop has not begun: two threads in one reducer (seen as a crash at the start of 3 of
-  // 25 fleets).
-  GSource* source = g_idle_source_new();
-  g_source_set_priority(source, G_PRIORITY_DEFAULT);
-  g_source_set_callback(
-      source,
-      [](gpointer data) -> gboolean {
-        auto* p = static_cast<Parcel*>(data);
-        if (*p->to != nullptr) (*p->to)->on_output_(std::move(p->out));
-        return G_SOURCE_REMOVE;
-      },
-      parcel, [](gpointer data) { delete static_cast<Parcel*>(data); });
-  g_source_attach(source, nullptr);
-  g_source_unref(source);
+  // Guards against two threads in one reducer (seen as a crash at the start of 3 of 25 clusters).
+  post_to_main_loop([owner = is_alive_, out = std::move(out)]() mutable {
+    if (*owner != nullptr) (*owner)->on_output_(std::move(out));
+  });
 }
 
 void ConsensusThread::perform(const proxy::ConsensusEffect& effect) {
--- a/src/event_loop/membership_sockets.cpp
+++ b/src/event_loop/membership_sockets.cpp
@@ -11,8 +11,10 @@
 namespace {
 
 constexpr int kDatagramsAtOnce = 32;  // before the other sockets have their turn
-constexpr guint kTryEveryMs = 100;    // to start, while another process still has the folder or the address
-constexpr guint kStreamWithinMs = 3000;
+/// Of the start, while another process still has the folder or the address.
+constexpr std::chrono::milliseconds kStartRetryInterval{100};
+/// From the begin of a stream to its end.
+constexpr std::chrono::milliseconds kStreamTimeout{3000};
 constexpr std::size_t kBytesOfMember = 320;  // in a whole exchange, at most
 constexpr std::size_t kReadAtOnce = 64 * 1024;
 
@@ -25,33 +27,11 @@
   return text;
 }
 
-template <auto Call, typename Object>
-Source watch_socket(GSocket* socket, GIOCondition condition, Object* object) {
-  Source source(g_socket_create_source(socket, condition, nullptr));
-  const GSocketSourceFunc dispatch = [](GSocket*, GIOCondition, gpointer data) -> gboolean {
-    return Call(static_cast<Object*>(data));
-  };
-  g_source_set_callback(source.get(), reinterpret_cast<GSourceFunc>(reinterpret_cast<void (*)()>(dispatch)),
-                        object, nullptr);
-  g_source_attach(source.get(), nullptr);
-  return source;
-}
-
-template <auto Call, typename Object>
-Source watch_time(guint ms, Object* object) {
-  Source source(g_timeout_source_new(ms));
-  g_source_set_callback(
-      source.get(), [](gpointer data) -> gboolean { return Call(static_cast<Object*>(data)); }, object,
-      nullptr);
-  g_source_attach(source.get(), nullptr);
-  return source;
-}
-
 }  // namespace
 
 struct MembershipSockets::Stream {
   std::uint64_t id = 0;
-  MembershipSockets* link = nullptr;
+  MembershipSockets* sockets = nullptr;
   ObjectPtr<GSocket> socket;
   std::string from;
   Source source, timeout;
@@ -66,14 +46,16 @@
     : config_(config),
       callbacks_(std::move(told)),
       store_(config.folder, config.settings.name, config.settings.cluster, callbacks_.log) {
-  start_retry_ = watch_time<[](MembershipSockets* link) -> gboolean {
-    link->try_to_start();
-    return link->datagram_socket_ ? G_SOURCE_REMOVE : G_SOURCE_CONTINUE;
-  }>(kTryEveryMs, this);
+  start_retry_ = call_every<&MembershipSockets::retry_start>(kStartRetryInterval, this);
 }
 
 MembershipSockets::~MembershipSockets() = default;
 
+SourceAction MembershipSockets::retry_start() {
+  try_to_start();
+  return datagram_socket_ ? SourceAction::remove : SourceAction::keep;
+}
+
 void MembershipSockets::try_to_start() {
   std::string why;
   std::optional<membership::Identity> identity;
@@ -88,14 +70,8 @@
     waiting_for_ = why;
     return;
   }
-  read_source_ = watch_socket<[](MembershipSockets* link) -> gboolean {
-    link->read_datagrams();
-    return G_SOURCE_CONTINUE;
-  }>(datagram_socket_.get(), G_IO_IN, this);
-  accept_source_ = watch_socket<[](MembershipSockets* link) -> gboolean {
-    link->accept();
-    return G_SOURCE_CONTINUE;
-  }>(listener_.get(), G_IO_IN, this);
+  read_source_ = watch_socket<&MembershipSockets::read_datagrams>(datagram_socket_.get(), G_IO_IN, this);
+  accept_source_ = watch_socket<&MembershipSockets::accept>(listener_.get(), G_IO_IN, this);
   callbacks_.ready(std::move(*identity));
 }
 
@@ -208,14 +184,14 @@
   g_socket_set_blocking(socket.get(), FALSE);
   auto stream = std::make_unique<Stream>();
   stream->id = ++last_stream_;
-  stream->link = this;
+  stream->sockets = this;
   stream->socket = std::move(socket);
   stream->asked_here = stream->connecting = stream->writing = is_initiator;
   // Guards the bound on streams against those that say nothing.
-  stream->timeout = watch_time<[](Stream* late) -> gboolean {
-    late->link->close_stream(late->id);
-    return G_SOURCE_REMOVE;
-  }>(kStreamWithinMs, stream.get());
+  stream->timeout = call_every<[](Stream* late) {
+    late->sockets->close_stream(late->id);
+    return SourceAction::remove;
+  }>(kStreamTimeout, stream.get());
   Stream& adopted = *stream;
   streams_[adopted.id] = std::move(stream);
   if (!is_initiator) watch(adopted);
@@ -223,11 +199,10 @@
 }
 
 void MembershipSockets::watch(Stream& stream) {
-  stream.source = watch_socket<[](Stream* s) -> gboolean {
-    MembershipSockets* link = s->link;
-    const std::uint64_t id = s->id;
-    if (!link->on_stream_ready(*s)) link->close_stream(id);
-    return G_SOURCE_CONTINUE;
+  stream.source = watch_socket<[](Stream* ready) {
+    MembershipSockets* sockets = ready->sockets;
+    const std::uint64_t id = ready->id;
+    if (!sockets->on_stream_ready(*ready)) sockets->close_stream(id);
   }>(stream.socket.get(), stream.writing ? G_IO_OUT : G_IO_IN, &stream);
 }
 
--- a/src/event_loop/membership_sockets.h
+++ b/src/event_loop/membership_sockets.h
@@ -15,6 +15,7 @@
 
 #include "config/membership_config.h"
 #include "event_loop/glib_ptr.h"
+#include "event_loop/glib_source.h"
 #include "event_loop/membership_store.h"
 #include "membership/reducer.h"
 
@@ -42,6 +43,7 @@
  private:
   struct Stream;
 
+  SourceAction retry_start();
   void try_to_start();
   bool bind(std::string& why);
   void read_datagrams();
--- a/src/event_loop/server.cpp
+++ b/src/event_loop/server.cpp
@@ -1,18 +1,16 @@
 // SPDX-License-Identifier: MIT
 #include "event_loop/server.h"
 
-#include <glib-unix.h>
 #include <linux/filter.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
-#include <poll.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
-#include <unistd.h>
 
+#include <algorithm>
 #include <array>
 #include <cerrno>
-#include <climits>
+#include <csignal>
 #include <cstdio>
 #include <stdexcept>
 
@@ -41,16 +39,6 @@
               static_cast<socklen_t>(size)) == 0;
 }
 
-GSourceFuncs timer_funcs{nullptr,
-                         nullptr,
-                         [](GSource* source, GSourceFunc callback, gpointer data) -> gboolean {
-                           g_source_set_ready_time(source, -1);
-                           return callback(data);
-                         },
-                         nullptr,
-                         nullptr,
-                         nullptr};
-
 }  // namespace
 
 struct Server::Connection {
@@ -67,43 +55,6 @@
   bool deaf = false;  ///< the other side takes no more bytes; what it sent before is still read
 };
 
-Poller::Poller() : descriptor_(epoll_create1(EPOLL_CLOEXEC)) {
-  if (descriptor_ < 0) throw std::runtime_error("the system gives no descriptor to watch sockets with");
-}
-Poller::~Poller() { close(descriptor_); }
-
-void Poller::watch(int socket, std::uint32_t events, bool known, proxy::ConnectionId id) {
-  epoll_event event{};
-  event.events = events;
-  event.data.u64 = id;
-  epoll_ctl(descriptor_, known ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, socket, &event);
-}
-
-void LogWriter::line(const std::string& text) {
-  if (buffer_.size() + text.size() > proxy::kMaxBufferedLogBytes) {
-    ++dropped_lines_;
-  } else {
-    if (const std::size_t dropped = std::exchange(dropped_lines_, 0); dropped > 0)
-      buffer_ += "log dropped=" + std::to_string(dropped) + "\n";
-    buffer_ += text + "\n";
-  }
-  flush();
-}
-
-void LogWriter::flush() {
-  std::size_t sent = 0;
-  while (sent < buffer_.size()) {
-    // A pipe that is ready takes PIPE_BUF bytes at least without waiting.
-    pollfd out{STDOUT_FILENO, POLLOUT, 0};
-    if (::poll(&out, 1, 0) <= 0 || (out.revents & POLLOUT) == 0) break;
-    const std::size_t part = std::min<std::size_t>(buffer_.size() - sent, PIPE_BUF);
-    const ssize_t size = ::write(STDOUT_FILENO, buffer_.data() + sent, part);
-    if (size <= 0) break;
-    sent += static_cast<std::size_t>(size);
-  }
-  buffer_.erase(0, sent);
-}
-
 Server::Server(const config::Config& config, std::function<config::Config()> reload)
     : reload_(std::move(reload)),
       state_(config, clock_.now()),
@@ -117,49 +68,13 @@
     admin_listener_ = listen("admin_addr", config.admin_address);
     watch_admin();
   }
-  if (overrides_file_.temporary_path()) {
-    overrides_poll_source_ = Source(g_timeout_source_new(static_cast<guint>(
-        std::chrono::duration_cast<std::chrono::milliseconds>(proxy::kOverridesPollInterval).count())));
-    g_source_set_callback(
-        overrides_poll_source_.get(),
-        [](gpointer server) -> gboolean {
-          static_cast<Server*>(server)->load_overrides();
-          return G_SOURCE_CONTINUE;
-        },
-        this, nullptr);
-    g_source_attach(overrides_poll_source_.get(), nullptr);
-  }
-  poll_source_ = Source(g_unix_fd_source_new(poller_.descriptor(), G_IO_IN));
-  const GUnixFDSourceFunc on_readable = [](gint, GIOCondition, gpointer server) -> gboolean {
-    static_cast<Server*>(server)->poll();
-    return G_SOURCE_CONTINUE;
-  };
-  g_source_set_callback(poll_source_.get(),
-                        reinterpret_cast<GSourceFunc>(reinterpret_cast<void (*)()>(on_readable)), this,
-                        nullptr);
-  g_source_attach(poll_source_.get(), nullptr);
-  timer_source_ = Source(g_source_new(&timer_funcs, sizeof(GSource)));
-  g_source_set_callback(
-      timer_source_.get(),
-      [](gpointer server) -> gboolean {
-        static_cast<Server*>(server)->poll();  // what has come goes before what is due
-        static_cast<Server*>(server)->handle(proxy::TimerExpired{});
-        return G_SOURCE_CONTINUE;
-      },
-      this, nullptr);
-  g_source_attach(timer_source_.get(), nullptr);
-  for (const auto& [source, number] :
-       {std::pair{&terminate_source_, SIGTERM}, std::pair{&interrupt_source_, SIGINT}}) {
-    *source = Source(g_unix_signal_source_new(number));
-    g_source_set_callback(
-        source->get(),
-        [](gpointer server) -> gboolean {
-          static_cast<Server*>(server)->handle(proxy::ShutdownRequested{});
-          return G_SOURCE_CONTINUE;
-        },
-        this, nullptr);
-    g_source_attach(source->get(), nullptr);
-  }
+  if (overrides_file_.temporary_path())
+    overrides_poll_source_ = call_every<&Server::load_overrides>(
+        std::chrono::duration_cast<std::chrono::milliseconds>(proxy::kOverridesPollInterval), this);
+  poll_source_ = watch_readable<&Server::poll>(poller_.descriptor(), this);
+  timer_ = Timer::create<&Server::on_timer>(this);
+  terminate_source_ = watch_signal<&Server::on_shutdown_signal>(SIGTERM, this);
+  interrupt_source_ = watch_signal<&Server::on_shutdown_signal>(SIGINT, this);
   if (config.membership) {
     membership_sockets_ = std::make_unique<MembershipSockets>(
         *config.membership,
@@ -172,15 +87,7 @@
     consensus_ = std::make_unique<ConsensusThread>(
         *config.policy, config.seed, [this](proxy::ConsensusOutput out) { handle(std::move(out)); });
   }
-  hangup_source_ = Source(g_unix_signal_source_new(SIGHUP));
-  g_source_set_callback(
-      hangup_source_.get(),
-      [](gpointer server) -> gboolean {
-        static_cast<Server*>(server)->reload();
-        return G_SOURCE_CONTINUE;
-      },
-      this, nullptr);
-  g_source_attach(hangup_source_.get(), nullptr);
+  hangup_source_ = watch_signal<&Server::reload>(SIGHUP, this);
 }
 
 Server::~Server() = default;
@@ -199,30 +106,14 @@
   return listener;
 }
 
-Source Server::watch_listener(GSocket* listener, int priority, GSocketSourceFunc callback) {
-  Source source(g_socket_create_source(listener, G_IO_IN, nullptr));
-  g_source_set_priority(source.get(), priority);
-  g_source_set_callback(source.get(), reinterpret_cast<GSourceFunc>(reinterpret_cast<void (*)()>(callback)),
-                        this, nullptr);
-  g_source_attach(source.get(), nullptr);
-  return source;
-}
-
 /// Guards operators against waiting behind clients: their calls come first at each turn.
 void Server::watch_admin() {
-  admin_accept_source_ = watch_listener(admin_listener_.get(), G_PRIORITY_HIGH,
-                                        [](GSocket*, GIOCondition, gpointer server) -> gboolean {
-                                          static_cast<Server*>(server)->accept_admin();
-                                          return G_SOURCE_CONTINUE;
-                                        });
+  admin_accept_source_ =
+      watch_socket<&Server::accept_admin>(admin_listener_.get(), G_IO_IN, this, G_PRIORITY_HIGH);
 }
 
 void Server::watch_clients() {
-  accept_source_ = watch_listener(listener_.get(), G_PRIORITY_DEFAULT,
-                                  [](GSocket*, GIOCondition, gpointer server) -> gboolean {
-                                    static_cast<Server*>(server)->accept();
-                                    return G_SOURCE_CONTINUE;
-                                  });
+  accept_source_ = watch_socket<&Server::accept>(listener_.get(), G_IO_IN, this);
 }
 
 void Server::run() {
@@ -276,6 +167,13 @@
   }
 }
 
+void Server::on_timer() {
+  poll();  // input that has arrived goes before timers that are due
+  handle(proxy::TimerExpired{});
+}
+
+void Server::on_shutdown_signal() { handle(proxy::ShutdownRequested{}); }
+
 void Server::quit_if_idle() {
   if (!listener_ && connections_.empty()) g_main_loop_quit(loop_.get());
 }
@@ -339,18 +237,14 @@
 void Server::schedule_accept_retry() {
   accept_source_.reset();
   admin_accept_source_.reset();
-  accept_retry_source_ = Source(g_timeout_source_new(static_cast<guint>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(proxy::kAcceptRetryDelay).count())));
-  g_source_set_callback(
-      accept_retry_source_.get(),
-      [](gpointer server) -> gboolean {
-        auto* self = static_cast<Server*>(server);
-        if (self->listener_) self->watch_clients();
-        if (self->admin_listener_) self->watch_admin();
-        return G_SOURCE_REMOVE;
-      },
-      this, nullptr);
-  g_source_attach(accept_retry_source_.get(), nullptr);
+  accept_retry_source_ = call_every<&Server::retry_accept>(
+      std::chrono::duration_cast<std::chrono::milliseconds>(proxy::kAcceptRetryDelay), this);
+}
+
+SourceAction Server::retry_accept() {
+  if (listener_) watch_clients();
+  if (admin_listener_) watch_admin();
+  return SourceAction::remove;
 }
 
 void Server::adopt(proxy::ConnectionId id, ObjectPtr<GSocket> socket, bool is_connecting,
@@ -378,24 +272,23 @@
   // Guards caches against work for a client that has gone: its end is heard at once, whatever it sent before.
   if (connection.client && !connection.first) events |= EPOLLRDHUP;
   if (connection.events == events) return;
-  poller_.watch(g_socket_get_fd(connection.socket.get()), events, connection.events.has_value(),
-                connection.id);
+  poller_.watch(g_socket_get_fd(connection.socket.get()), events,
+                connection.events ? Poller::Registration::modify : Poller::Registration::add, connection.id);
   connection.events = events;
 }
 
 void Server::poll() {
-  std::array<epoll_event, proxy::kMaxReadyEvents> found;
-  const int count = epoll_wait(poller_.descriptor(), found.data(), proxy::kMaxReadyEvents, 0);
+  Poller::EventBuffer buffer;
+  const std::span<const epoll_event> events = poller_.ready_events(buffer);
   // The bulletin first, then the clients that have gone: guards the rules on purges and drains, when much has
   // come at once, against sending before reading what they bind, and caches against work that nobody waits
   // for.
-  const auto turn = [](const Connection& connection, std::uint32_t events) {
+  const auto turn = [](const Connection& connection, std::uint32_t ready) {
     if (connection.first) return 0;
-    return connection.client && (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0 ? 1 : 2;
+    return connection.client && (ready & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0 ? 1 : 2;
   };
   for (const int now : {0, 1, 2}) {
-    for (int i = 0; i < count; ++i) {
-      const epoll_event& event = found.at(static_cast<std::size_t>(i));
+    for (const epoll_event& event : events) {
       const auto connection = connections_.find(event.data.u64);  // an earlier event may have ended it
       if (connection == connections_.end() || turn(*connection->second, event.events) != now) continue;
       now == 1 ? remove_connection(event.data.u64) : ready(event.data.u64, event.events);
@@ -563,7 +456,7 @@
 
 void Server::perform(const proxy::ArmTimer& timer) {
   const auto wait = std::max<Time>(Time{0}, timer.at - clock_.now());
-  g_source_set_ready_time(timer_source_.get(), g_get_monotonic_time() + wait.count());
+  timer_.arm(wait);
 }
 
 void Server::perform(const proxy::LogLine& log) {
@@ -571,7 +464,7 @@
   std::array<char, 48> stamp{};
   std::snprintf(stamp.data(), stamp.size(), "%lld.%03lld ", static_cast<long long>(now.count() / 1'000'000),
                 static_cast<long long>(now.count() / 1000 % 1000));
-  log_.line(stamp.data() + log.line);
+  log_.write_line(stamp.data() + log.line);
 }
 
 /// The system hands the connections at one address to its listening sockets by turns; a filter on them all
--- a/src/event_loop/server.h
+++ b/src/event_loop/server.h
@@ -3,61 +3,25 @@
 /// The loop, sockets, timer and signals: feeds inputs to the reducer and carries out its effects.
 #pragma once
 
-#include <chrono>
 #include <deque>
 #include <functional>
 #include <map>
 #include <memory>
 #include <string>
 
+#include "event_loop/clock.h"
 #include "event_loop/consensus_thread.h"
 #include "event_loop/glib_ptr.h"
+#include "event_loop/glib_source.h"
+#include "event_loop/log_writer.h"
 #include "event_loop/membership_sockets.h"
 #include "event_loop/overrides_file.h"
+#include "event_loop/poller.h"
 #include "proxy/reducer.h"
 
 namespace edge_proxy::event_loop {
 
-/// Unix time that never runs backwards: read once, then carried on by the steady clock.
-class Clock {
- public:
-  [[nodiscard]] Time now() const {
-    return start_ + std::chrono::duration_cast<Time>(std::chrono::steady_clock::now() - steady_);
-  }
-
- private:
-  std::chrono::steady_clock::time_point steady_ = std::chrono::steady_clock::now();
-  Time start_ = std::chrono::duration_cast<Time>(std::chrono::system_clock::now().time_since_epoch());
-};
-
-/// The sockets to be watched, as one descriptor for the main loop. GLib asks the system for every socket of
-/// its own at each turn: with a few hundred, most of them silent, that took most of the time.
-class Poller {
- public:
-  Poller();
-  ~Poller();
-  Poller(const Poller&) = delete;
-  Poller& operator=(const Poller&) = delete;
-  void watch(int socket, std::uint32_t events, bool known, proxy::ConnectionId id);
-  [[nodiscard]] int descriptor() const { return descriptor_; }
-
- private:
-  int descriptor_;
-};
-
-/// The log on standard output. Guards the program against a reader that stalls: it never waits for it, keeps
-/// some lines meanwhile and tells how many it had to drop.
-class LogWriter {
- public:
-  void line(const std::string& text);
-
- private:
-  void flush();
-
-  std::string buffer_;
-  std::size_t dropped_lines_ = 0;
-};
-
+/// Runs the reducer: feeds it inputs from sockets, timers and signals and performs its effects.
 class Server {
  public:
   /// `reload` reads the configuration again, for SIGHUP; it throws where that is faulty.
@@ -92,10 +56,12 @@
 
   void watch_clients();
   void watch_admin();
-  Source watch_listener(GSocket* listener, int priority, GSocketSourceFunc callback);
   void accept();
   void accept_admin();
   void schedule_accept_retry();
+  SourceAction retry_accept();
+  void on_timer();
+  void on_shutdown_signal();
   bool accept_one(GSocket* listener, proxy::ConnectionId from);
   void adopt(proxy::ConnectionId id, ObjectPtr<GSocket> socket, bool is_connecting, bool high_priority);
   void watch(Connection& connection);
@@ -117,8 +83,10 @@
   LoopPtr loop_;
   ObjectPtr<GSocket> listener_, admin_listener_;
   Poller poller_;
-  Source poll_source_, accept_source_, admin_accept_source_, timer_source_, accept_retry_source_,
-      terminate_source_, interrupt_source_, hangup_source_, overrides_poll_source_;
+  Source accept_source_, admin_accept_source_, accept_retry_source_;
+  Source overrides_poll_source_, poll_source_;
+  Timer timer_;
+  Source terminate_source_, interrupt_source_, hangup_source_;
   OverridesFile overrides_file_;
   std::unique_ptr<MembershipSockets> membership_sockets_;  // none unless configured
   std::unique_ptr<ConsensusThread> consensus_;             // likewise
