--- /dev/null
+++ b/src/event_loop/acceptor.cpp
@@ -0,0 +1,106 @@
+// SPDX-License-Identifier: MIT
+#include "event_loop/acceptor.h"
+
+#include <chrono>
+#include <utility>
+
+#include "proxy/resource_limits.h"
+
+namespace edge_proxy::event_loop {
+
+Acceptor::Acceptor(const config::Config& config, Callbacks callbacks) : callbacks_(std::move(callbacks)) {
+  client_listener_.emplace("listen", config.listen_address);
+  watch_clients();
+  if (config.admin_address.empty()) return;
+  admin_listener_.emplace("admin_addr", config.admin_address);
+  watch_admin();
+}
+
+void Acceptor::watch_clients() {
+  client_source_ = watch_socket<&Acceptor::accept_clients>(client_listener_->socket(), G_IO_IN, this);
+}
+
+/// Guards operators against waiting behind clients: their calls come first at each turn.
+void Acceptor::watch_admin() {
+  admin_source_ =
+      watch_socket<&Acceptor::accept_admin>(admin_listener_->socket(), G_IO_IN, this, G_PRIORITY_HIGH);
+}
+
+void Acceptor::accept_clients() {
+  callbacks_.poll_connections();
+  // The bound guards all others against a flood.
+  for (int i = 0; i < proxy::kAcceptsPerTurn && client_listener_; ++i) {
+    if (!accept_one(*client_listener_, proxy::kListener)) return;
+  }
+}
+
+void Acceptor::accept_admin() {
+  for (int i = 0; i < proxy::kAcceptsPerTurn && admin_listener_; ++i) {
+    if (!accept_one(*admin_listener_, proxy::kAdminListener)) return;
+  }
+}
+
+/// False: none is to be accepted for now.
+bool Acceptor::accept_one(const Listener& listener, proxy::ConnectionId listener_id) {
+  Error error;
+  ObjectPtr<GSocket> socket = listener.accept(error);
+  if (!socket) return on_accept_error(listener, error);
+  descriptors_exhausted_ = false;
+  callbacks_.on_accepted({next_id(), std::move(socket), listener_id});
+  return true;
+}
+
+/// True: to be tried again at once.
+bool Acceptor::on_accept_error(const Listener& listener, const Error& error) {
+  if (error.matches(G_IO_ERROR_WOULD_BLOCK)) return false;
+  // Guards the clients against making room for nobody: the system looks for a descriptor first, and says
+  // that there is none also where no connection waits.
+  if (!listener.has_waiting_connection()) return false;
+  // The first time another client makes room, and the one that waits is tried again. Guards those that have
+  // only just connected: what they ask is read first, so that they are not taken for idle.
+  if (error.matches(G_IO_ERROR_TOO_MANY_OPEN_FILES) && !std::exchange(descriptors_exhausted_, true)) {
+    callbacks_.poll_connections();
+    callbacks_.on_descriptors_exhausted();
+    return true;
+  }
+  descriptors_exhausted_ = false;
+  callbacks_.log(std::string("accept failed: ") + error.text());
+  pause();
+  return false;
+}
+
+void Acceptor::pause() {
+  client_source_.reset();
+  admin_source_.reset();
+  resume_source_ = call_every<&Acceptor::resume>(
+      std::chrono::duration_cast<std::chrono::milliseconds>(proxy::kAcceptRetryDelay), this);
+}
+
+SourceAction Acceptor::resume() {
+  if (client_listener_) watch_clients();
+  if (admin_listener_) watch_admin();
+  return SourceAction::remove;
+}
+
+void Acceptor::prefer_next_process() const {
+  if (client_listener_ && !client_listener_->prefer_next_process())
+    callbacks_.log("yield failed: the system takes no filter");
+}
+
+void Acceptor::close_client_listener(const std::function<void(AcceptedSocket)>& on_accepted) {
+  client_source_.reset();
+  resume_source_.reset();
+  if (!client_listener_) return;
+  // Guards those that have connected and were not accepted yet against a reset.
+  Error error;
+  while (ObjectPtr<GSocket> socket = client_listener_->accept(error))
+    on_accepted({next_id(), std::move(socket), proxy::kListener});
+  client_listener_.reset();
+}
+
+void Acceptor::close_admin_listener() {
+  admin_source_.reset();
+  admin_listener_.reset();
+}
+
+}  // namespace edge_proxy::event_loop
--- /dev/null
+++ b/src/event_loop/connection.cpp
@@ -0,0 +1,120 @@
+// SPDX-License-Identifier: MIT
+#include "event_loop/connection.h"
+
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+
+#include <array>
+#include <utility>
+
+#include "proxy/resource_limits.h"
+
+namespace edge_proxy::event_loop {
+
+Connection::Connection(proxy::ConnectionId id, ObjectPtr<GSocket> socket, Origin origin, Priority priority)
+    : id_(id),
+      socket_(std::move(socket)),
+      origin_(origin),
+      priority_(priority),
+      is_connecting_(origin == Origin::connecting) {
+  g_socket_set_blocking(socket_.get(), FALSE);
+  g_socket_set_option(socket_.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
+}
+
+Connection::ServiceOrder Connection::service_order(std::uint32_t ready_events) const {
+  if (priority_ == Priority::high) return ServiceOrder::high_priority;
+  const bool has_ended = (ready_events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
+  return is_accepted() && has_ended ? ServiceOrder::client_gone : ServiceOrder::normal;
+}
+
+std::uint32_t Connection::wanted_events() const {
+  // What a client sends is read though it takes no answers: it may be a cancel. The bounds on what waits for
+  // it are the reducer's.
+  std::uint32_t events = 0;
+  if (!is_connecting_) events |= EPOLLIN;
+  if (is_connecting_ || written_ < output_.size()) events |= EPOLLOUT;
+  // Guards caches against work for a client that has gone: its end is noticed at once, whatever it sent
+  // before.
+  if (is_accepted() && priority_ == Priority::normal) events |= EPOLLRDHUP;
+  return events;
+}
+
+void Connection::update_watch(const Poller& poller) {
+  const std::uint32_t events = wanted_events();
+  if (watched_events_ == events) return;
+  const auto registration = watched_events_ ? Poller::Registration::modify : Poller::Registration::add;
+  poller.watch(g_socket_get_fd(socket_.get()), events, registration, id_);
+  watched_events_ = events;
+}
+
+bool Connection::finish_connecting() {
+  is_connecting_ = false;
+  return g_socket_check_connect_result(socket_.get(), nullptr) != FALSE;
+}
+
+Connection::ReadResult Connection::read(std::span<char> buffer) const {
+  Error error;
+  const gssize size = g_socket_receive(socket_.get(), buffer.data(), buffer.size(), nullptr, error.out_ptr());
+  if (size > 0) return {ReadStatus::data, {buffer.data(), static_cast<std::size_t>(size)}};
+  if (size == 0) return {ReadStatus::end_of_stream, {}};
+  return {error.matches(G_IO_ERROR_WOULD_BLOCK) ? ReadStatus::would_block : ReadStatus::failed, {}};
+}
+
+Connection::ReadStatus Connection::discard_input() const {
+  std::array<char, proxy::kReadChunkBytes> buffer;
+  auto status = ReadStatus::data;
+  for (std::size_t bytes = 0; status == ReadStatus::data && bytes < proxy::kMaxDiscardedBytes;
+       bytes += buffer.size()) {
+    status = read(buffer).status;
+  }
+  return status;
+}
+
+bool Connection::append(std::string_view bytes) {
+  const bool was_empty = output_.empty();
+  output_ += bytes;
+  return was_empty;
+}
+
+Connection::FlushResult Connection::flush() {
+  while (written_ < output_.size()) {
+    Error error;
+    const gssize size = g_socket_send(socket_.get(), output_.data() + written_, output_.size() - written_,
+                                      nullptr, error.out_ptr());
+    if (size >= 0) {
+      written_ += static_cast<std::size_t>(size);
+      continue;
+    }
+    if (error.matches(G_IO_ERROR_WOULD_BLOCK)) {
+      discard_written();
+      return FlushResult::blocked;
+    }
+    // The peer has gone. Guards its last answers, which may still wait to be read, against being lost with
+    // what could not be written: the end is reported when they have been read.
+    write_closed_ = true;
+    clear_output();
+    return FlushResult::peer_closed;
+  }
+  clear_output();
+  if (output_.capacity() > proxy::kRetainedWriteBufferBytes)
+    std::string().swap(output_);  // guards the memory, over many clients
+  if (shutdown_requested_) g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
+  return FlushResult::drained;
+}
+
+/// Written bytes are not kept; a large rest is moved only now and then.
+void Connection::discard_written() {
+  if (written_ > output_.size() / 2) output_.erase(0, std::exchange(written_, 0));
+}
+
+void Connection::clear_output() {
+  output_.clear();
+  written_ = 0;
+}
+
+void Connection::shutdown_write() {
+  if (std::exchange(shutdown_requested_, true)) return;
+  if (output_.empty()) g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
+}
+
+}  // namespace edge_proxy::event_loop
--- /dev/null
+++ b/src/event_loop/listener.cpp
@@ -0,0 +1,69 @@
+// SPDX-License-Identifier: MIT
+#include "event_loop/listener.h"
+
+#include <linux/filter.h>
+#include <sys/socket.h>
+
+#include <cerrno>
+#include <stdexcept>
+
+#include "event_loop/address.h"
+#include "proxy/resource_limits.h"
+
+namespace edge_proxy::event_loop {
+namespace {
+
+/// Binds so that the next process of this edge proxy can listen at the same address while this one still
+/// serves. g_socket_bind would take that option back.
+bool bind_shared(GSocket* socket, GSocketAddress* address) {
+  sockaddr_storage native{};
+  const gssize size = g_socket_address_get_native_size(address);
+  if (size < 0 || !g_socket_address_to_native(address, &native, sizeof native, nullptr)) return false;
+  g_socket_set_option(socket, SOL_SOCKET, SO_REUSEADDR, 1, nullptr);
+  g_socket_set_option(socket, SOL_SOCKET, SO_REUSEPORT, 1, nullptr);
+  return bind(g_socket_get_fd(socket), reinterpret_cast<const sockaddr*>(&native),
+              static_cast<socklen_t>(size)) == 0;
+}
+
+}  // namespace
+
+ObjectPtr<GSocket> new_tcp_socket(GSocketAddress* address, Error& error) {
+  ObjectPtr<GSocket> socket(g_socket_new(g_socket_address_get_family(address), G_SOCKET_TYPE_STREAM,
+                                         G_SOCKET_PROTOCOL_TCP, error.out_ptr()));
+  if (socket) g_socket_set_blocking(socket.get(), FALSE);
+  return socket;
+}
+
+Listener::Listener(const std::string& key, const std::string& address) {
+  const auto parsed = address_of(address);
+  const std::string field = "field '" + key + "': ";
+  if (!parsed) throw std::runtime_error(field + "'" + address + "' is no address and port");
+  Error error;
+  socket_ = new_tcp_socket(parsed.get(), error);
+  if (!socket_ || !bind_shared(socket_.get(), parsed.get()))
+    throw std::runtime_error(field + "can't bind " + address + ": " + g_strerror(errno));
+  g_socket_set_listen_backlog(socket_.get(), proxy::kListenBacklog);
+  if (!g_socket_listen(socket_.get(), error.out_ptr()))
+    throw std::runtime_error(field + "can't listen on " + address + ": " + error.text());
+}
+
+ObjectPtr<GSocket> Listener::accept(Error& error) const {
+  return ObjectPtr<GSocket>(g_socket_accept(socket_.get(), nullptr, error.out_ptr()));
+}
+
+bool Listener::has_waiting_connection() const {
+  return g_socket_condition_check(socket_.get(), G_IO_IN) != 0;
+}
+
+bool Listener::prefer_next_process() const {
+  // The system distributes the connections at one address over its listening sockets; a filter on them all
+  // selects the second one. This process was there first, so that is the one started after it; where there is
+  // none, the filter selects nothing and all stays as it is. Guards clients against a connection that waits
+  // here unaccepted when this listening socket closes: it would be reset.
+  sock_filter select_second{BPF_RET | BPF_K, 0, 0, 1};
+  const sock_fprog filter{1, &select_second};
+  return setsockopt(g_socket_get_fd(socket_.get()), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &filter,
+                    sizeof filter) == 0;
+}
+
+}  // namespace edge_proxy::event_loop
