--- a/src/consensus/codec.h
+++ b/src/consensus/codec.h
@@ -13,24 +13,24 @@
 namespace edge_proxy::consensus {
 
 namespace pb {
-class Born;
-class LogMessage;
-class Whole;
+class BootstrapMessage;
+class PolicySnapshot;
+class RaftMessage;
 }  // namespace pb
 
 /// What the log's own servers tell each other goes on as the bytes that came.
 struct RaftMessage {
-  std::string bytes;  ///< of a pb::LogMessage
+  std::string bytes;  ///< of a pb::RaftMessage
 };
 struct BootstrapMessage {
-  std::string bytes;  ///< of a pb::Born
+  std::string bytes;  ///< of a pb::BootstrapMessage
 };
 using UserMessage = std::variant<Message, RaftMessage, BootstrapMessage>;
 
 /// `lease`: the sender's, as set.
 std::string encode(const Message& message, Time lease);
-std::string encode(const pb::LogMessage& message, Time lease);
-std::string encode(const pb::Born& message, Time lease);
+std::string encode(const pb::RaftMessage& message, Time lease);
+std::string encode(const pb::BootstrapMessage& message, Time lease);
 /// None where it is malformed, holds a value out of its range, or comes from one whose leases are other than
 /// `lease`
 /// (`unlike` tells that).
@@ -38,8 +38,8 @@
 
 std::string encode(const Entry& entry);
 std::optional<Entry> decode_entry(std::string_view bytes);
-void write_snapshot(const Snapshot& whole, pb::Whole& to);
+void write_snapshot(const Snapshot& snapshot, pb::PolicySnapshot& to);
 /// None where a value is out of its range.
-std::optional<Snapshot> read_snapshot(const pb::Whole& from);
+std::optional<Snapshot> read_snapshot(const pb::PolicySnapshot& from);
 
 }  // namespace edge_proxy::consensus
--- a/src/consensus/raft_core.cpp
+++ b/src/consensus/raft_core.cpp
@@ -115,7 +115,7 @@
     return static_cast<Raft*>(f->data)->apply(*buffer);
   };
   fsm.snapshot = [](raft_fsm* f, raft_buffer** buffers, unsigned* count) {
-    pb::Whole whole;
+    pb::PolicySnapshot whole;
     consensus::write_snapshot(static_cast<Raft*>(f->data)->log.register_.snapshot(), whole);
     *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
     if (*buffers == nullptr) return RAFT_NOMEM;
@@ -177,11 +177,11 @@
   if (from < log.first_index_) return RAFT_INVALID;
   log.entries_.resize(std::min<std::size_t>(log.entries_.size(), from - log.first_index_));
   pb::Record record;
-  record.set_truncate(from);
+  record.set_truncate_from(from);
   return log.write({record.SerializeAsString()}) ? 0 : RAFT_IOERR;
 }
 int RaftLog::Raft::store_snapshot(unsigned trailing, const raft_snapshot& from) {
-  pb::Snapshot snapshot;
+  pb::RaftSnapshot snapshot;
   snapshot.set_index(from.index);
   snapshot.set_term(from.term);
   write_servers(from.configuration, *snapshot.mutable_servers());
@@ -202,7 +202,7 @@
   return log.compact() ? 0 : RAFT_IOERR;
 }
 raft_snapshot* RaftLog::Raft::make_snapshot() const {
-  pb::Snapshot from;
+  pb::RaftSnapshot from;
   if (log.snapshot_.empty() || !from.ParseFromString(log.snapshot_)) return nullptr;
   auto* snapshot = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
   if (snapshot == nullptr || !read_servers(from.servers(), snapshot->configuration)) {
@@ -237,7 +237,7 @@
   return 0;
 }
 int RaftLog::Raft::restore(const std::string& data) {
-  pb::Whole from;
+  pb::PolicySnapshot from;
   const auto whole = from.ParseFromString(data) ? consensus::read_snapshot(from) : std::nullopt;
   if (!whole) return RAFT_CORRUPT;
   log.register_ = PolicyStateMachine(*whole);
@@ -247,7 +247,7 @@
 }
 
 void RaftLog::Raft::send(const raft_message& message) {
-  pb::LogMessage to;
+  pb::RaftMessage to;
   to.set_from(log.id_);
   to.set_to(message.server_id);
   to.set_address(address_of(log.settings_.name, log.id_));
@@ -256,12 +256,12 @@
       const raft_request_vote& m = message.request_vote;
       pb::RequestVote& w = *to.mutable_request_vote();
       w.set_term(m.term), w.set_candidate(m.candidate_id), w.set_last_index(m.last_log_index);
-      w.set_last_term(m.last_log_term), w.set_disrupt(m.disrupt_leader), w.set_pre_vote(m.pre_vote);
+      w.set_last_term(m.last_log_term), w.set_disrupt_leader(m.disrupt_leader), w.set_pre_vote(m.pre_vote);
       break;
     }
     case RAFT_IO_REQUEST_VOTE_RESULT: {
       const raft_request_vote_result& m = message.request_vote_result;
-      pb::Voted& w = *to.mutable_voted();
+      pb::RequestVoteResult& w = *to.mutable_request_vote_result();
       w.set_term(m.term), w.set_granted(m.vote_granted), w.set_pre_vote(static_cast<unsigned>(m.pre_vote));
       // Guards against libraft 0.15: its no to a pre-vote tells the term that was asked for, not its own. One
       // with the longer log and the lower term then asks for the same term for ever, and nobody leads (found
@@ -271,9 +271,9 @@
     }
     case RAFT_IO_APPEND_ENTRIES: {
       const raft_append_entries& m = message.append_entries;
-      pb::Append& w = *to.mutable_append();
-      w.set_term(m.term), w.set_before_index(m.prev_log_index), w.set_before_term(m.prev_log_term);
-      w.set_committed(m.leader_commit);
+      pb::AppendEntries& w = *to.mutable_append_entries();
+      w.set_term(m.term), w.set_previous_index(m.prev_log_index), w.set_previous_term(m.prev_log_term);
+      w.set_commit_index(m.leader_commit);
       for (unsigned at = 0; at < m.n_entries; ++at) {
         pb::LogEntry& entry = *w.add_entries();
         entry.set_term(m.entries[at].term), entry.set_type(m.entries[at].type);
@@ -283,7 +283,7 @@
     }
     case RAFT_IO_APPEND_ENTRIES_RESULT: {
       const raft_append_entries_result& m = message.append_entries_result;
-      pb::Appended& w = *to.mutable_appended();
+      pb::AppendEntriesResult& w = *to.mutable_append_entries_result();
       // Guards against libraft 0.15: to a message without entries it answers with the end of its own log, of
       // which the leader may know nothing. Where an entry of a leader before stands there, the new one takes
       // its own entry of that number for replicated (found by a drawn schedule), and may commit what no
@@ -291,12 +291,12 @@
       if (m.rejected != 0) append_rejected_ = true;
       const raft_index last =
           m.rejected != 0 ? m.last_log_index : std::min(m.last_log_index, verified_index(m.term));
-      w.set_term(m.term), w.set_rejected(m.rejected), w.set_last_index(last);
+      w.set_term(m.term), w.set_rejected_index(m.rejected), w.set_last_index(last);
       break;
     }
     case RAFT_IO_INSTALL_SNAPSHOT: {
       const raft_install_snapshot& m = message.install_snapshot;
-      pb::Install& w = *to.mutable_install();
+      pb::InstallSnapshot& w = *to.mutable_install_snapshot();
       w.set_term(m.term), w.set_last_index(m.last_index), w.set_last_term(m.last_term);
       write_servers(m.conf, *w.mutable_servers());
       w.set_servers_index(m.conf_index), w.set_data(text_of(m.data));
@@ -316,35 +316,35 @@
                                        encode(to, log.settings_.lease));
 }
 
-void RaftLog::Raft::receive(const pb::LogMessage& from) {
+void RaftLog::Raft::receive(const pb::RaftMessage& from) {
   raft_message message{};
   message.server_id = from.from();
   message.server_address = from.address().c_str();
   switch (from.kind_case()) {
-    case pb::LogMessage::kRequestVote: {
+    case pb::RaftMessage::kRequestVote: {
       const pb::RequestVote& w = from.request_vote();
       message.type = RAFT_IO_REQUEST_VOTE;
-      message.request_vote = {w.term(),      w.candidate(), w.last_index(),
-                              w.last_term(), w.disrupt(),   w.pre_vote()};
+      message.request_vote = {w.term(),      w.candidate(),      w.last_index(),
+                              w.last_term(), w.disrupt_leader(), w.pre_vote()};
       break;
     }
-    case pb::LogMessage::kVoted: {
-      const pb::Voted& w = from.voted();
+    case pb::RaftMessage::kRequestVoteResult: {
+      const pb::RequestVoteResult& w = from.request_vote_result();
       if (w.pre_vote() > raft_tribool_false) return;
       message.type = RAFT_IO_REQUEST_VOTE_RESULT;
       message.request_vote_result = {w.term(), w.granted(), static_cast<raft_tribool>(w.pre_vote())};
       break;
     }
-    case pb::LogMessage::kAppend: {
-      const pb::Append& w = from.append();
+    case pb::RaftMessage::kAppendEntries: {
+      const pb::AppendEntries& w = from.append_entries();
       const auto odd = [](const pb::LogEntry& e) {
         return e.type() < RAFT_COMMAND || e.type() > RAFT_CHANGE;
       };
       if (std::any_of(w.entries().begin(), w.entries().end(), odd)) return;
       message.type = RAFT_IO_APPEND_ENTRIES;
       raft_append_entries& m = message.append_entries;
-      m.term = w.term(), m.prev_log_index = w.before_index(), m.prev_log_term = w.before_term();
-      m.leader_commit = w.committed();
+      m.term = w.term(), m.prev_log_index = w.previous_index(), m.prev_log_term = w.previous_term();
+      m.leader_commit = w.commit_index();
       m.n_entries = static_cast<unsigned>(w.entries_size());
       if (m.n_entries > 0) {
         m.entries = static_cast<raft_entry*>(raft_calloc(m.n_entries, sizeof(raft_entry)));
@@ -369,14 +369,14 @@
       }
       break;
     }
-    case pb::LogMessage::kAppended: {
-      const pb::Appended& w = from.appended();
+    case pb::RaftMessage::kAppendEntriesResult: {
+      const pb::AppendEntriesResult& w = from.append_entries_result();
       message.type = RAFT_IO_APPEND_ENTRIES_RESULT;
-      message.append_entries_result = {w.term(), w.rejected(), w.last_index()};
+      message.append_entries_result = {w.term(), w.rejected_index(), w.last_index()};
       break;
     }
-    case pb::LogMessage::kInstall: {
-      const pb::Install& w = from.install();
+    case pb::RaftMessage::kInstallSnapshot: {
+      const pb::InstallSnapshot& w = from.install_snapshot();
       message.type = RAFT_IO_INSTALL_SNAPSHOT;
       raft_install_snapshot& m = message.install_snapshot;
       m.term = w.term(), m.last_index = w.last_index(), m.last_term = w.last_term();
@@ -385,24 +385,25 @@
       m.data = buffer_of(w.data());
       break;
     }
-    case pb::LogMessage::kTimeoutNow: {
+    case pb::RaftMessage::kTimeoutNow: {
       const pb::TimeoutNow& w = from.timeout_now();
       message.type = RAFT_IO_TIMEOUT_NOW;
       message.timeout_now = {w.term(), w.last_index(), w.last_term()};
       break;
     }
-    case pb::LogMessage::KIND_NOT_SET:
+    case pb::RaftMessage::KIND_NOT_SET:
       return;
   }
   raft_term term = 0;
   verifying_index_ = 0;
   append_rejected_ = false;
-  if (from.has_append()) {
-    term = from.append().term();
-    verifying_index_ = from.append().before_index() + static_cast<raft_index>(from.append().entries_size());
-  } else if (from.has_install()) {
-    term = from.install().term();
-    verifying_index_ = from.install().last_index();
+  if (from.has_append_entries()) {
+    term = from.append_entries().term();
+    verifying_index_ = from.append_entries().previous_index() +
+                       static_cast<raft_index>(from.append_entries().entries_size());
+  } else if (from.has_install_snapshot()) {
+    term = from.install_snapshot().term();
+    verifying_index_ = from.install_snapshot().last_index();
   }
   if (term > verified_term_) verified_term_ = term, verified_index_ = 0;
   const bool counts = term != 0 && term == verified_term_;
--- a/src/consensus/raft_core.h
+++ b/src/consensus/raft_core.h
@@ -47,7 +47,7 @@
   int restore(const std::string& data);
   void send(const raft_message& message);
   /// None of it is raft's before all of it is checked.
-  void receive(const pb::LogMessage& from);
+  void receive(const pb::RaftMessage& from);
 
   RaftLog& log;
   raft_io io{};
--- a/src/consensus/raft_log.cpp
+++ b/src/consensus/raft_log.cpp
@@ -63,8 +63,8 @@
     pb::Record record;
     if (!record.ParseFromString(text)) return false;
     switch (record.kind_case()) {
-      case pb::Record::kMark:
-        disk_id_ = record.mark();
+      case pb::Record::kDiskId:
+        disk_id_ = record.disk_id();
         break;
       case pb::Record::kTerm:
         term_ = record.term();
@@ -74,24 +74,24 @@
         vote_ = record.vote();
         break;
       case pb::Record::kEntry: {
-        const pb::Kept& kept = record.entry();
+        const pb::StoredEntry& kept = record.entry();
         if (entries_.empty() && snapshot_.empty() && kept.index() != 1) return false;
         if (entries_.empty()) first_index_ = kept.index();
         if (kept.index() != first_index_ + entries_.size()) return false;
         entries_.push_back({kept.entry().term(), kept.entry().type(), kept.entry().data()});
         break;
       }
-      case pb::Record::kTruncate:
-        if (record.truncate() < first_index_) return false;
-        entries_.resize(std::min<std::size_t>(entries_.size(), record.truncate() - first_index_));
+      case pb::Record::kTruncateFrom:
+        if (record.truncate_from() < first_index_) return false;
+        entries_.resize(std::min<std::size_t>(entries_.size(), record.truncate_from() - first_index_));
         break;
       case pb::Record::kSnapshot:
         snapshot_ = record.snapshot().SerializeAsString();
         first_index_ = record.snapshot().index() + 1;
         entries_.clear();
         break;
-      case pb::Record::kWhole: {
-        auto whole = read_snapshot(record.whole());
+      case pb::Record::kLearned: {
+        auto whole = read_snapshot(record.learned());
         if (!whole) return false;
         learned_ = std::move(*whole);
         break;
@@ -119,7 +119,7 @@
 
 std::string RaftLog::record_of(Index index, const StoredEntry& entry) {
   pb::Record record;
-  pb::Kept& kept = *record.mutable_entry();
+  pb::StoredEntry& kept = *record.mutable_entry();
   kept.set_index(index);
   kept.mutable_entry()->set_term(entry.term);
   kept.mutable_entry()->set_type(entry.type);
@@ -130,7 +130,7 @@
 std::vector<std::string> RaftLog::all_records() const {
   std::vector<std::string> records;
   pb::Record record;
-  record.set_mark(disk_id_);
+  record.set_disk_id(disk_id_);
   records.push_back(record.SerializeAsString());
   if (term_ != 0) {
     record.set_term(term_);
@@ -148,7 +148,7 @@
     records.push_back(record_of(first_index_ + at, entries_[at]));
   }
   if (learned_) {
-    consensus::write_snapshot(*learned_, *record.mutable_whole());
+    consensus::write_snapshot(*learned_, *record.mutable_learned());
     records.push_back(record.SerializeAsString());
   }
   return records;
@@ -169,7 +169,7 @@
   if (disk_id_ == 0) {
     disk_id_ = random_() | 1U;
     pb::Record record;
-    record.set_mark(disk_id_);
+    record.set_disk_id(disk_id_);
     if (!write({record.SerializeAsString()})) return false;
   }
   id_ = id_of(settings_.name, disk_id_);
@@ -240,17 +240,17 @@
   const auto& first = settings_.initial_voters;
   if (std::find(first.begin(), first.end(), settings_.name) == first.end()) return;
   next_bootstrap_request_ = now_ + kBirthEvery;
-  pb::Born born;
-  born.set_asks(true);
+  pb::BootstrapMessage born;
+  born.set_is_request(true);
   born.set_id(id_);
   for (const std::string& name : first) {
     if (name != settings_.name) out.messages.emplace_back(name, encode(born, settings_.lease));
   }
   voters_without_log_[settings_.name] = id_;
   if (voters_without_log_.size() < first.size()) return;
-  pb::Born all;
+  pb::BootstrapMessage all;
   for (const auto& [name, id] : voters_without_log_) {
-    pb::Server& server = *all.add_first();
+    pb::Server& server = *all.add_initial_servers();
     server.set_id(id);
     server.set_address(address_of(name, id));
     server.set_role(RAFT_VOTER);
@@ -258,35 +258,35 @@
   bootstrap(all, out);
 }
 
-bool RaftLog::bootstrap(const pb::Born& born, Output& out) {
+bool RaftLog::bootstrap(const pb::BootstrapMessage& born, Output& out) {
   const auto mine = [this](const pb::Server& s) { return s.id() == id_; };
-  if (std::none_of(born.first().begin(), born.first().end(), mine)) return false;
+  if (std::none_of(born.initial_servers().begin(), born.initial_servers().end(), mine)) return false;
   raft_configuration first{};
-  if (!read_servers(born.first(), first)) return false;
+  if (!read_servers(born.initial_servers(), first)) return false;
   int status = initialize_raft();
   if (status == 0) status = raft_bootstrap(&raft_->raft, &first);
   raft_configuration_close(&first);
   close();
   if (status != 0) return false;
-  out.log_lines.push_back("policy log begins voters=" + std::to_string(born.first_size()));
+  out.log_lines.push_back("policy log begins voters=" + std::to_string(born.initial_servers_size()));
   return start(out);
 }
 
 void RaftLog::on_message(Time now, const std::string& from, const BootstrapMessage& message, Output& out) {
   now_ = std::max(now_, now);
-  pb::Born born;
+  pb::BootstrapMessage born;
   if (!born.ParseFromString(message.bytes)) return;
   const Call call(*this, out);
   const auto& first = settings_.initial_voters;
-  if (born.asks()) {
-    pb::Born answer;
+  if (born.is_request()) {
+    pb::BootstrapMessage answer;
     answer.set_id(id_);
     answer.set_has_log(raft_ != nullptr || !error_.empty());
     // The list with which it began, where that is still its first entry: one of that list whose disk has not
     // been lost begins with it too.
     if (raft_ && first_index_ == 1 && !entries_.empty()) {
       raft_configuration& c = raft_->raft.configuration;
-      if (raft_->raft.configuration_index <= 1) write_servers(c, *answer.mutable_first());
+      if (raft_->raft.configuration_index <= 1) write_servers(c, *answer.mutable_initial_servers());
     }
     out.messages.emplace_back(from, encode(answer, settings_.lease));
   } else if (!raft_ && std::find(first.begin(), first.end(), from) != first.end()) {
@@ -312,13 +312,13 @@
 
 void RaftLog::on_message(Time now, const RaftMessage& message, Output& out) {
   now_ = std::max(now_, now);
-  pb::LogMessage from;
+  pb::RaftMessage from;
   if (!error_.empty() || !from.ParseFromString(message.bytes)) return;
   // Guards against what is meant for one that had this name with another disk: its votes are not this one's.
   if (from.to() != id_) return;
   const Call call(*this, out);
   // A leader has added it: it takes the log from there.
-  if (!raft_ && from.has_append()) start(out);
+  if (!raft_ && from.has_append_entries()) start(out);
   if (is_running()) raft_->receive(from);
 }
 
--- a/src/consensus/raft_log.h
+++ b/src/consensus/raft_log.h
@@ -94,7 +94,7 @@
   void run_deferred_callbacks();
   void close();
   [[nodiscard]] std::set<std::string> voter_names() const;
-  bool bootstrap(const pb::Born& born, Output& out);
+  bool bootstrap(const pb::BootstrapMessage& born, Output& out);
   void send_bootstrap_requests(Output& out);
   void report_progress(Output& out);
   void report_role(Output& out);
@@ -111,7 +111,7 @@
   std::uint64_t disk_id_ = 0, term_ = 0, vote_ = 0;
   std::uint64_t first_index_ = 1;  // of entries_
   std::deque<StoredEntry> entries_;
-  std::string snapshot_;  // a pb::Snapshot; empty: none
+  std::string snapshot_;  // a pb::RaftSnapshot; empty: none
   std::optional<Snapshot> learned_;
   std::uint64_t id_ = 0;
 
--- a/tests/golden/codec_golden_test.cpp
+++ b/tests/golden/codec_golden_test.cpp
@@ -1410,7 +1410,7 @@
       numbers(1, 3) + bytes_field(4, server) + number_field(5, 9) + bytes_field(6, "snapshot"),
       numbers(1, 3)};
   for (unsigned kind = 0; kind < kinds.size(); ++kind) {
-    consensus::pb::LogMessage message;
+    consensus::pb::RaftMessage message;
     ASSERT_TRUE(message.ParseFromString(number_field(1, 77) + number_field(2, 78) + bytes_field(3, "n1#77") +
                                         bytes_field(kind + 4, kinds[kind])));
     add(consensus::encode(message, kLease));
@@ -1418,7 +1418,7 @@
   for (const std::string& bytes :
        {number_field(1, 1) + number_field(3, 77),
         number_field(2, 1) + number_field(3, 77) + bytes_field(4, server), std::string()}) {
-    consensus::pb::Born message;
+    consensus::pb::BootstrapMessage message;
     ASSERT_TRUE(message.ParseFromString(bytes));
     add(consensus::encode(message, kLease));
   }
--- a/tests/golden/consensus_trace.cpp
+++ b/tests/golden/consensus_trace.cpp
@@ -87,9 +87,9 @@
 /// libraft leaves some bytes of its own entries as its allocator gave them: all eight of a barrier, and what
 /// pads a list of servers. They are zero in the record.
 std::string without_undefined_bytes(const std::string& bytes) {
-  consensus::pb::Carried carried;
-  if (!carried.ParseFromString(bytes) || !carried.log().has_append()) return bytes;
-  for (auto& entry : *carried.mutable_log()->mutable_append()->mutable_entries()) {
+  consensus::pb::Envelope envelope;
+  if (!envelope.ParseFromString(bytes) || !envelope.raft().has_append_entries()) return bytes;
+  for (auto& entry : *envelope.mutable_raft()->mutable_append_entries()->mutable_entries()) {
     std::string data = entry.data();
     const std::size_t size = data.size();
     if (entry.type() == RAFT_BARRIER) data.clear();
@@ -97,7 +97,7 @@
     data.resize(size, '\0');
     entry.set_data(data);
   }
-  return carried.SerializeAsString();
+  return envelope.SerializeAsString();
 }
 
 struct DescribeMessage {
