--- a/src/consensus/lease_manager.cpp
+++ b/src/consensus/lease_manager.cpp
@@ -12,12 +12,14 @@
       voters_(std::move(voters)),
       earlier_leases_expire_at_(now + lease_expiry_bound(settings.lease, settings.max_clock_drift)) {}
 
+// The exact bound, rounded up: the holder's clock may be slow (1 - drift) while this one is fast (1 + drift).
+// QuotaLeases::lease_expiry_bound takes 1 + 2 * drift instead, which is lower by about 2 * drift squared.
 Time LeaseManager::lease_expiry_bound(Time lease, double drift) {
   return Time{
       static_cast<Time::rep>(std::ceil(static_cast<double>(lease.count()) * (1 + drift) / (1 - drift)))};
 }
 
-/// While a change is under way all who live ask each `eager`.
+/// While a change is under way all running members request each urgent interval.
 bool LeaseManager::is_silent(const Holder& holder, Time now) const {
   return now - holder.requested_at >
          (change_ == 0 ? 2 * settings_.renew_interval : 3 * settings_.urgent_interval);
@@ -27,13 +29,13 @@
 
 void LeaseManager::on_lease_request(const std::string& from, const LeaseRequest& request, Time now) {
   holders_[from].requested_at = now;
-  PendingGrant& waiting = pending_grants_[from];
-  // The newest counts; what was asked for before a round goes with that round.
-  if (request.number > waiting.number) waiting = {request.number, round_ + 1};
+  PendingGrant& pending = pending_grants_[from];
+  // The newest request counts. It waits for a round of leadership checks that begins after it.
+  if (request.number > pending.number) pending = {request.number, round_ + 1};
 }
 
-/// Guards against a leader that has been deposed and does not know: it would go on renewing leases that the
-/// next one takes for run out. A majority that has not voted for a later term by now shows that no later
+/// Guards against a leader that has been deposed and does not know it: it would go on renewing leases that
+/// the next one takes for expired. A majority that has not voted for a later term by now shows that no later
 /// leader had begun when the leases were asked for.
 void LeaseManager::send_leadership_checks(Time now, LeaderActions& actions) {
   if (!round_in_progress_) {
@@ -43,8 +45,7 @@
   }
   round_sent_at_ = now;
   for (const std::string& voter : voters_) {
-    if (round_confirmed_.count(voter) == 0)
-      actions.messages.emplace_back(voter, LeadershipCheck{term_, round_});
+    if (round_confirmed_.count(voter) == 0) actions.send(voter, LeadershipCheck{term_, round_});
   }
 }
 
@@ -67,137 +68,109 @@
     Holder& holder = holders_[it->first];
     holder.expires_at =
         std::max(holder.expires_at, now + lease_expiry_bound(settings_.lease, settings_.max_clock_drift));
-    actions.messages.emplace_back(it->first, LeaseGrant{it->second.number, policy_state.epoch(),
-                                                        settings_.lease, policy_state.index()});
+    actions.send(it->first,
+                 LeaseGrant{it->second.number, policy_state.epoch(), settings_.lease, policy_state.index()});
     it = pending_grants_.erase(it);
   }
 }
 
 // ---- A change ----
 
-/// Forgets what was about an earlier change.
-void LeaseManager::track_change(const PolicyStateMachine& policy_state) {
-  const Index now = policy_state.change() ? policy_state.change()->id : 0;
-  if (now == change_) return;
-  change_ = now;
+/// Forgets what was about an earlier change. Whether another one, or none, is under way than before.
+bool LeaseManager::track_change(const PolicyStateMachine& policy_state) {
+  const Index current = policy_state.change() ? policy_state.change()->id : 0;
+  if (current == change_) return false;
+  change_ = current;
   ready_members_.clear();
-  decision_proposed_ = revoking_ = activation_proposed_ = false;
+  decision_proposed_ = false;
+  revoking_ = false;
+  activation_proposed_ = false;
+  return true;
+}
+
+bool LeaseManager::awaits_decision(Index change, const PolicyStateMachine& policy_state) const {
+  return change_ != 0 && change == change_ && !policy_state.change()->committed && !decision_proposed_;
+}
+
+void LeaseManager::propose_decision(Step step, std::string reason, LeaderActions& actions) {
+  decision_proposed_ = true;
+  actions.append(step, change_, std::move(reason));
 }
 
 void LeaseManager::on_propose_request(const ProposeRequest& request, const PolicyStateMachine& policy_state,
                                       LeaderActions& actions) {
-  const auto same = [&request](const ProposeRequest& p) { return p.key == request.key; };
-  std::erase_if(pending_proposals_,
-                [&policy_state](const ProposeRequest& p) { return policy_state.knows_change(p.key); });
+  const auto has_same_key = [&request](const ProposeRequest& pending) { return pending.key == request.key; };
+  std::erase_if(pending_proposals_, [&policy_state](const ProposeRequest& pending) {
+    return policy_state.knows_change(pending.key);
+  });
   // Guards the log against a call that is repeated until its answer comes.
   if (policy_state.knows_change(request.key) ||
-      std::any_of(pending_proposals_.begin(), pending_proposals_.end(), same))
+      std::any_of(pending_proposals_.begin(), pending_proposals_.end(), has_same_key))
     return;
   pending_proposals_.push_back(request);
-  actions.entries.push_back({Step::propose, 0, request.key, request.base_epoch, request.policy, {}});
+  actions.entries.push_back({.step = Step::propose,
+                             .change = 0,
+                             .key = request.key,
+                             .base_epoch = request.base_epoch,
+                             .policy = request.policy,
+                             .reason = {}});
 }
 
 void LeaseManager::on_prepare_reply(const std::string& from, const PrepareReply& reply,
                                     const PolicyStateMachine& policy_state, LeaderActions& actions) {
   track_change(policy_state);
-  if (change_ == 0 || reply.change != change_ || policy_state.change()->committed || decision_proposed_)
-    return;
+  if (!awaits_decision(reply.change, policy_state)) return;
   if (reply.ready) {
     ready_members_.insert(from);
-    return;
+  } else {
+    propose_decision(Step::abort, from + ": " + reply.reason, actions);
   }
-  decision_proposed_ = true;
-  actions.entries.push_back({Step::abort, change_, {}, 0, {}, from + ": " + reply.reason});
 }
 
 void LeaseManager::on_abort_request(Index change, const std::string& from,
                                     const PolicyStateMachine& policy_state, LeaderActions& actions) {
   track_change(policy_state);
-  if (change_ == 0 || change != change_ || policy_state.change()->committed || decision_proposed_) return;
-  decision_proposed_ = true;
-  actions.entries.push_back({Step::abort, change_, {}, 0, {}, "an operator's word at " + from});
+  if (!awaits_decision(change, policy_state)) return;
+  // Operators read this reason in the answer to their call.
+  propose_decision(Step::abort, "an operator's word at " + from, actions);
 }
 
 void LeaseManager::on_revocation_ack(const std::string& from, const LeaseRevocationAck& ack,
                                      const PolicyStateMachine& policy_state) {
-  // Guards against one that yielded to an earlier leadership, or for an earlier change, and holds a newer
-  // lease since.
+  // Guards against a member that gave up its lease to an earlier leadership, or for an earlier change, and
+  // has taken a newer one since.
   if (!revoking_ || ack.term != term_ || ack.epoch != policy_state.epoch()) return;
   if (const auto found = holders_.find(from); found != holders_.end()) found->second.expires_at = Time{0};
 }
 
-/// Who is reached, by membership or by what came lately, and has not said that it can run it.
+/// Members that are reached, by membership or by a recent request, and have not said that they can run it.
 std::set<std::string> LeaseManager::unprepared_members(const std::map<std::string, bool>& members,
                                                        Time now) const {
-  std::set<std::string> all;
-  for (const auto& [name, reached] : members) {
-    if (reached) all.insert(name);
+  std::set<std::string> unprepared;
+  for (const auto& [name, is_reached] : members) {
+    if (is_reached) unprepared.insert(name);
   }
-  // Guards against a view that does not know yet who is there: whoever may decide counts as well.
+  // Guards against a view that does not have all members yet: whoever may decide counts as well.
   for (const auto& [name, holder] : holders_) {
-    if (holder.expires_at > now && now - holder.requested_at <= 2 * settings_.renew_interval)
-      all.insert(name);
+    if (holder.has_lease(now) && now - holder.requested_at <= 2 * settings_.renew_interval)
+      unprepared.insert(name);
   }
-  for (const std::string& name : ready_members_) all.erase(name);
-  return all;
+  for (const std::string& name : ready_members_) unprepared.erase(name);
+  return unprepared;
 }
 
 void LeaseManager::advance(const PolicyStateMachine& policy_state, const std::map<std::string, bool>& members,
                            Time now, LeaderActions& actions) {
-  const Index before = change_;
-  track_change(policy_state);
-  if (change_ != before) change_started_at_ = now;
-  std::erase_if(holders_, [&](const auto& h) {
-    return h.second.expires_at <= now && now - h.second.requested_at > 2 * settings_.renew_interval;
-  });
-  std::erase_if(pending_grants_, [&](const auto& w) { return holders_.count(w.first) == 0; });
-  const bool again = now - announced_at_ >= settings_.urgent_interval;
+  const bool is_new_change = track_change(policy_state);
+  if (is_new_change) change_started_at_ = now;
+  forget_expired_holders(now);
   if (change_ != 0) {
-    if (again || change_ != before) {
-      announced_at_ = now;
-      for (const auto& [name, reached] : members) {
-        if (reached) actions.messages.emplace_back(name, LogPosition{policy_state.index(), settings_.name});
-      }
-      if (revoking_) {
-        for (const auto& [name, holder] : holders_) {
-          if (holder.expires_at > now)
-            actions.messages.emplace_back(name, LeaseRevocation{term_, policy_state.epoch()});
-        }
-      }
-    }
-    if (!policy_state.change()->committed && !decision_proposed_) {
-      std::string missing;
-      for (const std::string& name : unprepared_members(members, now))
-        missing += (missing.empty() ? "" : ", ") + name;
-      if (missing.empty()) {
-        decision_proposed_ = true;
-        actions.entries.push_back({Step::commit, change_, {}, 0, {}, {}});
-      } else if (now - change_started_at_ >= settings_.prepare_timeout) {
-        decision_proposed_ = true;
-        actions.entries.push_back({Step::abort, change_, {}, 0, {}, "no answer in time from " + missing});
-      }
-    }
-    if (policy_state.change()->committed && !activation_proposed_) {
-      // Guards the service: while one that fell silent holds a lease, all others go on under the epoch
-      // before.
-      const bool heard = std::none_of(holders_.begin(), holders_.end(), [&](const auto& h) {
-        return h.second.expires_at > now && is_silent(h.second, now);
-      });
-      if (!revoking_ && heard && earlier_leases_expire_at_ <= now) {
-        revoking_ = true;
-        announced_at_ = now;
-        for (const auto& [name, holder] : holders_) {
-          if (holder.expires_at > now)
-            actions.messages.emplace_back(name, LeaseRevocation{term_, policy_state.epoch()});
-        }
-      }
-      const bool none = std::none_of(holders_.begin(), holders_.end(),
-                                     [now](const auto& h) { return h.second.expires_at > now; });
-      // Guards everywhere or nowhere: nobody may decide under the epoch before any more.
-      if (revoking_ && none && earlier_leases_expire_at_ <= now) {
-        activation_proposed_ = true;
-        actions.entries.push_back({Step::activate, change_, {}, 0, {}, {}});
-      }
+    if (is_new_change || now - announced_at_ >= settings_.urgent_interval)
+      announce_change(policy_state, members, now, actions);
+    if (policy_state.change()->committed) {
+      advance_activation(policy_state, now, actions);
+    } else {
+      decide_prepared_change(members, now, actions);
     }
   }
   if (pending_grants_.empty() || revoking_) return;
@@ -205,6 +178,77 @@
     send_leadership_checks(now, actions);
 }
 
+/// Those without a lease that have not asked for one lately.
+void LeaseManager::forget_expired_holders(Time now) {
+  std::erase_if(holders_, [&](const auto& item) {
+    const Holder& holder = item.second;
+    return !holder.has_lease(now) && now - holder.requested_at > 2 * settings_.renew_interval;
+  });
+  std::erase_if(pending_grants_, [&](const auto& item) { return holders_.count(item.first) == 0; });
+}
+
+/// Tells members that the log has gone on, and holders to give up their leases where that is due.
+void LeaseManager::announce_change(const PolicyStateMachine& policy_state,
+                                   const std::map<std::string, bool>& members, Time now,
+                                   LeaderActions& actions) {
+  announced_at_ = now;
+  for (const auto& [name, is_reached] : members) {
+    if (is_reached) actions.send(name, LogPosition{policy_state.index(), settings_.name});
+  }
+  if (revoking_) send_revocations(policy_state, now, actions);
+}
+
+/// Commits a change that all reached members have prepared; aborts it where one has not in time.
+void LeaseManager::decide_prepared_change(const std::map<std::string, bool>& members, Time now,
+                                          LeaderActions& actions) {
+  if (decision_proposed_) return;
+  std::string missing;
+  for (const std::string& name : unprepared_members(members, now))
+    missing += (missing.empty() ? "" : ", ") + name;
+  if (missing.empty()) {
+    propose_decision(Step::commit, {}, actions);
+  } else if (now - change_started_at_ >= settings_.prepare_timeout) {
+    propose_decision(Step::abort, "no answer in time from " + missing, actions);
+  }
+}
+
+/// Ends the leases on the epoch before, then activates the committed change.
+void LeaseManager::advance_activation(const PolicyStateMachine& policy_state, Time now,
+                                      LeaderActions& actions) {
+  if (activation_proposed_ || earlier_leases_expire_at_ > now) return;
+  // Guards the service: while one that fell silent holds a lease, all others go on under the epoch before.
+  if (!revoking_ && !has_silent_lease_holder(now)) start_revocation(policy_state, now, actions);
+  // Guards the invariant: nobody may decide under the epoch before any more.
+  if (!revoking_ || has_lease_holder(now)) return;
+  activation_proposed_ = true;
+  actions.append(Step::activate, change_);
+}
+
+void LeaseManager::start_revocation(const PolicyStateMachine& policy_state, Time now,
+                                    LeaderActions& actions) {
+  revoking_ = true;
+  announced_at_ = now;
+  send_revocations(policy_state, now, actions);
+}
+
+void LeaseManager::send_revocations(const PolicyStateMachine& policy_state, Time now,
+                                    LeaderActions& actions) const {
+  for (const auto& [name, holder] : holders_) {
+    if (holder.has_lease(now)) actions.send(name, LeaseRevocation{term_, policy_state.epoch()});
+  }
+}
+
+bool LeaseManager::has_lease_holder(Time now) const {
+  return std::any_of(holders_.begin(), holders_.end(),
+                     [now](const auto& item) { return item.second.has_lease(now); });
+}
+
+bool LeaseManager::has_silent_lease_holder(Time now) const {
+  return std::any_of(holders_.begin(), holders_.end(), [&](const auto& item) {
+    return item.second.has_lease(now) && is_silent(item.second, now);
+  });
+}
+
 Time LeaseManager::next_due(Time now) const {
   Time due = Time::max();
   if (change_ != 0) due = std::min(due, announced_at_ + settings_.urgent_interval);
@@ -216,44 +260,21 @@
 std::vector<std::string> LeaseManager::blocking_members(const PolicyStateMachine& policy_state,
                                                         const std::map<std::string, bool>& members,
                                                         Time now) const {
-  std::vector<std::string> all;
-  if (!policy_state.change()) return all;
+  std::vector<std::string> blocking;
+  if (!policy_state.change()) return blocking;
   const auto left = [now](Time until) { return std::to_string((until - now).count() / 1000) + " ms"; };
   if (!policy_state.change()->committed) {
     for (const std::string& name : unprepared_members(members, now))
-      all.push_back(name + ": has not prepared");
-    return all;
+      blocking.push_back(name + ": has not prepared");
+    return blocking;
   }
   if (earlier_leases_expire_at_ > now)
-    all.push_back("leases of the leader before: " + left(earlier_leases_expire_at_));
+    blocking.push_back("leases of the leader before: " + left(earlier_leases_expire_at_));
   for (const auto& [name, holder] : holders_) {
-    if (holder.expires_at > now && (revoking_ || is_silent(holder, now)))
-      all.push_back(name + ": may decide under the epoch before for " + left(holder.expires_at));
-  }
-  return all;
-}
-
-std::string LeaseManager::debug_state(Time now, const std::map<std::string, std::uint64_t>& newest) const {
-  const auto left = [now](Time until) {
-    return std::to_string(std::max(Time{0}, until - now).count()) + " ";
-  };
-  std::string text = "T" + std::to_string(term_) + " e" + left(earlier_leases_expire_at_);
-  for (const auto& [name, h] : holders_)
-    text += name + left(h.expires_at) + left(h.requested_at + 2 * settings_.renew_interval);
-  for (const auto& [name, w] : pending_grants_) {
-    const auto found = newest.find(name);
-    text += "w" + name + std::to_string((found == newest.end() ? 0 : found->second) - w.number) +
-            (w.round > round_ ? "n " : "o ");
+    if (holder.has_lease(now) && (revoking_ || is_silent(holder, now)))
+      blocking.push_back(name + ": may decide under the epoch before for " + left(holder.expires_at));
   }
-  text += round_in_progress_ ? "r" + left(round_sent_at_ + settings_.urgent_interval) : "- ";
-  for (const std::string& name : round_confirmed_) text += name;
-  text += " c" + std::to_string(change_) + (decision_proposed_ ? "E" : "") + (revoking_ ? "S" : "") +
-          (activation_proposed_ ? "A" : "");
-  for (const std::string& name : ready_members_) text += name;
-  if (change_ != 0)
-    text += left(change_started_at_ + settings_.prepare_timeout) +
-            left(announced_at_ + settings_.urgent_interval);
-  return text + "p" + std::to_string(pending_proposals_.size());
+  return blocking;
 }
 
 }  // namespace edge_proxy::consensus
--- a/src/consensus/lease_manager.h
+++ b/src/consensus/lease_manager.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The leader's side: grants leases, asks all that are reached whether they can run a policy, and puts the
-/// next step of a change into the log once nobody is left who may decide under the epoch before.
+/// The leader's side: grants leases, collects from the reached members whether they can run a policy, and
+/// appends the next step of a change to the log once nobody is left who may decide under the epoch before.
 #pragma once
 
 #include <map>
@@ -15,10 +15,16 @@
 
 namespace edge_proxy::consensus {
 
-/// What the leader wants done.
+/// What the leader wants done, in this order: all messages, then all entries.
 struct LeaderActions {
-  std::vector<std::pair<std::string, Message>> messages;
-  std::vector<Entry> entries;
+  std::vector<SendMessage> messages;
+  std::vector<Entry> entries;  ///< for the log
+
+  void send(const std::string& to, Message message) { messages.push_back({to, std::move(message)}); }
+  /// A step of a change after its proposal.
+  void append(Step step, Index change, std::string reason = {}) {
+    entries.push_back({step, change, {}, 0, {}, std::move(reason)});
+  }
 };
 
 class LeaseManager {
@@ -39,38 +45,51 @@
   void on_propose_request(const ProposeRequest& request, const PolicyStateMachine& policy_state,
                           LeaderActions& actions);
 
-  /// What the time, or any of the above, has made due. `members`: the registered ones, and whether each is
-  /// reached.
+  /// Does what the time, or any of the above, has made due. `members`: the registered ones, and whether each
+  /// is reached.
   void advance(const PolicyStateMachine& policy_state, const std::map<std::string, bool>& members, Time now,
                LeaderActions& actions);
   [[nodiscard]] Time next_due(Time now) const;
 
-  /// Who is waited for, and why.
+  /// Members, or leases of an earlier leader, that a change waits for, each with the reason.
   [[nodiscard]] std::vector<std::string> blocking_members(const PolicyStateMachine& policy_state,
                                                           const std::map<std::string, bool>& members,
                                                           Time now) const;
   [[nodiscard]] Term term() const { return term_; }
   [[nodiscard]] const std::set<std::string>& ready_members() const { return ready_members_; }
   void set_voters(std::set<std::string> voters) { voters_ = std::move(voters); }
-  /// All of it, with times relative to `now` and the numbers of what was asked for to each member's newest:
-  /// alike for states that go on alike. For those who search them.
+  /// The whole state, with times relative to `now` and numbers of requests relative to each member's newest:
+  /// equal for states that behave alike from here on. For the model checker.
   [[nodiscard]] std::string debug_state(Time now, const std::map<std::string, std::uint64_t>& newest) const;
 
-  /// After this, by the leader's clock, a lease that was granted now has run out by its holder's, if both
-  /// clocks are off by `drift` at most.
+  /// After this, by the leader's clock, a lease that was granted now has expired by its holder's, if both
+  /// clocks are off by `drift` (a fraction) at most.
   static Time lease_expiry_bound(Time lease, double drift);
 
  private:
   struct Holder {
-    Time expires_at{0};  // its lease may last that long, by this clock
-    Time requested_at{0};
+    [[nodiscard]] bool has_lease(Time now) const { return expires_at > now; }
+
+    Time expires_at{0};    // its lease may last that long, by this clock
+    Time requested_at{0};  // its newest request came
   };
   struct PendingGrant {
-    std::uint64_t number = 0;
-    std::uint64_t round = 0;  // the first round that began after it came
+    std::uint64_t number = 0;  // of the request
+    std::uint64_t round = 0;   // of leadership checks: the first one that began after the request came
   };
 
-  void track_change(const PolicyStateMachine& policy_state);
+  bool track_change(const PolicyStateMachine& policy_state);
+  [[nodiscard]] bool awaits_decision(Index change, const PolicyStateMachine& policy_state) const;
+  void propose_decision(Step step, std::string reason, LeaderActions& actions);
+  void forget_expired_holders(Time now);
+  void announce_change(const PolicyStateMachine& policy_state, const std::map<std::string, bool>& members,
+                       Time now, LeaderActions& actions);
+  void decide_prepared_change(const std::map<std::string, bool>& members, Time now, LeaderActions& actions);
+  void advance_activation(const PolicyStateMachine& policy_state, Time now, LeaderActions& actions);
+  void start_revocation(const PolicyStateMachine& policy_state, Time now, LeaderActions& actions);
+  void send_revocations(const PolicyStateMachine& policy_state, Time now, LeaderActions& actions) const;
+  [[nodiscard]] bool has_lease_holder(Time now) const;
+  [[nodiscard]] bool has_silent_lease_holder(Time now) const;
   void send_leadership_checks(Time now, LeaderActions& actions);
   void grant_pending(const PolicyStateMachine& policy_state, Time now, LeaderActions& actions);
   [[nodiscard]] bool is_silent(const Holder& holder, Time now) const;
@@ -83,7 +102,7 @@
   Time earlier_leases_expire_at_;  // leases of earlier leaders may last that long
 
   std::map<std::string, Holder> holders_;
-  std::map<std::string, PendingGrant> pending_grants_;  // for a lease
+  std::map<std::string, PendingGrant> pending_grants_;  // requests for a lease
   std::uint64_t round_ = 0;
   bool round_in_progress_ = false;
   Time round_sent_at_{0};
@@ -93,7 +112,7 @@
   Time change_started_at_{0};
   std::set<std::string> ready_members_;
   bool decision_proposed_ = false;  // commit or abort is in the log, or on its way
-  bool revoking_ = false;           // nobody is granted a lease any more
+  bool revoking_ = false;           // no lease is granted until the change is active
   bool activation_proposed_ = false;
   Time announced_at_{0};
   std::vector<ProposeRequest> pending_proposals_;  // appended in this leadership and not applied yet
--- a/src/consensus/reducer.cpp
+++ b/src/consensus/reducer.cpp
@@ -144,13 +144,14 @@
 }
 
 void State::on_message(const std::string& from, const LeadershipCheckReply& message) {
-  with_lease_manager([&](LeaderActions& wish) {
-    lease_manager_->on_leadership_check_reply(from, message, state_machine_, now_, wish);
+  with_lease_manager([&](LeaderActions& actions) {
+    lease_manager_->on_leadership_check_reply(from, message, state_machine_, now_, actions);
   });
 }
 void State::on_message(const std::string& from, const PrepareReply& message) {
-  with_lease_manager(
-      [&](LeaderActions& wish) { lease_manager_->on_prepare_reply(from, message, state_machine_, wish); });
+  with_lease_manager([&](LeaderActions& actions) {
+    lease_manager_->on_prepare_reply(from, message, state_machine_, actions);
+  });
 }
 void State::on_message(const std::string& from, const LeaseRevocationAck& message) {
   with_lease_manager(
@@ -161,22 +162,22 @@
       message.key.size() > kMostKey)
     return;
   with_lease_manager(
-      [&](LeaderActions& wish) { lease_manager_->on_propose_request(message, state_machine_, wish); });
+      [&](LeaderActions& actions) { lease_manager_->on_propose_request(message, state_machine_, actions); });
 }
 void State::on_message(const std::string& from, const AbortRequest& message) {
-  with_lease_manager([&](LeaderActions& wish) {
-    lease_manager_->on_abort_request(message.change, from, state_machine_, wish);
+  with_lease_manager([&](LeaderActions& actions) {
+    lease_manager_->on_abort_request(message.change, from, state_machine_, actions);
   });
 }
 
-/// Has the leader's side do that, where this proxy leads, and carries out what it wants.
-template <typename Does>
-void State::with_lease_manager(Does&& does) {
+/// Runs a step of the lease manager, where this proxy leads, and carries out what it wants.
+template <typename LeaderStep>
+void State::with_lease_manager(LeaderStep&& step) {
   if (!lease_manager_) return;
-  LeaderActions wish;
-  does(wish);
-  for (auto& [to, message] : wish.messages) send(to, std::move(message));
-  for (Entry& entry : wish.entries) effects_.emplace_back(AppendEntry{std::move(entry)});
+  LeaderActions actions;
+  step(actions);
+  for (auto& [to, message] : actions.messages) send(to, std::move(message));
+  for (Entry& entry : actions.entries) effects_.emplace_back(AppendEntry{std::move(entry)});
 }
 
 // ---- The member's side ----
@@ -270,7 +271,7 @@
 
 void State::run_timers() {
   with_lease_manager(
-      [&](LeaderActions& wish) { lease_manager_->advance(state_machine_, members_, now_, wish); });
+      [&](LeaderActions& actions) { lease_manager_->advance(state_machine_, members_, now_, actions); });
   if (next_lease_request_ <= now_) request_lease();
   if (!is_voter_ && newest_index_ > state_machine_.index() && next_catch_up_ <= now_) request_catch_up();
   if (!pending_calls_.empty() && next_call_ <= now_) {
@@ -368,20 +369,4 @@
   }
 }
 
-std::string State::debug_state(const std::map<std::string, std::uint64_t>& newest) const {
-  const auto left = [this](Time until) { return std::to_string(std::max(Time{0}, until - now_).count()); };
-  const Snapshot w = state_machine_.snapshot();
-  std::string text = "i" + std::to_string(w.index) + " n" + std::to_string(newest_index_) + " E" +
-                     std::to_string(w.epoch) + w.key;
-  for (const Change& c : w.change) text += " c" + std::to_string(c.id) + (c.committed ? "C" : "P");
-  for (const ChangeOutcome& o : w.outcomes) text += " o" + o.key + std::to_string(static_cast<int>(o.result));
-  text += " L" + std::to_string(lease_.epoch()) + ":" + left(lease_.expires_at());
-  for (const auto& [number, at] : lease_.requested_at())
-    text += " q" + std::to_string(lease_.newest_request() - number) + ":" + left(at + settings_.lease);
-  text += " l" + leader_ + (is_voter_ ? "V" : "") + " a" + left(next_lease_request_) + " p" +
-          left(next_catch_up_) + " k" + left(next_call_) + "/" + std::to_string(pending_calls_.size());
-  if (lease_manager_) text += " {" + lease_manager_->debug_state(now_, newest) + "}";
-  return text;
-}
-
 }  // namespace edge_proxy::consensus
--- a/src/consensus/reducer.h
+++ b/src/consensus/reducer.h
@@ -69,10 +69,6 @@
 
 // ---- Effects ----
 
-struct SendMessage {
-  std::string to;
-  Message message;
-};
 /// To the log, at its leader. It may be lost with the leadership.
 struct AppendEntry {
   Entry entry;
@@ -172,8 +168,8 @@
   void request_lease();
   void request_catch_up();
   void report_decision();
-  template <typename Does>
-  void with_lease_manager(Does&& does);
+  template <typename LeaderStep>
+  void with_lease_manager(LeaderStep&& step);
   void send(const std::string& to, Message message);
   [[nodiscard]] std::string next_catch_up_source();
   [[nodiscard]] bool is_urgent() const;
--- a/src/consensus/types.h
+++ b/src/consensus/types.h
@@ -72,7 +72,7 @@
   auto operator<=>(const LeaseRequest&) const = default;
 };
 struct LeaseGrant {
-  std::uint64_t request_number = 0;  ///< of the Ask
+  std::uint64_t request_number = 0;  ///< of the LeaseRequest
   Epoch epoch = 0;
   Time duration{0};
   Index index = 0;  ///< the log has come this far
@@ -134,7 +134,7 @@
   std::vector<std::pair<Index, Entry>> entries;  ///< all up to there
   auto operator<=>(const CatchUpResponse&) const = default;
 };
-/// All that the log has come to: for one that is too far behind for Pulled.
+/// All that the log has come to: for one that is too far behind for CatchUpResponse.
 struct Snapshot {
   Index index = 0;
   Epoch epoch = 0;
@@ -146,5 +146,10 @@
 using Message = std::variant<LeaseRequest, LeaseGrant, LeadershipCheck, LeadershipCheckReply, LogPosition,
                              PrepareReply, LeaseRevocation, LeaseRevocationAck, ProposeRequest, AbortRequest,
                              CatchUpRequest, CatchUpResponse, Snapshot>;
+/// A message to be sent to a member.
+struct SendMessage {
+  std::string to;
+  Message message;
+};
 
 }  // namespace edge_proxy::consensus
--- a/tests/golden/consensus_trace.cpp
+++ b/tests/golden/consensus_trace.cpp
@@ -276,7 +276,7 @@
 std::string text_of(const consensus::LeaderActions& actions) {
   return TraceLine("LeaderActions")
       .verbatim("send", list_of(actions.messages,
-                                [](const auto& item) { return item.first + ":" + text_of(item.second); }))
+                                [](const auto& item) { return item.to + ":" + text_of(item.message); }))
       .verbatim("append", list_of(actions.entries, [](const auto& entry) { return text_of(entry); }))
       .text();
 }
