--- a/src/proxy/context.h
+++ b/src/proxy/context.h
@@ -4,6 +4,7 @@
 /// ids.
 #pragma once
 
+#include <cstdint>
 #include <string>
 #include <string_view>
 #include <utility>
@@ -15,25 +16,42 @@
 
 namespace edge_proxy::proxy {
 
+/// What a timer is for, and which of its fields say what about.
 enum class TimerKind {
-  router_timer,        // a Wake of the module's
-  request_expired,     // id: the request
-  attempt_timeout,     // id, number: the attempt
-  delayed_completion,  // an ending that was held back a moment
-  connect_timeout,     // connection
-  sweep,               // idle and silent connections
-  discovery_connect,
-  log_stats,  // a line in the log
-  close_idle,
+  router_timer,        ///< a SetTimer of the router's: router_token
+  request_expired,     ///< request
+  attempt_timeout,     ///< request, attempt
+  delayed_completion,  ///< completions that were held back a moment
+  connect_timeout,     ///< connection
+  sweep,               ///< closes idle and silent connections
+  discovery_connect,   ///< opens the connection to the discovery service again
+  log_stats,           ///< writes the statistics of the last second to the log
+  close_idle,          ///< a step of the graceful shutdown, like those below
   stop_listening,
   stop_serving,
   stop_flushing
 };
 struct Timer {
   TimerKind kind = TimerKind::sweep;
-  std::string request;
+  std::string request{};
   int attempt = 0;
   ConnectionId connection = 0;
+  std::int64_t router_token = 0;
+
+  /// A timer that concerns nothing in particular.
+  static Timer of(TimerKind kind) { return {.kind = kind}; }
+  static Timer router_timer(std::int64_t token) {
+    return {.kind = TimerKind::router_timer, .router_token = token};
+  }
+  static Timer request_expired(std::string request) {
+    return {.kind = TimerKind::request_expired, .request = std::move(request)};
+  }
+  static Timer attempt_timeout(std::string request, int attempt) {
+    return {.kind = TimerKind::attempt_timeout, .request = std::move(request), .attempt = attempt};
+  }
+  static Timer connect_timeout(ConnectionId connection) {
+    return {.kind = TimerKind::connect_timeout, .connection = connection};
+  }
 };
 
 /// What a connection leaves in the log when it ends.
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -126,7 +126,7 @@
   const bool broke_off = std::exchange(is_connected_, false) && context_.now - opened_at_ >= kLongestWait;
   if (broke_off) backoff_ = Time{0};
   const Time after = broke_off ? jittered(kFirstWait) : backoff_ - jittered(backoff_ / 2);
-  context_.timers.add(context_.now + after, {TimerKind::discovery_connect, {}, 0, 0});
+  context_.timers.add(context_.now + after, Timer::of(TimerKind::discovery_connect));
   backoff_ = std::clamp(backoff_ * 2, kFirstWait, kLongestWait);
 }
 
