--- /dev/null
+++ b/src/proxy/client/client_call_handler.h
@@ -0,0 +1,50 @@
+// SPDX-License-Identifier: MIT
+/// @file
+/// What clients call for, answered here or handed on: the calls of a connection in their order, and what
+/// becomes of its requests when the connection ends.
+#pragma once
+
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "proxy/admin/stats_log.h"
+#include "proxy/client/client_connections.h"
+#include "proxy/client/pending_requests.h"
+#include "proxy/client/request_admission.h"
+#include "proxy/readiness.h"
+#include "proxy/request_dispatcher.h"
+
+namespace edge_proxy::proxy {
+
+class ClientCallHandler {
+ public:
+  struct Dependencies {
+    ClientConnections& connections;
+    PendingRequests& pending_requests;
+    RequestAdmission& admission;
+    RequestDispatcher& dispatcher;
+    const Readiness& readiness;
+    StatsLog& stats;
+  };
+  explicit ClientCallHandler(const Dependencies& dependencies) : dependencies_(dependencies) {}
+
+  void on_bytes(ConnectionId client, std::string_view bytes);
+  /// The connection failed or was ended by the client: its requests are cancelled.
+  void on_closed(ConnectionId client, CloseReason reason);
+  /// Ends the connections that should have ended by now, and cancels their requests.
+  void close_expired();
+
+ private:
+  void handle(ConnectionId client, ObjectRequest& call);
+  void handle(ConnectionId client, const CancelRequest& call);
+  void handle(ConnectionId client, const ReadinessCheck& call);
+  void handle(ConnectionId client, const UnknownMethod& call);
+  void reject(ConnectionId client, const ObjectRequest& call, RejectionReason reason);
+  void close_malformed_stream(ConnectionId client);
+  void cancel(const std::vector<std::string>& requests);
+
+  Dependencies dependencies_;
+};
+
+}  // namespace edge_proxy::proxy
--- /dev/null
+++ b/src/proxy/client/request_admission.cpp
@@ -0,0 +1,60 @@
+// SPDX-License-Identifier: MIT
+#include "proxy/client/request_admission.h"
+
+#include <utility>
+
+namespace edge_proxy::proxy {
+
+RejectionReply reply_to(RejectionReason reason) {
+  switch (reason) {
+    case RejectionReason::duplicate_call_id:
+      return RejectionReply::close_stream;
+    case RejectionReason::malformed_request:
+    case RejectionReason::duplicate_request_id:
+      return RejectionReply::failed;
+    case RejectionReason::client_backed_up:
+    case RejectionReason::shutting_down:
+    case RejectionReason::no_policy_lease:
+    case RejectionReason::class_refused_by_policy:
+    case RejectionReason::body_memory_exhausted:
+      break;
+  }
+  return RejectionReply::try_later;
+}
+
+AdmissionResult RequestAdmission::admit(ConnectionId client, ObjectRequest& call) {
+  if (const auto reason = check_connection(client, call)) return *reason;
+  if (const auto reason = check_policy(call)) return *reason;
+  // Guards what is accepted late against the end of the process: it would never be answered.
+  PendingRequests& pending_requests = dependencies_.pending_requests;
+  std::optional<PendingRequest> request =
+      pending_requests.read(client, call, dependencies_.shutdown.answer_deadline());
+  if (!request) return RejectionReason::malformed_request;
+  if (pending_requests.find(request->request.id) != nullptr) return RejectionReason::duplicate_request_id;
+  // Guards the memory against clients that send more than can be passed on.
+  if (!pending_requests.has_room_for(*request)) return RejectionReason::body_memory_exhausted;
+  return std::move(*request);
+}
+
+std::optional<RejectionReason> RequestAdmission::check_connection(ConnectionId client,
+                                                                  const ObjectRequest& call) const {
+  if (dependencies_.clients.has_open_call(client, call.id)) return RejectionReason::duplicate_call_id;
+  // Guards against clients that ask for more than they may or read: these rejections take next to no work.
+  if (dependencies_.clients.is_backed_up(client)) return RejectionReason::client_backed_up;
+  if (!dependencies_.shutdown.accepts_requests()) return RejectionReason::shutting_down;
+  return std::nullopt;
+}
+
+/// Guards the rule that a policy holds everywhere or nowhere.
+std::optional<RejectionReason> RequestAdmission::check_policy(const ObjectRequest& call) {
+  if (!dependencies_.policy.can_decide()) {
+    dependencies_.policy.count_rejected();
+    return RejectionReason::no_policy_lease;
+  }
+  if (refused_classes_.empty()) return std::nullopt;
+  const std::size_t request_class = dependencies_.pending_requests.class_of(call);
+  if (!refused_classes_.contains(request_class)) return std::nullopt;
+  return RejectionReason::class_refused_by_policy;
+}
+
+}  // namespace edge_proxy::proxy
--- /dev/null
+++ b/src/proxy/readiness.h
@@ -0,0 +1,29 @@
+// SPDX-License-Identifier: MIT
+/// @file
+/// Whether the proxy is ready for traffic, as clients' readiness checks and the admin address report it.
+#pragma once
+
+#include "proxy/cluster/policy_controller.h"
+#include "proxy/discovery/discovery_handler.h"
+#include "proxy/graceful_shutdown.h"
+
+namespace edge_proxy::proxy {
+
+class Readiness {
+ public:
+  Readiness(const DiscoveryHandler& discovery, const GracefulShutdown& shutdown,
+            const PolicyController& policy)
+      : discovery_(discovery), shutdown_(shutdown), policy_(policy) {}
+
+  /// It knows where requests can go, doesn't stop, and holds a lease on the policy where there is one.
+  [[nodiscard]] bool is_ready() const {
+    return discovery_.has_complete_list() && !shutdown_.is_stopping() && policy_.can_decide();
+  }
+
+ private:
+  const DiscoveryHandler& discovery_;
+  const GracefulShutdown& shutdown_;
+  const PolicyController& policy_;
+};
+
+}  // namespace edge_proxy::proxy
