--- /dev/null
+++ b/src/proxy/upstream/attempt_table.cpp
@@ -0,0 +1,46 @@
+// SPDX-License-Identifier: MIT
+#include "proxy/upstream/attempt_table.h"
+
+#include <utility>
+
+namespace edge_proxy::proxy {
+
+const OutstandingAttempt* AttemptTable::find(const AttemptKey& key) const {
+  const auto found = attempts_.find(key);
+  return found == attempts_.end() ? nullptr : &found->second;
+}
+
+void AttemptTable::apply(const codec::Invalidation& invalidation, Time now) {
+  for (auto& [key, attempt] : attempts_) {
+    if (attempt.is_written || !is_invalidated_by(attempt.request, invalidation)) continue;
+    limit_copy_age(attempt.request, invalidation, now);
+  }
+}
+
+AttemptCompletion AttemptTable::remove(const AttemptKey& key, AttemptResult result, Time now) {
+  const auto found = attempts_.find(key);
+  UpstreamRequest request = std::move(found->second.request);
+  attempts_.erase(found);
+  return {.request = std::move(request.request),
+          .attempt = request.attempt,
+          .endpoint = std::move(request.endpoint),
+          .source = std::move(request.source),
+          .result = result,
+          .duration = now - request.decided_at,
+          .response = {}};
+}
+
+void AttemptTable::release_delayed_completion() {
+  if (delayed_completions_.empty()) return;
+  completions_.push_back(std::move(delayed_completions_.front()));
+  delayed_completions_.pop_front();
+}
+
+std::optional<AttemptCompletion> AttemptTable::take_completion() {
+  if (completions_.empty()) return std::nullopt;
+  AttemptCompletion oldest = std::move(completions_.front());
+  completions_.pop_front();
+  return oldest;
+}
+
+}  // namespace edge_proxy::proxy
--- /dev/null
+++ b/src/proxy/upstream/upstream_connection.cpp
@@ -0,0 +1,118 @@
+// SPDX-License-Identifier: MIT
+#include "proxy/upstream/upstream_connection.h"
+
+#include <utility>
+
+namespace edge_proxy::proxy {
+
+bool UpstreamConnection::is_idle() const {
+  return open_attempts_.empty() && queued_attempts_.empty() && health_checks_.empty() && commands_.empty();
+}
+
+bool UpstreamConnection::is_suspicious(Time now) const {
+  return awaits_answer() && now - heard_at_ >= kSilenceLimit;
+}
+
+bool UpstreamConnection::is_silent_since(Time since) const {
+  return is_connected_ && heard_at_ < since && awaits_answer();
+}
+
+bool UpstreamConnection::may_hold_unread_answers() const {
+  return is_connected_ && !is_writing_ && !open_attempts_.empty();
+}
+
+std::vector<AttemptKey> UpstreamConnection::open_attempts() const {
+  std::vector<AttemptKey> keys;
+  keys.reserve(open_attempts_.size());
+  for (const auto& [request, attempt] : open_attempts_) keys.push_back({request, attempt});
+  return keys;
+}
+
+std::optional<AttemptKey> UpstreamConnection::find_open_attempt(const std::string& request) const {
+  const auto found = open_attempts_.find(request);
+  if (found == open_attempts_.end()) return std::nullopt;
+  return AttemptKey{found->first, found->second};
+}
+
+std::optional<AttemptKey> UpstreamConnection::attempt_being_written() const {
+  return is_writing_ ? attempt_being_written_ : std::nullopt;
+}
+
+void UpstreamConnection::abandon_open_attempt(const std::string& request, bool send_cancel) {
+  ++unanswered_count_;
+  if (send_cancel) commands_ += codec::write_cancel(request);
+}
+
+// ---- Health checks ----
+
+void UpstreamConnection::queue_health_check(const std::string& tag, Time now) {
+  health_checks_[tag] = now;
+  commands_ += codec::write_health_check(tag);
+}
+
+std::optional<Time> UpstreamConnection::take_health_check(const std::string& tag, Time now) {
+  const auto found = health_checks_.find(tag);
+  if (found == health_checks_.end()) return std::nullopt;
+  const Time duration = now - found->second;
+  health_checks_.erase(found);
+  return duration;
+}
+
+std::vector<Time> UpstreamConnection::take_expired_health_checks(Time now) {
+  std::vector<Time> durations;
+  std::erase_if(health_checks_, [now, &durations](const auto& check) {
+    const Time duration = now - check.second;
+    if (duration < kHealthCheckTimeout) return false;
+    durations.push_back(duration);
+    return true;
+  });
+  return durations;
+}
+
+std::vector<Time> UpstreamConnection::take_all_health_checks(Time now) {
+  std::vector<Time> durations;
+  for (const auto& [tag, sent_at] : std::exchange(health_checks_, {})) durations.push_back(now - sent_at);
+  return durations;
+}
+
+// ---- Writing ----
+
+std::string UpstreamConnection::take_commands() {
+  attempt_being_written_.reset();
+  return std::exchange(commands_, {});
+}
+
+std::optional<AttemptKey> UpstreamConnection::take_queued_attempt(Time now) {
+  if (queued_attempts_.empty()) return std::nullopt;
+  AttemptKey key = std::move(queued_attempts_.front());
+  queued_attempts_.pop_front();
+  attempt_being_written_ = key;
+  if (open_attempts_.empty()) heard_at_ = now;  // silence counts from when something was asked
+  open_attempts_[key.request] = key.attempt;
+  ++request_count_;
+  return key;
+}
+
+void UpstreamConnection::on_write_started(Time now) {
+  is_writing_ = true;
+  active_at_ = now;
+}
+
+// ---- What happens to it ----
+
+void UpstreamConnection::on_connected(Time now) {
+  is_connected_ = true;
+  heard_at_ = active_at_ = now;
+}
+
+void UpstreamConnection::on_bytes(std::string_view bytes, Time now) {
+  heard_at_ = active_at_ = now;
+  unanswered_count_ = 0;
+  reader_.feed(bytes);
+}
+
+void UpstreamConnection::forget_expired_uses(Time now) {
+  std::erase_if(used_by_, [now](const auto& use) { return use.second <= now; });
+}
+
+}  // namespace edge_proxy::proxy
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -2,46 +2,40 @@
 #include "proxy/upstream/upstream_pool.h"
 
 #include <algorithm>
+#include <utility>
+
+#include "proxy/upstream/load_report.h"
 
 namespace edge_proxy::proxy {
 namespace {
 
 using namespace std::chrono_literals;
 
-constexpr Time kBeforePeer = 2s;  // idle connections are closed this much before the peer does
-constexpr Time kAskedWithin = 250ms;
-// A link that was asked something and on which nothing was heard for this long takes nothing new: the machine
-// may have vanished, and only a new connection tells.
-constexpr Time kDoubtAfter = 1s;
-// An attempt that this side ended counts as out until the other side has read of it, and the next attempt
-// travels on another connection: its ending is told a moment later.
-constexpr Time kCancelTravels = 10ms;
-constexpr std::size_t kMostLinks = 32;  // to one member
-
-std::int64_t whole_ms(Time span) { return std::chrono::floor<std::chrono::milliseconds>(span).count(); }
-
-std::optional<LoadReport> read_report(std::string_view text) {
-  LoadReport report;
-  while (!text.empty()) {
-    const std::string_view item = text.substr(0, text.find(';'));
-    text.remove_prefix(std::min(item.size() + 1, text.size()));
-    const std::size_t colon = item.find(':');
-    if (colon == std::string_view::npos) continue;
-    double value = 0;
-    const std::string_view digits = item.substr(colon + 1);
-    if (std::from_chars(digits.data(), digits.data() + digits.size(), value).ec != std::errc{}) continue;
-    const std::string_view name = item.substr(0, colon);
-    if (name == "inflight") report.in_flight = value;
-    if (name == "queue") report.queued = value;
-    if (name == "util") report.busy = value;
-    if (name == "x0") report.hit_ratio = value;
-    if (name == "x1") report.link_utilization = value;
+/// An idle connection is closed this much before the endpoint would close it.
+constexpr Time kIdleCloseMargin = 2s;
+/// An attempt that this side ended counts as in flight until the other side has read of it, and the next
+/// attempt travels on another connection: its completion is held back for this long.
+constexpr Time kCancelDelay = 10ms;
+
+AttemptResult result_of(codec::CacheResponseStatus status) {
+  using codec::CacheResponseStatus;
+  switch (status) {
+    case CacheResponseStatus::hit:
+    case CacheResponseStatus::not_modified:
+      return AttemptResult::served;
+    case CacheResponseStatus::not_found:
+      return AttemptResult::cache_miss;
+    case CacheResponseStatus::shed:
+      return AttemptResult::shed;
+    case CacheResponseStatus::expired:
+      return AttemptResult::not_sent;
+    default:
+      return AttemptResult::error;
   }
-  return report;
 }
 
-bool names(const codec::Invalidation& recall, const UpstreamRequest& order) {
-  return recall.object ? *recall.object == order.object : recall.group == order.group;
+bool is_health_response(codec::CacheResponseStatus status) {
+  return status == codec::CacheResponseStatus::healthy || status == codec::CacheResponseStatus::unhealthy;
 }
 
 }  // namespace
@@ -50,470 +44,401 @@
                            std::function<bool(const std::string&)> is_owed)
     : context_(context),
       connect_timeout_(config.connect_timeout),
-      idle_timeout_(std::max(config.connection_idle - kBeforePeer, config.connection_idle / 2)),
+      idle_timeout_(std::max(config.connection_idle - kIdleCloseMargin, config.connection_idle / 2)),
       max_requests_per_connection_(static_cast<std::size_t>(config.requests_per_connection)),
-      load_report_via_(config.settings.report_via),
       cancellation_(config.settings.cancellation),
       is_owed_(std::move(is_owed)),
       written_by_class_(config.settings.classes.size()) {}
 
-// ---- Members ----
+// ---- Endpoints ----
 
 void UpstreamPool::apply(const codec::EndpointUpdate& update) {
-  if (update.is_complete) {  // who is not in it is gone
-    for (auto& [id, entry] : endpoints_) entry.endpoint.state = EndpointState::removed;
-  }
+  if (update.is_complete) endpoints_.mark_all_removed();
   for (const codec::ListedEndpoint& listed : update.endpoints) {
-    EndpointEntry& entry = endpoints_[listed.endpoint.id];
-    // Guards against an id whose process or address is another one now: the old connections, which may be
-    // silent for ever, are not its own.
-    const bool moved = !listed.address.empty() && entry.address != listed.address;
-    if (listed.endpoint.state != EndpointState::removed &&
-        (entry.process_started != listed.process_started || moved)) {
-      retire_connections(entry, CloseReason::endpoint_replaced);
+    if (endpoints_.is_replaced_by(listed)) {
+      retire_connections(listed.endpoint.id, CloseReason::endpoint_replaced);
     }
-    entry.endpoint = listed.endpoint;
-    entry.process_started = listed.process_started;
-    if (!listed.address.empty()) entry.address = listed.address;
+    endpoints_.update(listed);
   }
-  for (auto& [id, entry] : endpoints_) {
-    if (entry.endpoint.state != EndpointState::removed) continue;
-    retire_connections(entry, CloseReason::endpoint_left);
+  for (const std::string& id : endpoints_.removed()) retire_connections(id, CloseReason::endpoint_left);
+  for (auto& [id, connection] : connections_) drop_stale_queued(connection);
+  for (const ConnectionId id : connection_ids()) {
+    close_if_writing(id, [this](const UpstreamRequest& request) { return !can_send(request); });
   }
-  for (auto& [id, link] : connections_) drop_stale_queued(id);
-  for (const ConnectionId id : connection_ids())
-    close_if_writing_stale(id, [this](const UpstreamRequest& o) { return !can_send(o); });
-  // Guards the memory through days on which members are replaced for ever: their links have ended, or will
-  // within a moment, and with them all attempts on them.
-  std::erase_if(endpoints_, [](const auto& m) { return m.second.endpoint.state == EndpointState::removed; });
-}
-
-/// The member's process has gone, or is another one now. Guards answers that it gave before against being
-/// lost unread: the list is read before them. What is not wholly written can't have been answered.
-void UpstreamPool::retire_connections(EndpointEntry& endpoint, CloseReason reason) {
-  for (const ConnectionId id : std::set(endpoint.connections)) {
-    UpstreamConnection& link = connections_.at(id);
-    if (!link.is_connected || link.is_writing || link.open_attempts.empty()) {
-      close(id, reason, true);
+  // Their connections have ended, or will within a moment, and with them all attempts on them.
+  endpoints_.erase_removed();
+}
+
+/// The endpoint's process has gone, or is another one now. Guards responses that it gave before against being
+/// lost unread: the list is read before them. What is not written wholly can't have been answered.
+void UpstreamPool::retire_connections(const std::string& endpoint, CloseReason reason) {
+  EndpointTable::Entry& entry = *endpoints_.find(endpoint);
+  for (const ConnectionId id : std::set(entry.connections)) {
+    UpstreamConnection& connection = connections_.at(id);
+    if (!connection.may_hold_unread_answers()) {
+      close(id, reason, ClosedBy::proxy);
       continue;
     }
-    endpoint.connections.erase(id);
-    link.retired_for = reason;
-    for (const AttemptKey& key : std::deque(link.queued_attempts)) complete(key, AttemptResult::not_sent);
+    entry.connections.erase(id);
+    connection.retire(reason);
+    for (const AttemptKey& key : std::deque(connection.queued_attempts())) {
+      complete(key, AttemptResult::not_sent);
+    }
     context_.drain_and_close(id);
   }
 }
 
-std::size_t UpstreamPool::not_running_count() const {
-  return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), [](const auto& m) {
-    return m.second.endpoint.state != EndpointState::running;
-  }));
-}
-
-bool UpstreamPool::accepts_attempts(const std::string& endpoint) const {
-  const auto found = endpoints_.find(endpoint);
-  return found != endpoints_.end() && found->second.endpoint.state == EndpointState::running;
-}
-
 bool UpstreamPool::can_send(const UpstreamRequest& request) const {
-  return accepts_attempts(request.endpoint) && accepts_attempts(request.source);
-}
-
-/// Guards the rule on drains: what waits for a connection goes neither to nor by way of a member that does
-/// not run any more. Guards caches against work for clients that have gone meanwhile, and the idempotency
-/// window of a key against a repeat that waited too long. It never ran.
-void UpstreamPool::drop_stale_queued(ConnectionId id) {
-  std::vector<AttemptKey> gone;
-  for (const AttemptKey& key : connections_.at(id).queued_attempts) {
-    const UpstreamRequest& order = attempts_.at(key).request;
-    const bool too_late = order.expires_at <= context_.now ||
-                          (order.send_before > Time{0} && order.send_before <= context_.now);
-    if (too_late || !is_owed_(order.request) || !can_send(order)) gone.push_back(key);
-  }
-  for (const AttemptKey& key : gone) complete(key, AttemptResult::not_sent);
-}
-
-/// What is being written on a connection that takes no more bytes may begin much later. Where the attempt in
-/// it must not go any more, the connection ends with it. Guards the rules on drains and purges against a
-/// member that does not read for a while. Harm: what else is open there is broken off.
-void UpstreamPool::close_if_writing_stale(ConnectionId id,
-                                          const std::function<bool(const UpstreamRequest&)>& stale) {
-  const UpstreamConnection& link = connections_.at(id);
-  if (!link.is_writing || !link.attempt_being_written) return;
-  const auto attempt = attempts_.find(*link.attempt_being_written);
-  if (attempt != attempts_.end() && stale(attempt->second.request)) close(id, CloseReason::stalled, true);
-}
-
-std::vector<ConnectionId> UpstreamPool::connection_ids() const {
-  std::vector<ConnectionId> ids;
-  for (const auto& [id, link] : connections_) ids.push_back(id);
-  return ids;
+  return endpoints_.accepts_attempts(request.endpoint) && endpoints_.accepts_attempts(request.source);
 }
 
-/// Guards the rule on purges: an attempt decided before the purge and not written yet must not be served from
-/// an older copy.
 void UpstreamPool::invalidate(const codec::Invalidation& invalidation) {
-  for (auto& [key, attempt] : attempts_) {
-    UpstreamRequest& order = attempt.request;
-    if (attempt.is_written || !names(invalidation, order)) continue;
-    const Time since = std::max(Time{1}, context_.now - invalidation.issued_at);
-    order.max_copy_age = order.max_copy_age.count() == 0 ? since : std::min(order.max_copy_age, since);
-  }
+  attempts_.apply(invalidation, context_.now);
   for (const ConnectionId id : connection_ids()) {
-    close_if_writing_stale(id, [&invalidation](const UpstreamRequest& o) { return names(invalidation, o); });
+    close_if_writing(id, [&invalidation](const UpstreamRequest& request) {
+      return is_invalidated_by(request, invalidation);
+    });
   }
 }
 
-// ---- Attempts and probes ----
+// ---- Attempts ----
 
-bool UpstreamPool::is_suspicious(const UpstreamConnection& link) const {
-  return (link.unanswered_count > 0 || !link.open_attempts.empty()) &&
-         context_.now - link.heard_at >= kDoubtAfter;
-}
-
-ConnectionId UpstreamPool::connection_for(EndpointEntry& endpoint, const std::string& request) {
-  ConnectionId best = 0;
-  std::size_t best_load = 0;
-  bool best_up = false;
-  for (const ConnectionId id : endpoint.connections) {
-    const UpstreamConnection& link = connections_.at(id);
-    const std::size_t load = link.open_attempts.size() + link.queued_attempts.size();
-    // Guards against an answer that comes late or twice and is taken for that of a further attempt.
-    const bool same = link.used_by_requests.count(request) != 0;
-    if (same || load >= max_requests_per_connection_ || is_suspicious(link)) continue;
-    if (best == 0 || std::pair(!link.is_connected, load) < std::pair(!best_up, best_load)) {
-      best = id;
-      best_load = load;
-      best_up = link.is_connected;
-    }
-  }
-  // Guards what shares a connection with an answer that turns out spoilt, and is lost with it: where none is
-  // free, another is brought up, so that soon each request has its own. Until then the least busy one serves.
-  const bool coming_up = std::any_of(endpoint.connections.begin(), endpoint.connections.end(),
-                                     [this](ConnectionId id) { return !connections_.at(id).is_connected; });
-  if (best != 0 && (best_load == 0 || coming_up)) return best;
-  if (endpoint.connections.size() >= max_connections_per_endpoint()) return best;
-  if (connections_.size() >= static_cast<std::size_t>(context_.limits.upstream_connections) &&
-      (best != 0 || !close_idlest()))
-    return best;
-  const ConnectionId id = open_connection(endpoint);
-  return best != 0 ? best : id;
-}
-
-/// Ends the connection that has served nobody for longest, so that one to another member can come up.
-bool UpstreamPool::close_idlest() {
-  auto idlest = connections_.end();
-  for (auto link = connections_.begin(); link != connections_.end(); ++link) {
-    if (link->second.is_connected && is_idle(link->second) &&
-        (idlest == connections_.end() || link->second.active_at < idlest->second.active_at))
-      idlest = link;
+void UpstreamPool::start_attempt(UpstreamRequest request) {
+  const AttemptKey key{request.request, request.attempt};
+  const Time expires_at = request.expires_at;
+  std::optional<ConnectionId> id;
+  if (can_send(request) && expires_at > context_.now) id = connection_for(request.endpoint, request.request);
+  attempts_.add(key, {.request = std::move(request), .connection = id});
+  if (!id) {
+    // Also for want of a descriptor, which is no evidence against the endpoint.
+    complete(key, AttemptResult::not_sent);
+    return;
   }
-  if (idlest == connections_.end()) return false;
-  close(idlest->first, CloseReason::too_many, true);
-  return true;
-}
-
-bool UpstreamPool::is_idle(const UpstreamConnection& link) {
-  return link.open_attempts.empty() && link.queued_attempts.empty() && link.health_checks.empty() &&
-         link.commands.empty();
+  context_.timers.add(expires_at, {TimerKind::attempt_timeout, key.request, key.attempt, 0});
+  connections_.at(*id).queue_attempt(key);
+  write_next(*id);
 }
 
-/// How many connections one member may have: an even share of a third of the descriptors.
-std::size_t UpstreamPool::max_connections_per_endpoint() const {
-  const auto caches = std::count_if(endpoints_.begin(), endpoints_.end(),
-                                    [](const auto& m) { return !m.second.connections.empty(); });
-  const auto share =
-      static_cast<std::size_t>(context_.limits.upstream_connections / std::max<std::ptrdiff_t>(caches, 1));
-  return std::clamp(share, std::size_t{4}, kMostLinks);
+void UpstreamPool::cancel_attempt(const std::string& request, int number) {
+  abandon_attempt({request, number}, AttemptResult::cancelled);
 }
 
-ConnectionId UpstreamPool::open_connection(EndpointEntry& endpoint) {
-  const ConnectionId id = context_.connect(endpoint.address);
-  UpstreamConnection& link = connections_[id];
-  link.endpoint = endpoint.endpoint.id;
-  link.opened_at = link.active_at = link.heard_at = context_.now;
-  endpoint.connections.insert(id);
-  context_.timers.add(context_.now + connect_timeout_, {TimerKind::connect_timeout, {}, 0, id});
-  return id;
+void UpstreamPool::time_out_attempt(const std::string& request, int number) {
+  abandon_attempt({request, number}, AttemptResult::timed_out);
 }
 
-void UpstreamPool::start_attempt(UpstreamRequest request) {
-  const AttemptKey key{request.request, request.attempt};
-  const auto found = endpoints_.find(request.endpoint);
-  ConnectionId id = 0;
-  if (accepts_attempts(request.endpoint) && accepts_attempts(request.source) &&
-      request.expires_at > context_.now) {
-    id = connection_for(found->second, request.request);
-  }
-  const Time until = request.expires_at;
-  attempts_[key] = {std::move(request), id, false};
-  if (id == 0) {
-    complete(
-        key,
-        AttemptResult::not_sent);  // also for want of a descriptor, which is no evidence against the member
+void UpstreamPool::abandon_attempt(const AttemptKey& key, AttemptResult result) {
+  const OutstandingAttempt* attempt = attempts_.find(key);
+  if (attempt == nullptr) return;
+  if (!attempt->is_written) {
+    complete(key, AttemptResult::not_sent);
     return;
   }
-  context_.timers.add(until, {TimerKind::attempt_timeout, key.first, key.second, 0});
-  connections_.at(id).queued_attempts.push_back(key);
+  const ConnectionId id = attempt->connection.value();
+  connections_.at(id).abandon_open_attempt(key.request, cancellation_);
+  if (result == AttemptResult::cancelled) {
+    complete(key, result);
+  } else {
+    complete_later(key, result);
+  }
   write_next(id);
 }
 
-std::string UpstreamPool::render(const UpstreamRequest& request) const {
-  codec::FieldList fields = request.fields;
-  fields.add("max", std::to_string(std::max<std::int64_t>(1, whole_ms(request.expires_at - context_.now))));
-  if (request.source != request.endpoint) fields.add("from", request.source);
-  if (request.max_copy_age.count() > 0)
-    fields.add("oldest", std::to_string(std::max<std::int64_t>(1, whole_ms(request.max_copy_age))));
-  return codec::write_request(request.request, fields, request.body);
+/// Guards the rule on drains: what waits for a connection goes neither to nor by way of an endpoint that does
+/// not run any more. Guards caches against work for clients that have gone meanwhile, and the deduplication
+/// window of an idempotency key against a retry that waited too long.
+bool UpstreamPool::is_stale(const UpstreamRequest& request) const {
+  return is_past_send_limit(request, context_.now) || !is_owed_(request.request) || !can_send(request);
 }
 
-/// Writes the next of what waits once all before it has gone: a send counts from its first byte, so what is
-/// left here can still be checked against drains, purges and clients that have gone.
-void UpstreamPool::write_next(ConnectionId id) {
-  UpstreamConnection& link = connections_.at(id);
-  if (!link.is_connected || link.is_writing) return;
-  drop_stale_queued(id);
-  std::string out = std::exchange(link.commands, {});
-  link.attempt_being_written.reset();
-  if (!link.queued_attempts.empty()) {
-    const AttemptKey key = link.queued_attempts.front();
-    link.queued_attempts.pop_front();
-    OutstandingAttempt& attempt = attempts_.at(key);
-    attempt.is_written = true;
-    link.attempt_being_written = key;
-    if (link.open_attempts.empty())
-      link.heard_at = context_.now;  // silence counts from when something was asked
-    link.open_attempts[key.first] = key.second;
-    link.used_by_requests[key.first] = attempt.request.expires_at;
-    ++link.request_count;
-    ++written_by_class_.at(attempt.request.request_class);
-    out += render(attempt.request);
-    attempt.request.body.clear();
+/// What is dropped was never sent.
+void UpstreamPool::drop_stale_queued(UpstreamConnection& connection) {
+  std::vector<AttemptKey> stale;
+  for (const AttemptKey& key : connection.queued_attempts()) {
+    if (is_stale(attempts_.at(key).request)) stale.push_back(key);
   }
-  if (out.empty()) return;
-  link.is_writing = true;
-  link.active_at = context_.now;
-  context_.write(id, std::move(out));
+  for (const AttemptKey& key : stale) complete(key, AttemptResult::not_sent);
 }
 
-void UpstreamPool::complete(const AttemptKey& key, AttemptResult result, codec::CacheResponse response) {
-  const auto found = attempts_.find(key);
-  if (found == attempts_.end()) return;
-  OutstandingAttempt& attempt = found->second;
-  if (const auto link = connections_.find(attempt.connection); link != connections_.end()) {
-    if (attempt.is_written) {
-      link->second.open_attempts.erase(key.first);
-    } else {
-      std::erase(link->second.queued_attempts, key);
-    }
+/// What is being written on a connection that takes no more bytes may begin much later. Where the attempt in
+/// it must not be sent any more, the connection is closed. Guards the rules on drains and invalidations
+/// against an endpoint that does not read for a while. Harm: what else is open there is lost.
+void UpstreamPool::close_if_writing(ConnectionId id, const RequestPredicate& is_stale) {
+  const auto key = connections_.at(id).attempt_being_written();
+  if (!key) return;
+  const OutstandingAttempt* attempt = attempts_.find(*key);
+  if (attempt != nullptr && is_stale(attempt->request)) close(id, CloseReason::stalled, ClosedBy::proxy);
+}
+
+/// Takes the attempt out of the table and off its connection; none where it has ended already.
+std::optional<AttemptCompletion> UpstreamPool::end_attempt(const AttemptKey& key, AttemptResult result) {
+  const OutstandingAttempt* attempt = attempts_.find(key);
+  if (attempt == nullptr) return std::nullopt;
+  if (attempt->connection) detach(key, *attempt);
+  return attempts_.remove(key, result, context_.now);
+}
+
+/// Takes the attempt off its connection, where that is still open.
+void UpstreamPool::detach(const AttemptKey& key, const OutstandingAttempt& attempt) {
+  const auto connection = connections_.find(*attempt.connection);
+  if (connection == connections_.end()) return;
+  if (attempt.is_written) {
+    connection->second.remove_open_attempt(key.request);
+  } else {
+    connection->second.remove_queued_attempt(key);
   }
-  const Time took = context_.now - attempt.request.decided_at;
-  completions_.push_back({key.first, key.second, attempt.request.endpoint, attempt.request.source, result,
-                          took, std::move(response)});
-  attempts_.erase(found);
 }
 
-/// The ending of an attempt that this side broke off.
+void UpstreamPool::complete(const AttemptKey& key, AttemptResult result, codec::CacheResponse response) {
+  auto completion = end_attempt(key, result);
+  if (!completion) return;
+  completion->response = std::move(response);
+  attempts_.add_completion(std::move(*completion));
+}
+
+/// For an attempt that this side ended: see kCancelDelay.
 void UpstreamPool::complete_later(const AttemptKey& key, AttemptResult result) {
-  complete(key, result);
-  delayed_completions_.push_back(std::move(completions_.back()));
-  completions_.pop_back();
-  context_.timers.add(context_.now + kCancelTravels, {TimerKind::delayed_completion, {}, 0, 0});
+  auto completion = end_attempt(key, result);
+  if (!completion) return;
+  attempts_.add_delayed_completion(std::move(*completion));
+  context_.timers.add(context_.now + kCancelDelay, {TimerKind::delayed_completion, {}, 0, 0});
 }
 
-void UpstreamPool::release_delayed_completion() {
-  if (delayed_completions_.empty()) return;
-  completions_.push_back(std::move(delayed_completions_.front()));
-  delayed_completions_.pop_front();
+bool UpstreamPool::take_completion(AttemptCompletion& completion) {
+  auto oldest = attempts_.take_completion();
+  if (oldest) completion = std::move(*oldest);
+  return oldest.has_value();
 }
 
-void UpstreamPool::abandon_attempt(const AttemptKey& key, AttemptResult result) {
-  const auto found = attempts_.find(key);
-  if (found == attempts_.end()) return;
-  if (!found->second.is_written) {
-    complete(key, AttemptResult::not_sent);
+// ---- Health checks ----
+
+void UpstreamPool::check_health(const std::string& endpoint) {
+  std::optional<ConnectionId> id;
+  if (endpoints_.accepts_attempts(endpoint)) id = connection_for(endpoint, {});
+  if (!id) {
+    report_failed_health_checks(endpoint, {Time{0}});
     return;
   }
-  const ConnectionId id = found->second.connection;
-  UpstreamConnection& link = connections_.at(id);
-  ++link.unanswered_count;
-  if (cancellation_) link.commands += codec::write_cancel(key.first);
-  if (result == AttemptResult::cancelled) {
-    complete(key, result);
-  } else {
-    complete_later(key, result);
-  }
-  write_next(id);
+  const std::string tag = std::string("g").append(std::to_string(++last_health_check_));
+  connections_.at(*id).queue_health_check(tag, context_.now);
+  write_next(*id);
 }
 
-void UpstreamPool::cancel_attempt(const std::string& request, int number) {
-  abandon_attempt({request, number}, AttemptResult::cancelled);
+bool UpstreamPool::take_health_result(HealthChecked& result) {
+  if (health_results_.empty()) return false;
+  result = std::move(health_results_.front());
+  health_results_.pop_front();
+  return true;
 }
-void UpstreamPool::time_out_attempt(const std::string& request, int number) {
-  abandon_attempt({request, number}, AttemptResult::timed_out);
+
+void UpstreamPool::on_health_response(UpstreamConnection& connection, const codec::CacheResponse& response) {
+  const auto duration = connection.take_health_check(response.id, context_.now);
+  if (!duration) return;  // it has timed out
+  const auto report = codec::field_in(response.fields, "report");
+  health_results_.push_back({.endpoint = connection.endpoint(),
+                             .answered = response.status == codec::CacheResponseStatus::healthy,
+                             .duration = *duration,
+                             .report = report ? std::optional(read_load_report(*report)) : std::nullopt});
 }
 
-void UpstreamPool::check_health(const std::string& endpoint) {
-  const auto found = endpoints_.find(endpoint);
-  const ConnectionId id =
-      found != endpoints_.end() && accepts_attempts(endpoint) ? connection_for(found->second, {}) : 0;
-  if (id == 0) {
-    health_results_.push_back({endpoint, false, Time{0}, std::nullopt});
-    return;
+void UpstreamPool::report_failed_health_checks(const std::string& endpoint,
+                                               const std::vector<Time>& durations) {
+  for (const Time duration : durations) {
+    health_results_.push_back(
+        {.endpoint = endpoint, .answered = false, .duration = duration, .report = std::nullopt});
   }
-  const std::string tag = std::string("g").append(std::to_string(++last_health_check_));
-  UpstreamConnection& link = connections_.at(id);
-  link.health_checks[tag] = context_.now;
-  link.commands += codec::write_health_check(tag);
-  write_next(id);
 }
 
-bool UpstreamPool::take_completion(AttemptCompletion& ended) {
-  if (completions_.empty()) return false;
-  ended = std::move(completions_.front());
-  completions_.pop_front();
-  return true;
+// ---- Opening and writing ----
+
+std::optional<ConnectionId> UpstreamPool::connection_for(const std::string& endpoint,
+                                                         const std::string& request) {
+  EndpointTable::Entry& entry = *endpoints_.find(endpoint);
+  const auto [best, should_open_another] = select_connection(
+      entry.connections, connections_, {request, max_requests_per_connection_, context_.now});
+  if (!should_open_another || !can_open_connection(entry)) return best;
+  // Only an attempt that no connection can take makes room for a new one.
+  if (!has_free_connection() && (best || !close_longest_idle())) return best;
+  const ConnectionId opened = open_connection(entry);
+  return best.value_or(opened);
 }
 
-bool UpstreamPool::take_health_result(HealthChecked& probed) {
-  if (health_results_.empty()) return false;
-  probed = std::move(health_results_.front());
-  health_results_.pop_front();
-  return true;
+bool UpstreamPool::can_open_connection(const EndpointTable::Entry& endpoint) const {
+  return endpoint.connections.size() <
+         max_connections_per_endpoint(context_.limits.upstream_connections, endpoints_.connected_count());
 }
 
-// ---- Connections ----
+bool UpstreamPool::has_free_connection() const {
+  return connections_.size() < static_cast<std::size_t>(context_.limits.upstream_connections);
+}
+
+ConnectionId UpstreamPool::open_connection(EndpointTable::Entry& endpoint) {
+  const ConnectionId id = context_.connect(endpoint.address);
+  connections_.try_emplace(id, endpoint.endpoint.id, context_.now);
+  endpoint.connections.insert(id);
+  context_.timers.add(context_.now + connect_timeout_, {TimerKind::connect_timeout, {}, 0, id});
+  return id;
+}
+
+/// Writes the next of what waits once all before it has gone: an attempt counts as sent from its first byte,
+/// so what is left here can still be checked against drains, invalidations and clients that have gone.
+void UpstreamPool::write_next(ConnectionId id) {
+  UpstreamConnection& connection = connections_.at(id);
+  if (!connection.can_write()) return;
+  drop_stale_queued(connection);
+  std::string bytes = connection.take_commands();
+  bytes += take_attempt_bytes(connection);
+  if (bytes.empty()) return;
+  connection.on_write_started(context_.now);
+  context_.write(id, std::move(bytes));
+}
+
+/// The bytes of the connection's next attempt, which counts as written from now on; empty where none waits.
+std::string UpstreamPool::take_attempt_bytes(UpstreamConnection& connection) {
+  const auto key = connection.take_queued_attempt(context_.now);
+  if (!key) return {};
+  OutstandingAttempt& attempt = attempts_.at(*key);
+  attempt.is_written = true;
+  connection.set_used_until(key->request, attempt.request.expires_at);
+  ++written_by_class_.at(attempt.request.request_class);
+  std::string bytes = encode(attempt.request, context_.now);
+  attempt.request.body.clear();
+  return bytes;
+}
+
+// ---- What happens on connections ----
 
 void UpstreamPool::on_connected(ConnectionId connection) {
-  UpstreamConnection& link = connections_.at(connection);
-  link.is_connected = true;
-  link.heard_at = link.active_at = context_.now;
+  connections_.at(connection).on_connected(context_.now);
   write_next(connection);
 }
 
-void UpstreamPool::on_bytes(ConnectionId connection, std::string_view on_bytes) {
-  UpstreamConnection& link = connections_.at(connection);
-  link.heard_at = link.active_at = context_.now;
-  link.unanswered_count = 0;
-  link.reader.feed(on_bytes);
-  while (auto answer = link.reader.next()) on_answer(connection, std::move(*answer));
-  if (link.reader.error() != codec::LineError::none) {
-    // Guards against a peer that does not speak the protocol: nothing more it says can be told apart.
-    context_.log("member unreadable answer member=" + link.endpoint +
-                 " error=" + std::to_string(static_cast<int>(link.reader.error())));
-    close(connection, CloseReason::malformed_response, true);
-  }
+void UpstreamPool::on_bytes(ConnectionId connection, std::string_view bytes) {
+  UpstreamConnection& from = connections_.at(connection);
+  from.on_bytes(bytes, context_.now);
+  while (auto response = from.next_response()) on_response(from, std::move(*response));
+  if (from.read_error() == codec::LineError::none) return;
+  // Guards against a peer that does not speak the protocol: nothing more it says can be told apart.
+  context_.log("member unreadable answer member=" + from.endpoint() +
+               " error=" + std::to_string(static_cast<int>(from.read_error())));
+  close(connection, CloseReason::malformed_response, ClosedBy::proxy);
 }
 
-void UpstreamPool::on_answer(ConnectionId id, codec::CacheResponse answer) {
-  UpstreamConnection& link = connections_.at(id);
-  using codec::CacheResponseStatus;
-  if (answer.status == CacheResponseStatus::healthy || answer.status == CacheResponseStatus::unhealthy) {
-    const auto probe = link.health_checks.find(answer.id);
-    if (probe == link.health_checks.end()) return;
-    const auto report = codec::field_in(answer.fields, "report");
-    health_results_.push_back({link.endpoint, answer.status == CacheResponseStatus::healthy,
-                               context_.now - probe->second, report ? read_report(*report) : std::nullopt});
-    link.health_checks.erase(probe);
+void UpstreamPool::on_response(UpstreamConnection& connection, codec::CacheResponse response) {
+  if (is_health_response(response.status)) {
+    on_health_response(connection, response);
     return;
   }
-  const auto open = link.open_attempts.find(answer.id);
-  if (open == link.open_attempts.end()) return;  // a late answer to what was given up
-  const AttemptKey key{open->first, open->second};
-  switch (answer.status) {
-    case CacheResponseStatus::hit:
-    case CacheResponseStatus::not_modified:
-      complete(key, AttemptResult::served, std::move(answer));
-      break;
-    case CacheResponseStatus::not_found:
-      complete(key, AttemptResult::cache_miss);
-      break;
-    case CacheResponseStatus::shed:
-      complete(key, AttemptResult::shed);
-      break;
-    case CacheResponseStatus::expired:
-      complete(key, AttemptResult::not_sent);
-      break;
-    default:
-      complete(key, AttemptResult::error);
+  const auto key = connection.find_open_attempt(response.id);
+  if (!key) return;  // a late response to an attempt that was abandoned
+  const AttemptResult result = result_of(response.status);
+  if (result == AttemptResult::served) {
+    complete(*key, result, std::move(response));
+  } else {
+    complete(*key, result);
   }
 }
 
 void UpstreamPool::on_write_drained(ConnectionId connection) {
-  connections_.at(connection).is_writing = false;
+  connections_.at(connection).on_write_drained();
   write_next(connection);
 }
 
 void UpstreamPool::on_closed(ConnectionId connection, CloseReason reason) {
-  close(connection, reason, false);
+  close(connection, reason, ClosedBy::endpoint);
 }
 
 void UpstreamPool::on_loop_stall() {
-  for (auto& [id, link] : connections_) link.heard_at = context_.now;
+  for (auto& [id, connection] : connections_) connection.on_loop_stall(context_.now);
 }
 
 void UpstreamPool::on_connect_timeout(ConnectionId connection) {
   const auto found = connections_.find(connection);
-  if (found == connections_.end() || found->second.is_connected) return;
-  const std::string member = found->second.endpoint;
-  const Time since = found->second.opened_at;
-  close(connection, CloseReason::connect_timeout, true);
+  if (found == connections_.end() || found->second.is_connected()) return;
+  const std::string endpoint = found->second.endpoint();
+  const Time opened_at = found->second.opened_at();
+  close(connection, CloseReason::connect_timeout, ClosedBy::proxy);
+  const EndpointTable::Entry* entry = endpoints_.find(endpoint);
+  if (entry == nullptr) return;
   // Guards against work that waits on a vanished machine until its clients leave: a new connection does not
   // come up, and on an old one nothing was heard since it was tried.
-  for (const ConnectionId id : std::set(endpoints_.at(member).connections)) {
-    const UpstreamConnection& link = connections_.at(id);
-    if (link.is_connected && link.heard_at < since &&
-        (link.unanswered_count > 0 || !link.open_attempts.empty()))
-      close(id, CloseReason::silent, true);
+  for (const ConnectionId id : std::set(entry->connections)) {
+    if (connections_.at(id).is_silent_since(opened_at)) close(id, CloseReason::silent, ClosedBy::proxy);
   }
 }
 
-/// Ends a connection. What was written on it may have run; what was not never did.
-void UpstreamPool::close(ConnectionId id, CloseReason reason, bool close_it) {
+// ---- Closing ----
+
+/// What was written on the connection may have run; what was not never did.
+void UpstreamPool::close(ConnectionId id, CloseReason reason, ClosedBy closed_by) {
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
-  const UpstreamConnection link = std::move(found->second);
+  UpstreamConnection connection = std::move(found->second);
   connections_.erase(found);
-  if (const auto member = endpoints_.find(link.endpoint); member != endpoints_.end())
-    member->second.connections.erase(id);
-  context_.log_closed({"member", id, link.opened_at, link.request_count, link.endpoint},
-                      link.retired_for.value_or(reason), close_it);
-  for (const AttemptKey& key : link.queued_attempts)
-    complete(key, link.is_connected ? AttemptResult::not_sent : AttemptResult::unreachable);
-  for (const auto& [request, number] : link.open_attempts) {
+  endpoints_.remove_connection(connection.endpoint(), id);
+  context_.log_closed(
+      {"member", id, connection.opened_at(), connection.request_count(), connection.endpoint()},
+      connection.retired_for().value_or(reason), closed_by == ClosedBy::proxy);
+  const AttemptResult unsent_result =
+      connection.is_connected() ? AttemptResult::not_sent : AttemptResult::unreachable;
+  for (const AttemptKey& key : connection.queued_attempts()) complete(key, unsent_result);
+  end_open_attempts(connection, reason, closed_by);
+  report_failed_health_checks(connection.endpoint(), connection.take_all_health_checks(context_.now));
+}
+
+void UpstreamPool::end_open_attempts(const UpstreamConnection& connection, CloseReason reason,
+                                     ClosedBy closed_by) {
+  const bool is_ended_here = closed_by == ClosedBy::proxy || connection.retired_for();
+  for (const AttemptKey& key : connection.open_attempts()) {
     if (reason == CloseReason::malformed_response) {
-      complete_later({request, number}, AttemptResult::malformed_response);
-    } else if (close_it || link.retired_for) {
-      complete_later({request, number}, AttemptResult::connection_lost);
+      complete_later(key, AttemptResult::malformed_response);
+    } else if (is_ended_here) {
+      complete_later(key, AttemptResult::connection_lost);
     } else {
-      complete({request, number}, AttemptResult::connection_lost);
+      complete(key, AttemptResult::connection_lost);
     }
   }
-  for (const auto& [tag, at] : link.health_checks)
-    health_results_.push_back({link.endpoint, false, context_.now - at, std::nullopt});
+}
+
+/// Closes the connection that has served nobody for longest, so that one to another endpoint can come up.
+bool UpstreamPool::close_longest_idle() {
+  const auto id = find_longest_idle(connections_);
+  if (id) close(*id, CloseReason::too_many, ClosedBy::proxy);
+  return id.has_value();
 }
 
 void UpstreamPool::close_expired() {
-  std::vector<std::pair<ConnectionId, CloseReason>> due;
-  for (auto& [id, link] : connections_) {
-    std::erase_if(link.health_checks, [&, &from = link](const auto& probe) {
-      if (context_.now - probe.second < kAskedWithin) return false;
-      health_results_.push_back({from.endpoint, false, context_.now - probe.second, std::nullopt});
-      return true;
-    });
-    std::erase_if(link.used_by_requests, [this](const auto& g) { return g.second <= context_.now; });
-    if (!is_idle(link) || !link.is_connected) continue;
-    if (is_suspicious(link)) {
-      due.emplace_back(id, CloseReason::silent);
-    } else if (context_.now - link.active_at >= idle_timeout_ || !accepts_attempts(link.endpoint)) {
-      due.emplace_back(id, accepts_attempts(link.endpoint) ? CloseReason::idle : CloseReason::endpoint_left);
-    }
+  struct Expired {
+    ConnectionId id = 0;
+    CloseReason reason = CloseReason::idle;
+  };
+  std::vector<Expired> expired;
+  for (auto& [id, connection] : connections_) {
+    report_failed_health_checks(connection.endpoint(), connection.take_expired_health_checks(context_.now));
+    connection.forget_expired_uses(context_.now);
+    if (const auto reason = expiry_of(connection)) expired.push_back({id, *reason});
   }
-  for (const auto& [id, reason] : due) close(id, reason, true);
+  for (const auto& [id, reason] : expired) close(id, reason, ClosedBy::proxy);
+}
+
+/// Why the connection is to be closed, where it is.
+std::optional<CloseReason> UpstreamPool::expiry_of(const UpstreamConnection& connection) const {
+  if (!connection.is_idle() || !connection.is_connected()) return std::nullopt;
+  if (connection.is_suspicious(context_.now)) return CloseReason::silent;
+  if (!endpoints_.accepts_attempts(connection.endpoint())) return CloseReason::endpoint_left;
+  if (context_.now - connection.active_at() >= idle_timeout_) return CloseReason::idle;
+  return std::nullopt;
+}
+
+std::vector<ConnectionId> UpstreamPool::connection_ids() const {
+  std::vector<ConnectionId> ids;
+  ids.reserve(connections_.size());
+  for (const auto& [id, connection] : connections_) ids.push_back(id);
+  return ids;
 }
 
 void UpstreamPool::stop() {
-  while (!connections_.empty()) close(connections_.begin()->first, CloseReason::stopping, true);
+  while (!connections_.empty()) close(connections_.begin()->first, CloseReason::stopping, ClosedBy::proxy);
 }
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/upstream/upstream_pool.h
+++ b/src/proxy/upstream/upstream_pool.h
@@ -1,149 +1,120 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The connections to caches, and the attempts and probes on them.
+/// The connections to endpoints, and the attempts and health checks on them. The pool holds the parts
+/// together: the endpoint table, the connections, the attempt table, and the rules by which a connection is
+/// selected (connection_selection.h).
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <deque>
 #include <functional>
-#include <map>
-#include <set>
+#include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
-#include "codec/cache_lines.h"
 #include "proxy/context.h"
+#include "proxy/upstream/attempt_table.h"
+#include "proxy/upstream/connection_selection.h"
+#include "proxy/upstream/endpoint_table.h"
+#include "proxy/upstream/upstream_connection.h"
+#include "proxy/upstream/upstream_request.h"
 
 namespace edge_proxy::proxy {
 
-/// What one attempt asks for. The texts are the bytes that the client sent.
-struct UpstreamRequest {
-  std::string request;
-  int attempt = 0;
-  std::string endpoint, source;
-  codec::FieldList fields;  ///< all but the ones that depend on the moment of writing
-  std::string body;
-  std::size_t request_class = 0;
-  std::uint64_t object = 0;
-  std::int64_t group = 0;
-  Time decided_at{0};
-  Time expires_at{0};    ///< nobody waits for the answer any longer
-  Time send_before{0};   ///< it may not be written later; 0: until then
-  Time max_copy_age{0};  ///< as decided; 0: the class's fresh time
-};
-
-/// How an attempt ended. Each Order that was handed in gives exactly one.
-struct AttemptCompletion {
-  std::string request;
-  int attempt = 0;
-  std::string endpoint, source;
-  AttemptResult result = AttemptResult::not_sent;
-  Time duration{0};
-  codec::CacheResponse response;  ///< of a served one
-};
-
 class UpstreamPool {
  public:
-  /// `owed`: whether an answer is still owed to a request.
+  /// `is_owed`: whether a client still waits for the answer to a request.
   UpstreamPool(Context& context, const config::Config& config,
                std::function<bool(const std::string&)> is_owed);
 
-  // ---- Members ----
+  // ---- Endpoints ----
+  /// Takes in a change of the endpoint list, or the complete list.
   void apply(const codec::EndpointUpdate& update);
+  /// No attempt that is written from now on may be answered from a copy older than the invalidation.
   void invalidate(const codec::Invalidation& invalidation);
+  [[nodiscard]] std::size_t endpoint_count() const { return endpoints_.size(); }
+  /// Listed endpoints to which nothing new goes, because they drain or are suspended.
+  [[nodiscard]] std::size_t not_running_count() const { return endpoints_.not_running_count(); }
 
-  // ---- Attempts and probes ----
+  // ---- Attempts and health checks ----
   void start_attempt(UpstreamRequest request);
   void cancel_attempt(const std::string& request, int number);
   void time_out_attempt(const std::string& request, int number);
+  /// Sends a health check, or reports at once that none could be sent.
   void check_health(const std::string& endpoint);
-  /// The next ending, oldest first; the caller tells the module of it.
-  bool take_completion(AttemptCompletion& ended);
-  bool take_health_result(HealthChecked& probed);
-  /// Endings that were held back until now.
-  void release_delayed_completion();
-
-  // ---- Connections ----
-  /// Attempts without an ending so far.
-  [[nodiscard]] std::size_t attempts_in_flight() const {
-    return attempts_.size() + delayed_completions_.size();
-  }
-  [[nodiscard]] std::size_t endpoint_count() const { return endpoints_.size(); }
-  /// Listed members to which nothing new goes, because they drain or were taken out by hand.
-  [[nodiscard]] std::size_t not_running_count() const;
+  /// Takes out the oldest completion; false where there is none.
+  [[nodiscard]] bool take_completion(AttemptCompletion& completion);
+  /// Takes out the oldest result of a health check; false where there is none.
+  [[nodiscard]] bool take_health_result(HealthChecked& result);
+  /// The timer of the oldest completion that was held back is due.
+  void release_delayed_completion() { attempts_.release_delayed_completion(); }
+  /// Attempts without a completion so far.
+  [[nodiscard]] std::size_t attempts_in_flight() const { return attempts_.in_flight(); }
   /// Attempts written so far, by class.
   [[nodiscard]] const std::vector<std::uint64_t>& written_by_class() const { return written_by_class_; }
-  [[nodiscard]] bool owns(ConnectionId connection) const { return connections_.count(connection) != 0; }
+
+  // ---- Connections ----
+  [[nodiscard]] bool owns(ConnectionId connection) const { return connections_.contains(connection); }
   void on_connected(ConnectionId connection);
-  void on_bytes(ConnectionId connection, std::string_view on_bytes);
+  void on_bytes(ConnectionId connection, std::string_view bytes);
   void on_write_drained(ConnectionId connection);
-  /// The connection failed or was ended by the other side.
+  /// The connection failed or was closed by the other side.
   void on_closed(ConnectionId connection, CloseReason reason);
-  /// This program stood still: what has come meanwhile is still to be read.
+  /// The event loop stalled: what came on the connections meanwhile is still to be read.
   void on_loop_stall();
   void on_connect_timeout(ConnectionId connection);
+  /// Fails the health checks that have timed out; closes idle and silent connections.
   void close_expired();
+  /// Closes all connections.
   void stop();
 
  private:
-  using AttemptKey = std::pair<std::string, int>;
-  struct EndpointEntry {
-    Endpoint endpoint;
-    std::string address;
-    Time process_started{0};
-    std::set<ConnectionId> connections;
-  };
-  struct OutstandingAttempt {
-    UpstreamRequest request;
-    ConnectionId connection = 0;
-    bool is_written = false;
-  };
-  struct UpstreamConnection {
-    std::string endpoint;
-    Time opened_at{0}, active_at{0}, heard_at{0};
-    bool is_connected = false, is_writing = false;
-    std::optional<AttemptKey> attempt_being_written;  ///< the attempt in what is being written
-    std::optional<CloseReason> retired_for;           ///< it ends for this once what has come on it is read
-    std::uint64_t request_count = 0;
-    int unanswered_count = 0;  ///< given up or timed out since anything was heard
-    codec::CacheResponseReader reader;
-    std::map<std::string, int> open_attempts;                 ///< attempts written, by request
-    std::deque<std::pair<std::string, int>> queued_attempts;  ///< attempts not written yet
-    std::string commands;                                     ///< cancels and probes to be written
-    std::map<std::string, Time> health_checks;
-    std::map<std::string, Time> used_by_requests;  ///< requests it was asked for, until nobody waits for them
-  };
+  /// Which side closed a connection.
+  enum class ClosedBy { proxy, endpoint };
+  using RequestPredicate = std::function<bool(const UpstreamRequest&)>;
 
-  ConnectionId connection_for(EndpointEntry& endpoint, const std::string& request);
-  ConnectionId open_connection(EndpointEntry& endpoint);
-  [[nodiscard]] std::size_t max_connections_per_endpoint() const;
-  [[nodiscard]] bool is_suspicious(const UpstreamConnection& link) const;
-  [[nodiscard]] bool accepts_attempts(const std::string& endpoint) const;
+  // Endpoints.
+  void retire_connections(const std::string& endpoint, CloseReason reason);
   [[nodiscard]] bool can_send(const UpstreamRequest& request) const;
-  bool close_idlest();
-  [[nodiscard]] static bool is_idle(const UpstreamConnection& link);
-  [[nodiscard]] std::vector<ConnectionId> connection_ids() const;
-  void close_if_writing_stale(ConnectionId id, const std::function<bool(const UpstreamRequest&)>& stale);
-  void write_next(ConnectionId id);
-  std::string render(const UpstreamRequest& request) const;
+
+  // Attempts.
+  void drop_stale_queued(UpstreamConnection& connection);
+  [[nodiscard]] bool is_stale(const UpstreamRequest& request) const;
+  void close_if_writing(ConnectionId id, const RequestPredicate& is_stale);
+  void abandon_attempt(const AttemptKey& key, AttemptResult result);
+  [[nodiscard]] std::optional<AttemptCompletion> end_attempt(const AttemptKey& key, AttemptResult result);
+  void detach(const AttemptKey& key, const OutstandingAttempt& attempt);
   void complete(const AttemptKey& key, AttemptResult result, codec::CacheResponse response = {});
   void complete_later(const AttemptKey& key, AttemptResult result);
-  void drop_stale_queued(ConnectionId id);
-  void retire_connections(EndpointEntry& endpoint, CloseReason reason);
-  void close(ConnectionId id, CloseReason reason, bool close_it);
-  void on_answer(ConnectionId id, codec::CacheResponse answer);
-  void abandon_attempt(const AttemptKey& key, AttemptResult result);
+
+  // Connections.
+  [[nodiscard]] std::optional<ConnectionId> connection_for(const std::string& endpoint,
+                                                           const std::string& request);
+  [[nodiscard]] bool can_open_connection(const EndpointTable::Entry& endpoint) const;
+  [[nodiscard]] bool has_free_connection() const;
+  ConnectionId open_connection(EndpointTable::Entry& endpoint);
+  bool close_longest_idle();
+  [[nodiscard]] std::vector<ConnectionId> connection_ids() const;
+  void write_next(ConnectionId id);
+  [[nodiscard]] std::string take_attempt_bytes(UpstreamConnection& connection);
+  void on_response(UpstreamConnection& connection, codec::CacheResponse response);
+  void on_health_response(UpstreamConnection& connection, const codec::CacheResponse& response);
+  void report_failed_health_checks(const std::string& endpoint, const std::vector<Time>& durations);
+  [[nodiscard]] std::optional<CloseReason> expiry_of(const UpstreamConnection& connection) const;
+  void close(ConnectionId id, CloseReason reason, ClosedBy closed_by);
+  void end_open_attempts(const UpstreamConnection& connection, CloseReason reason, ClosedBy closed_by);
 
   Context& context_;
-  Time connect_timeout_, idle_timeout_;
+  Time connect_timeout_;
+  Time idle_timeout_;
   std::size_t max_requests_per_connection_;
-  ReportVia load_report_via_;
-  bool cancellation_;
+  bool cancellation_;  // the endpoints understand it
   std::function<bool(const std::string&)> is_owed_;
-  std::map<std::string, EndpointEntry> endpoints_;
-  std::map<ConnectionId, UpstreamConnection> connections_;
-  std::map<AttemptKey, OutstandingAttempt> attempts_;
-  std::deque<AttemptCompletion> completions_;
-  std::deque<AttemptCompletion> delayed_completions_;
+  EndpointTable endpoints_;
+  UpstreamConnections connections_;
+  AttemptTable attempts_;
   std::deque<HealthChecked> health_results_;
   std::uint64_t last_health_check_ = 0;
   std::vector<std::uint64_t> written_by_class_;
