--- a/src/codec/thrift.cpp
+++ b/src/codec/thrift.cpp
@@ -6,40 +6,69 @@
 namespace edge_proxy::codec {
 namespace {
 
-enum Type : std::uint8_t {
-  kStop = 0,
-  kBool = 2,
-  kByte = 3,
-  kDouble = 4,
-  kI16 = 6,
-  kI32 = 8,
-  kI64 = 10,
-  kString = 11,
-  kStruct = 12,
-  kMap = 13,
-  kSet = 14,
-  kList = 15
+/// The type byte before each field, and before the elements of each container.
+enum class TypeByte : std::uint8_t {
+  stop = 0,  // ends the fields of a struct
+  boolean = 2,
+  byte = 3,
+  floating = 4,
+  i16 = 6,
+  i32 = 8,
+  i64 = 10,
+  string = 11,
+  structure = 12,
+  map = 13,
+  set = 14,
+  list = 15
 };
+
 constexpr std::uint32_t kStrictVersion = 0x80010000U;
-constexpr int kMaxDepth = 16;
-constexpr std::size_t kKeptFrame = 4 * 1024;  // room that an idle connection keeps
+constexpr std::uint32_t kVersionMask = 0xffff0000U;
+constexpr std::uint32_t kMessageTypeMask = 0xffU;
+constexpr std::size_t kFrameLengthBytes = 4;
+constexpr int kMaxDepth = 16;                     // of nested containers
+constexpr std::size_t kMaxIdleBuffer = 4 * 1024;  // bytes of capacity that an idle connection keeps
+constexpr std::size_t kHeaderRoom = 64;           // bytes reserved for a message's header and field headers
+
+// The methods of the service, and the field ids of their arguments and results.
+constexpr std::string_view kProcessMethod = "process";
+constexpr std::string_view kCancelMethod = "giveUp";
+constexpr std::string_view kPingMethod = "probe";
+constexpr std::int16_t kProcessFieldsId = 1;
+constexpr std::int16_t kProcessBodyId = 2;
+constexpr std::int16_t kCancelSequenceId = 1;
+constexpr std::int16_t kResultId = 0;
+constexpr std::int16_t kReplyBodyId = 1;
+constexpr std::int16_t kReplyFieldsId = 2;
+constexpr std::int16_t kReplyIsGoodId = 3;
+constexpr std::int16_t kDeclaredExceptionFieldsId = 1;
+constexpr std::int16_t kApplicationExceptionTextId = 1;
+constexpr std::int16_t kApplicationExceptionErrorId = 2;
 
-/// Reads from the front of a frame; any read past its end sets `failed` and yields zeros.
+/// Reads from the front of a frame. A read past its end sets the error, and every later read yields zeros.
 class Cursor {
  public:
   explicit Cursor(std::string_view bytes) : rest_(bytes) {}
 
+  /// Why reading has failed; none where it has not.
+  [[nodiscard]] std::optional<MessageError> error() const { return error_; }
+  [[nodiscard]] bool failed() const { return error_.has_value(); }
+
   std::uint64_t big_endian(std::size_t width) {
     std::uint64_t value = 0;
-    for (const char c : take(width)) value = (value << 8U) | static_cast<unsigned char>(c);
+    for (const char byte : take(width)) value = (value << 8U) | static_cast<unsigned char>(byte);
     return value;
   }
-  std::uint8_t byte() { return static_cast<std::uint8_t>(big_endian(1)); }
-  std::uint32_t u32() { return static_cast<std::uint32_t>(big_endian(4)); }
+  TypeByte type() { return static_cast<TypeByte>(big_endian(1)); }
+  std::int16_t i16() { return static_cast<std::int16_t>(big_endian(sizeof(std::int16_t))); }
+  std::uint32_t u32() { return static_cast<std::uint32_t>(big_endian(sizeof(std::uint32_t))); }
+  std::int32_t i32() { return static_cast<std::int32_t>(u32()); }
+  /// Bytes with their length before them.
   std::string_view text() { return take(u32()); }
   std::string_view take(std::size_t size) {
-    if (failed || size > rest_.size()) {
-      failed = true;
+    if (failed()) return {};
+    if (size > rest_.size()) {
+      error_ = MessageError::truncated;
       return {};
     }
     const std::string_view taken = rest_.substr(0, size);
@@ -48,119 +77,158 @@
   }
 
   /// Passes over a value of any type. Each element takes a byte at least, so a frame bounds the work.
-  void skip(std::uint8_t type, int depth) {
-    // Guards against a frame of nested containers that would use up the stack.
-    if (depth > kMaxDepth) too_deep = failed = true;
-    if (failed) return;
+  void skip(TypeByte type, int depth) {
+    // Guards against a frame of nested containers that would use up the stack. It is the error that is
+    // reported, also where the frame ends at that depth.
+    if (depth > kMaxDepth) error_ = MessageError::too_deep;
+    if (failed()) return;
     switch (type) {
-      case kBool:
-      case kByte:
-        take(1);
+      case TypeByte::boolean:
+      case TypeByte::byte:
+        take(sizeof(std::int8_t));
         break;
-      case kI16:
-        take(2);
+      case TypeByte::i16:
+        take(sizeof(std::int16_t));
         break;
-      case kI32:
-        take(4);
+      case TypeByte::i32:
+        take(sizeof(std::int32_t));
         break;
-      case kI64:
-      case kDouble:
-        take(8);
+      case TypeByte::i64:
+      case TypeByte::floating:
+        take(sizeof(std::int64_t));
         break;
-      case kString:
+      case TypeByte::string:
         text();
         break;
-      case kStruct:
-        while (!failed) {
-          const std::uint8_t field = byte();
-          if (failed || field == kStop) break;
-          take(2);
-          skip(field, depth + 1);
-        }
+      case TypeByte::structure:
+        skip_struct(depth);
         break;
-      case kMap: {
-        const std::uint8_t key = byte(), value = byte();
-        for (std::uint32_t left = u32(); left > 0 && !failed; --left) {
-          skip(key, depth + 1);
-          skip(value, depth + 1);
-        }
+      case TypeByte::map:
+        skip_map(depth);
         break;
-      }
-      case kSet:
-      case kList: {
-        const std::uint8_t item = byte();
-        for (std::uint32_t left = u32(); left > 0 && !failed; --left) skip(item, depth + 1);
+      case TypeByte::set:
+      case TypeByte::list:
+        skip_list(depth);
         break;
-      }
       default:
-        bad_type = failed = true;
+        error_ = MessageError::bad_type;
     }
   }
 
-  bool failed = false, bad_type = false, too_deep = false;
-
  private:
+  void skip_struct(int depth) {
+    while (!failed()) {
+      const TypeByte field = type();
+      if (failed() || field == TypeByte::stop) return;
+      take(sizeof(std::int16_t));
+      skip(field, depth + 1);
+    }
+  }
+
+  void skip_map(int depth) {
+    const TypeByte key = type();
+    const TypeByte value = type();
+    for (std::uint32_t left = u32(); left > 0 && !failed(); --left) {
+      skip(key, depth + 1);
+      skip(value, depth + 1);
+    }
+  }
+
+  void skip_list(int depth) {
+    const TypeByte item = type();
+    for (std::uint32_t left = u32(); left > 0 && !failed(); --left) skip(item, depth + 1);
+  }
+
   std::string_view rest_;
+  std::optional<MessageError> error_;
 };
 
-/// Goes through the fields of a struct; `field(id, type)` returns whether it has read the value.
-template <typename Field>
-void each_field(Cursor& in, Field&& field) {
-  while (!in.failed) {
-    const std::uint8_t type = in.byte();
-    if (in.failed || type == kStop) return;
-    const auto id = static_cast<std::int16_t>(in.big_endian(2));
-    if (!in.failed && !field(id, type)) in.skip(type, 1);
+/// Goes through the fields of a struct; `read_field(id, type)` returns whether it has read the value.
+template <typename ReadField>
+void for_each_field(Cursor& in, ReadField&& read_field) {
+  while (!in.failed()) {
+    const TypeByte type = in.type();
+    if (in.failed() || type == TypeByte::stop) return;
+    const std::int16_t id = in.i16();
+    if (!in.failed() && !read_field(id, type)) in.skip(type, 1);
   }
 }
 
+/// Reads the map of `process` into `fields`; false: its keys or values are no strings, and it was skipped.
+bool read_string_map(Cursor& in, StringMap& fields) {
+  const TypeByte key = in.type();
+  const TypeByte value = in.type();
+  std::uint32_t left = in.u32();
+  const bool has_strings = left == 0 || (key == TypeByte::string && value == TypeByte::string);
+  fields.clear();
+  for (; left > 0 && !in.failed(); --left) {
+    if (has_strings) {
+      std::string name(in.text());
+      fields.emplace_back(std::move(name), in.text());
+    } else {
+      in.skip(key, 1);
+      in.skip(value, 1);
+    }
+  }
+  return has_strings;
+}
+
 ProcessCall read_process(Cursor& in) {
   ProcessCall call;
   bool has_fields = false;
-  each_field(in, [&](std::int16_t id, std::uint8_t type) {
-    if (id == 2 && type == kString) {
+  for_each_field(in, [&](std::int16_t id, TypeByte type) {
+    if (id == kProcessBodyId && type == TypeByte::string) {
       call.body = in.text();
       return true;
     }
-    if (id != 1 || type != kMap) {
-      call.is_readable = call.is_readable && id != 1 && id != 2;
-      return false;
-    }
-    const std::uint8_t key = in.byte(), value = in.byte();
-    std::uint32_t left = in.u32();
-    const bool texts = left == 0 || (key == kString && value == kString);
-    call.is_readable = call.is_readable && texts;
-    has_fields = true;
-    call.fields.clear();
-    for (; left > 0 && !in.failed; --left) {
-      if (texts) {
-        std::string name(in.text());
-        call.fields.emplace_back(std::move(name), in.text());
-      } else {
-        in.skip(key, 1);
-        in.skip(value, 1);
-      }
+    if (id == kProcessFieldsId && type == TypeByte::map) {
+      if (!read_string_map(in, call.fields)) call.is_readable = false;
+      has_fields = true;
+      return true;
     }
-    return true;
+    if (id == kProcessFieldsId || id == kProcessBodyId) call.is_readable = false;
+    return false;
   });
   call.is_readable = call.is_readable && has_fields;
   return call;
 }
 
+CancelCall read_cancel(Cursor& in) {
+  CancelCall call;
+  for_each_field(in, [&](std::int16_t id, TypeByte type) {
+    if (id != kCancelSequenceId || type != TypeByte::i32) return false;
+    call.sequence_id = in.i32();
+    return true;
+  });
+  return call;
+}
+
+std::variant<UnknownCall, ProcessCall, CancelCall, PingCall> read_call(Cursor& in, std::string_view method) {
+  if (method == kProcessMethod) return read_process(in);
+  if (method == kCancelMethod) return read_cancel(in);
+  in.skip(TypeByte::structure, 0);
+  if (method == kPingMethod) return PingCall{};
+  return UnknownCall{std::string(method)};
+}
+
+/// Writes one message in its frame.
 class Writer {
  public:
-  Writer(MessageType type, std::string_view method, std::int32_t seqid, std::size_t room) {
-    out_.reserve(room + method.size() + 64);
-    u32(0);  // the frame's length, set by done()
+  /// `body_size`: bytes to be written after the header, to reserve memory for them.
+  Writer(MessageType type, std::string_view method, std::int32_t sequence_id, std::size_t body_size) {
+    out_.reserve(body_size + method.size() + kHeaderRoom);
+    u32(0);  // the frame's length, set by finish()
     u32(kStrictVersion | static_cast<std::uint32_t>(type));
     text(method);
-    u32(static_cast<std::uint32_t>(seqid));
+    u32(static_cast<std::uint32_t>(sequence_id));
   }
-  void field(std::uint8_t type, std::int16_t id) {
-    byte(type);
+  void field(TypeByte type, std::int16_t id) {
+    this->type(type);
     byte(static_cast<std::uint8_t>(static_cast<std::uint16_t>(id) >> 8U));
     byte(static_cast<std::uint8_t>(id));
   }
+  void stop() { type(TypeByte::stop); }
+  void type(TypeByte value) { byte(static_cast<std::uint8_t>(value)); }
   void byte(std::uint8_t value) { out_.push_back(static_cast<char>(value)); }
   void u32(std::uint32_t value) {
     for (int shift = 24; shift >= 0; shift -= 8) byte(static_cast<std::uint8_t>(value >> shift));
@@ -170,18 +238,21 @@
     out_.append(value);
   }
   void map(const StringMap& values) {
-    byte(kString);
-    byte(kString);
+    type(TypeByte::string);
+    type(TypeByte::string);
     u32(static_cast<std::uint32_t>(values.size()));
     for (const auto& [name, value] : values) {
       text(name);
       text(value);
     }
   }
-  std::string done() {
-    const auto length = static_cast<std::uint32_t>(out_.size() - 4);
-    for (int i = 0; i < 4; ++i)
-      out_[static_cast<std::size_t>(i)] = static_cast<char>(length >> (24 - 8 * i) & 0xffU);
+  /// The frame, with its length in front.
+  std::string finish() {
+    const auto length = static_cast<std::uint32_t>(out_.size() - kFrameLengthBytes);
+    for (std::size_t i = 0; i < kFrameLengthBytes; ++i) {
+      const auto shift = 8 * (kFrameLengthBytes - 1 - i);
+      out_[i] = static_cast<char>(length >> shift & 0xffU);
+    }
     return std::move(out_);
   }
 
@@ -191,105 +262,105 @@
 
 }  // namespace
 
+std::optional<std::string_view> FrameReader::wait_for_bytes() {
+  buffer_.erase(0, std::exchange(consumed_, 0));
+  // Guards the memory against one large frame on each of many connections.
+  if (buffer_.empty() && buffer_.capacity() > kMaxIdleBuffer) std::string().swap(buffer_);
+  return std::nullopt;
+}
+
 std::optional<std::string_view> FrameReader::next() {
   const std::string_view rest = std::string_view(buffer_).substr(consumed_);
-  const auto wait = [this] {  // what is read is dropped once for many frames, not for each
-    buffer_.erase(0, std::exchange(consumed_, 0));
-    if (buffer_.empty() && buffer_.capacity() > kKeptFrame)
-      std::string().swap(buffer_);  // guards the memory, over many clients
-    return std::nullopt;
-  };
-  if (error_ != FrameError::none || rest.size() < 4) return wait();
+  if (error_ != FrameError::none || rest.size() < kFrameLengthBytes) return wait_for_bytes();
   std::size_t length = 0;
-  for (std::size_t i = 0; i < 4; ++i) length = length << 8U | static_cast<unsigned char>(rest[i]);
-  // Guards against a peer that announces more than is ever sent: nothing of that size is waited for.
+  for (std::size_t i = 0; i < kFrameLengthBytes; ++i)
+    length = length << 8U | static_cast<unsigned char>(rest[i]);
+  // Guards against a client that announces more than is ever sent: nothing of that size is waited for.
   if (length > kMaxFrame) {
     error_ = FrameError::too_large;
     return std::nullopt;
   }
-  if (rest.size() < 4 + length) return wait();
-  consumed_ += 4 + length;
-  return rest.substr(4, length);
+  if (rest.size() < kFrameLengthBytes + length) return wait_for_bytes();
+  consumed_ += kFrameLengthBytes + length;
+  return rest.substr(kFrameLengthBytes, length);
+}
+
+std::string_view name_of(MessageError error) {
+  switch (error) {
+    case MessageError::not_strict:
+      return "not_strict";
+    case MessageError::truncated:
+      return "truncated";
+    case MessageError::bad_type:
+      return "bad_type";
+    case MessageError::too_deep:
+      return "too_deep";
+  }
+  return "unknown";
 }
 
 std::int32_t sequence_id_of(std::string_view frame) {
   Cursor in(frame);
-  const bool strict = (in.u32() & 0xffff0000U) == kStrictVersion;
+  const bool is_strict = (in.u32() & kVersionMask) == kStrictVersion;
   in.text();
-  const auto seqid = static_cast<std::int32_t>(in.u32());
-  return strict && !in.failed ? seqid : 0;
+  const std::int32_t sequence_id = in.i32();
+  return is_strict && !in.failed() ? sequence_id : 0;
 }
 
 std::variant<Message, MessageError> read_message(std::string_view frame) {
   Cursor in(frame);
   const std::uint32_t head = in.u32();
-  if (in.failed) return MessageError::truncated;
-  if ((head & 0xffff0000U) != kStrictVersion) return MessageError::not_strict;
+  if (in.failed()) return MessageError::truncated;
+  if ((head & kVersionMask) != kStrictVersion) return MessageError::not_strict;
+  const auto type = static_cast<MessageType>(head & kMessageTypeMask);
+  if (type != MessageType::call && type != MessageType::oneway) return MessageError::bad_type;
   Message message;
-  const std::uint32_t type = head & 0xffU;
-  if (type != 1 && type != 4) return MessageError::bad_type;
-  message.type = static_cast<MessageType>(type);
+  message.type = type;
   const std::string_view method = in.text();
-  message.sequence_id = static_cast<std::int32_t>(in.u32());
-  if (in.failed) return MessageError::truncated;
-  if (method == "process") {
-    message.call = read_process(in);
-  } else if (method == "giveUp") {
-    CancelCall call;
-    each_field(in, [&](std::int16_t id, std::uint8_t field) {
-      if (id != 1 || field != kI32) return false;
-      call.sequence_id = static_cast<std::int32_t>(in.u32());
-      return true;
-    });
-    message.call = call;
-  } else {
-    in.skip(kStruct, 0);
-    if (method == "probe") {
-      message.call = PingCall{};
-    } else {
-      message.call = UnknownCall{std::string(method)};
-    }
-  }
-  if (in.too_deep) return MessageError::too_deep;
-  if (in.bad_type) return MessageError::bad_type;
-  if (in.failed) return MessageError::truncated;
+  message.sequence_id = in.i32();
+  if (in.failed()) return MessageError::truncated;
+  message.call = read_call(in, method);
+  if (in.error()) return *in.error();
   return message;
 }
 
 std::string write_reply(std::int32_t sequence_id, std::string_view method, std::string_view body,
                         const StringMap& fields, bool is_good) {
-  Writer out(MessageType::reply, method, sequence_id, body.size() + 128);
-  out.field(kStruct, 0);
-  out.field(kString, 1);
+  constexpr std::size_t kFieldsRoom = 128;
+  Writer out(MessageType::reply, method, sequence_id, body.size() + kFieldsRoom);
+  out.field(TypeByte::structure, kResultId);
+  out.field(TypeByte::string, kReplyBodyId);
   out.text(body);
-  out.field(kMap, 2);
+  out.field(TypeByte::map, kReplyFieldsId);
   out.map(fields);
-  out.field(kBool, 3);
+  out.field(TypeByte::boolean, kReplyIsGoodId);
   out.byte(is_good ? 1 : 0);
-  out.byte(kStop);
-  out.byte(kStop);
-  return out.done();
+  out.stop();
+  out.stop();
+  return out.finish();
 }
 
 std::string write_declared_exception(std::int32_t sequence_id, std::int16_t field, const StringMap& fields) {
-  Writer out(MessageType::reply, "process", sequence_id, 64);
-  out.field(kStruct, field);
-  out.field(kMap, 1);
+  constexpr std::size_t kFieldsRoom = 64;
+  Writer out(MessageType::reply, kProcessMethod, sequence_id, kFieldsRoom);
+  out.field(TypeByte::structure, field);
+  out.field(TypeByte::map, kDeclaredExceptionFieldsId);
   out.map(fields);
-  out.byte(kStop);
-  out.byte(kStop);
-  return out.done();
+  out.stop();
+  out.stop();
+  return out.finish();
 }
 
 std::string write_application_exception(std::int32_t sequence_id, std::string_view method,
                                         ApplicationError error, std::string_view text) {
-  Writer out(MessageType::exception, method, sequence_id, text.size() + 32);
-  out.field(kString, 1);
+  constexpr std::size_t kFieldsRoom = 32;
+  Writer out(MessageType::exception, method, sequence_id, text.size() + kFieldsRoom);
+  out.field(TypeByte::string, kApplicationExceptionTextId);
   out.text(text);
-  out.field(kI32, 2);
+  out.field(TypeByte::i32, kApplicationExceptionErrorId);
   out.u32(static_cast<std::uint32_t>(error));
-  out.byte(kStop);
-  return out.done();
+  out.stop();
+  return out.finish();
 }
 
 }  // namespace edge_proxy::codec
--- a/tests/codec/codec_test.cpp
+++ b/tests/codec/codec_test.cpp
@@ -24,14 +24,14 @@
 std::string head(const std::string& method, int type = 1) {
   return be32(0x80010000U | static_cast<unsigned>(type)) + text(method) + be32(7);
 }
-const std::string kStop("\0", 1);
+const std::string kStop("\0", 1);  // ends the fields of a struct
 
 std::string process(const std::string& verb, const std::string& body) {
   return head("process") + "\x0d\0\1\x0b\x0b"s + be32(1) + text("verb") + text(verb) + "\x0b\0\2"s +
          text(body) + kStop;
 }
 
-TEST(Memory, ReadersKeepNoRoomForTheLargestThatEverCame) {
+TEST(Memory, ReadersReleaseTheBufferOfALargeMessage) {
   codec::CacheResponseReader answers;
   answers.feed("a HIT - 200000\r\n" + std::string(200'000, 'x') + "\r\n");
   ASSERT_TRUE(answers.next());
@@ -112,13 +112,22 @@
   EXPECT_EQ(error(text("old style") + kStop), MessageError::not_strict);
   EXPECT_EQ(error(head("process", 2)), MessageError::bad_type);
   EXPECT_EQ(error(head("dance") + "\x7f\0\1"s), MessageError::bad_type);
-  // A map that says it holds four thousand million entries.
+  // A map that claims to hold 2^32 - 1 entries.
   EXPECT_EQ(error(head("process") + "\x0d\0\1\x0b\x0b"s + be32(0xffffffffU)), MessageError::truncated);
   std::string deep = head("dance");
   for (int i = 0; i < 100000; ++i) deep += "\x0c\0\1"s;
   EXPECT_EQ(error(deep), MessageError::too_deep);
 }
 
+TEST(Thrift, TooDeepNestingIsReportedAlsoWhereTheFrameEndsThere) {
+  std::string deep = head("dance");
+  for (int i = 0; i < 17; ++i) deep += "\x0c\0\1"s;
+  deep.resize(deep.size() - 2);  // the last field's id is missing
+  const auto read = read_message(deep);
+  EXPECT_EQ(std::get<MessageError>(read), MessageError::too_deep);
+  EXPECT_EQ(name_of(std::get<MessageError>(read)), "too_deep");
+}
+
 // ---- Cache lines ----
 
 TEST(CacheLines, AnswersAreReadFromAnySplit) {
@@ -171,7 +180,7 @@
   EXPECT_EQ(write_cancel("a"), "cancel a\r\n");
 }
 
-// ---- The bulletin's stream ----
+// ---- The discovery service's stream ----
 
 std::vector<StreamEvent> events_of(const std::string& bytes, std::size_t split) {
   EventStreamReader reader;
@@ -218,7 +227,7 @@
   EXPECT_EQ(error(ok + "\r\ndata: " + std::string(kMaxEvent, 'x')), StreamError::event_too_long);
 }
 
-TEST(Bulletin, EventsAreReadAndFaultsNameTheField) {
+TEST(DiscoveryEvents, AreReadAndErrorsNameTheField) {
   const DiscoveryNames names{{"north", "east"}, {"std", "origin"}};
   const auto list = parse_discovery_event(
       R"({"no":41,"roster":{"revision":7,"complete":true,"members":[{"id":"s-1","host_port":"10.1.0.9:9090",)"
@@ -242,7 +251,7 @@
 
   const auto problem = [&names](const char* json) -> std::string {
     try {
-      parse_discovery_event(json, names);
+      static_cast<void>(parse_discovery_event(json, names));
     } catch (const FieldError& error) {
       return error.what();
     }
@@ -258,7 +267,7 @@
   EXPECT_NE(problem("[]"), "none");
 }
 
-// ---- Calls at the second address ----
+// ---- Requests at the admin address ----
 
 TEST(HttpCall, IsReadHoweverItIsSplit) {
   HttpCallReader reader;
