--- a/src/codec/cache_lines.cpp
+++ b/src/codec/cache_lines.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 #include "codec/cache_lines.h"
 
+#include <algorithm>
 #include <array>
 #include <charconv>
 #include <utility>
@@ -8,11 +9,30 @@
 namespace edge_proxy::codec {
 namespace {
 
-constexpr std::array<std::string_view, 8> kWords{"HIT",   "VALID", "NONE", "SHED",
-                                                 "FAULT", "LATE",  "PONG", "SICK"};
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr std::size_t kRequestRoom = 32;  // bytes reserved for a request beside its id, fields and body
+
+/// In the order of CacheResponseStatus.
+constexpr std::array<std::string_view, 8> kStatusWords{"HIT",   "VALID", "NONE", "SHED",
+                                                       "FAULT", "LATE",  "PONG", "SICK"};
+
+std::optional<CacheResponseStatus> status_of(std::string_view word) {
+  const auto found = std::find(kStatusWords.begin(), kStatusWords.end(), word);
+  if (found == kStatusWords.end()) return std::nullopt;
+  return static_cast<CacheResponseStatus>(found - kStatusWords.begin());
+}
+
+/// The number that the whole text is.
+std::optional<std::size_t> size_of(std::string_view digits) {
+  const char* const digits_end = digits.data() + digits.size();
+  std::size_t size = 0;
+  const auto [end, error] = std::from_chars(digits.data(), digits_end, size);
+  if (error != std::errc{} || end != digits_end) return std::nullopt;
+  return size;
+}
 
 /// Cuts the next word off the line.
-std::string_view word_of(std::string_view& line) {
+std::string_view take_word(std::string_view& line) {
   const std::size_t end = std::min(line.find(' '), line.size());
   const std::string_view word = line.substr(0, end);
   line.remove_prefix(std::min(end + 1, line.size()));
@@ -38,7 +58,7 @@
 
 std::string write_request(std::string_view id, const FieldList& fields, std::string_view body) {
   std::string out;
-  out.reserve(id.size() + fields.text().size() + body.size() + 32);
+  out.reserve(id.size() + fields.text().size() + body.size() + kRequestRoom);
   out.append("serve ").append(id).append(" ").append(fields.text()).append(" ");
   out.append(std::to_string(body.size())).append("\r\n").append(body).append("\r\n");
   return out;
@@ -49,61 +69,64 @@
   return std::string("gauges ").append(tag).append("\r\n");
 }
 
-std::optional<CacheResponse> CacheResponseReader::fail(LineError error) {
-  error_ = error;
-  return std::nullopt;
-}
-
-/// More bytes are needed. Guards the memory against room for the largest answer ever seen, kept on each of
-/// many connections.
-std::optional<CacheResponse> CacheResponseReader::wait_for_body() {
+/// Drops the bytes that were read. Guards the memory against one large response on each of many connections.
+std::optional<CacheResponse> CacheResponseReader::wait_for_bytes() {
   buffer_.erase(0, std::exchange(consumed_, 0));
   if (buffer_.empty() && buffer_.capacity() > kMaxLine) std::string().swap(buffer_);
   return std::nullopt;
 }
 
-bool CacheResponseReader::read_head(std::string_view line) {
-  CacheResponse answer;
-  answer.id = word_of(line);
-  const std::string_view word = word_of(line);
-  answer.fields = word_of(line);
-  const std::string_view length = word_of(line);
-  const auto [end, problem] = std::from_chars(length.data(), length.data() + length.size(), body_size_);
-  if (answer.id.empty() || answer.fields.empty() || !line.empty() || problem != std::errc{} ||
-      end != length.data() + length.size()) {
+bool CacheResponseReader::parse_head(std::string_view line) {
+  CacheResponse response;
+  response.id = take_word(line);
+  const std::string_view status_word = take_word(line);
+  response.fields = take_word(line);
+  const std::optional<std::size_t> body_size = size_of(take_word(line));
+  if (response.id.empty() || response.fields.empty() || !line.empty() || !body_size) {
     error_ = LineError::not_a_response;
     return false;
   }
   // Guards against a length that would have more buffered than any object holds.
-  if (body_size_ > kMaxBody) {
+  if (*body_size > kMaxBody) {
     error_ = LineError::body_too_long;
     return false;
   }
-  for (std::size_t i = 0; i < kWords.size(); ++i) {
-    if (kWords[i] != word) continue;
-    answer.status = static_cast<CacheResponseStatus>(i);
-    partial_response_ = std::move(answer);
-    return true;
+  const std::optional<CacheResponseStatus> status = status_of(status_word);
+  if (!status) {
+    error_ = LineError::unknown_word;
+    return false;
   }
-  error_ = LineError::unknown_word;
-  return false;
+  response.status = *status;
+  body_size_ = *body_size;
+  partial_response_ = std::move(response);
+  return true;
+}
+
+bool CacheResponseReader::read_head() {
+  const std::size_t end = buffer_.find(kLineEnd, consumed_);
+  if (end == std::string::npos || end - consumed_ > kMaxLine) {
+    if (buffer_.size() - consumed_ > kMaxLine) {
+      error_ = LineError::line_too_long;
+    } else {
+      wait_for_bytes();
+    }
+    return false;
+  }
+  if (!parse_head(std::string_view(buffer_).substr(consumed_, end - consumed_))) return false;
+  consumed_ = end + kLineEnd.size();
+  return true;
 }
 
 std::optional<CacheResponse> CacheResponseReader::next() {
   if (error_ != LineError::none) return std::nullopt;
-  if (!partial_response_) {
-    const std::size_t end = buffer_.find("\r\n", consumed_);
-    if (end == std::string::npos || end - consumed_ > kMaxLine) {
-      if (buffer_.size() - consumed_ > kMaxLine) return fail(LineError::line_too_long);
-      return wait_for_body();
-    }
-    if (!read_head(std::string_view(buffer_).substr(consumed_, end - consumed_))) return std::nullopt;
-    consumed_ = end + 2;
+  if (!partial_response_ && !read_head()) return std::nullopt;
+  if (buffer_.size() - consumed_ < body_size_ + kLineEnd.size()) return wait_for_bytes();
+  if (buffer_.compare(consumed_ + body_size_, kLineEnd.size(), kLineEnd) != 0) {
+    error_ = LineError::body_not_terminated;
+    return std::nullopt;
   }
-  if (buffer_.size() - consumed_ < body_size_ + 2) return wait_for_body();
-  if (buffer_.compare(consumed_ + body_size_, 2, "\r\n") != 0) return fail(LineError::body_not_terminated);
   partial_response_->body.assign(buffer_, consumed_, body_size_);
-  consumed_ += body_size_ + 2;
+  consumed_ += body_size_ + kLineEnd.size();
   return std::exchange(partial_response_, std::nullopt);
 }
 
--- a/src/codec/event_stream.cpp
+++ b/src/codec/event_stream.cpp
@@ -5,7 +5,50 @@
 #include <charconv>
 #include <utility>
 
+#include "codec/ascii.h"
+
 namespace edge_proxy::codec {
+namespace {
+
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr std::string_view kHeadEnd = "\r\n\r\n";
+constexpr std::string_view kVersion = "http/1.";
+constexpr std::string_view kOkStatus = " 200";
+constexpr std::size_t kStatusOffset = 8;  // of the status in the response line
+constexpr std::size_t kMaxChunkHeaderBytes = 1024;
+constexpr int kHexadecimal = 16;
+
+/// `head`: in lower case.
+bool is_ok(std::string_view head) {
+  return head.starts_with(kVersion) && head.find(kOkStatus) == kStatusOffset;
+}
+
+/// `head`: in lower case.
+bool has_chunked_coding(std::string_view head) {
+  constexpr std::string_view kName = "\r\ntransfer-encoding:";
+  const std::size_t field = head.find(kName);
+  if (field == std::string_view::npos) return false;
+  const std::string_view line = head.substr(field + kLineEnd.size());
+  return line.substr(0, line.find(kLineEnd)).find("chunked") != std::string_view::npos;
+}
+
+}  // namespace
+
+std::string_view name_of(StreamError error) {
+  switch (error) {
+    case StreamError::none:
+      return "none";
+    case StreamError::head_too_long:
+      return "head_too_long";
+    case StreamError::not_ok:
+      return "not_ok";
+    case StreamError::bad_chunk:
+      return "bad_chunk";
+    case StreamError::event_too_long:
+      return "event_too_long";
+  }
+  return "unknown";
+}
 
 std::string write_stream_request(std::string_view host, std::string_view path,
                                  std::string_view last_event_id) {
@@ -19,101 +62,111 @@
   if (error_ != StreamError::none) return;
   raw_.append(bytes);
   if (!in_body_ && !read_head()) return;
-  if (chunked_) {
-    unchunk();
+  if (is_chunked_) {
+    decode_chunks();
   } else {
     text_.append(std::exchange(raw_, {}));
   }
 }
 
 bool EventStreamReader::read_head() {
-  const std::size_t end = raw_.find("\r\n\r\n");
+  const std::size_t end = raw_.find(kHeadEnd);
   if (end == std::string::npos) {
     if (raw_.size() > kMaxHead) error_ = StreamError::head_too_long;
     return false;
   }
-  std::string head = raw_.substr(0, end);
-  raw_.erase(0, end + 4);
-  std::transform(head.begin(), head.end(), head.begin(),
-                 [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; });
-  if (head.compare(0, 7, "http/1.") != 0 || head.find(" 200") != 8) {
+  const std::string head = to_lower(std::string_view(raw_).substr(0, end));
+  raw_.erase(0, end + kHeadEnd.size());
+  if (!is_ok(head)) {
     error_ = StreamError::not_ok;
     return false;
   }
-  const std::size_t coding = head.find("\r\ntransfer-encoding:");
-  chunked_ = coding != std::string::npos &&
-             head.substr(coding + 2, head.find("\r\n", coding + 2) - coding - 2).find("chunked") !=
-                 std::string::npos;
+  is_chunked_ = has_chunked_coding(head);
   in_body_ = true;
   ++lines_;
   return true;
 }
 
-void EventStreamReader::unchunk() {
+void EventStreamReader::decode_chunks() {
   std::size_t at = 0;
   while (at < raw_.size()) {
-    if (chunk_left_ > 0) {
-      const std::size_t part = std::min(chunk_left_, raw_.size() - at);
-      text_.append(raw_, at, part);
-      at += part;
-      chunk_left_ -= part;
+    if (chunk_left_ == 0) {
+      const std::optional<std::size_t> chunk = read_chunk_header(at);
+      if (!chunk) break;
+      at = *chunk;
       continue;
     }
-    // Between chunks: the end of the last one, if there was one, then the size of the next.
-    std::size_t start = at;
-    if (chunk_open_) {
-      if (raw_.size() - at < 2) break;
-      if (raw_.compare(at, 2, "\r\n") != 0) {
-        error_ = StreamError::bad_chunk;
-        break;
-      }
-      start += 2;
-    }
-    const std::size_t end = raw_.find("\r\n", start);
-    if (end == std::string::npos) {
-      if (raw_.size() - start > 1024) error_ = StreamError::bad_chunk;
-      break;
-    }
-    const auto [stop, problem] = std::from_chars(raw_.data() + start, raw_.data() + end, chunk_left_, 16);
-    if (problem != std::errc{} || (stop != raw_.data() + end && *stop != ';') || chunk_left_ > kMaxEvent) {
-      error_ = StreamError::bad_chunk;
-      break;
-    }
-    chunk_open_ = true;
-    at = end + 2;
+    const std::size_t part = std::min(chunk_left_, raw_.size() - at);
+    text_.append(raw_, at, part);
+    at += part;
+    chunk_left_ -= part;
   }
   raw_.erase(0, at);
 }
 
-std::optional<StreamEvent> EventStreamReader::next() {
-  while (true) {
-    const std::size_t end = text_.find('\n');
-    if (end == std::string::npos) {
-      // Guards against an endless line or event filling the memory.
-      if (text_.size() + event_.data.size() > kMaxEvent) error_ = StreamError::event_too_long;
+std::optional<std::size_t> EventStreamReader::read_chunk_header(std::size_t at) {
+  const std::string_view header = std::string_view(raw_).substr(at);
+  std::size_t start = 0;
+  if (has_previous_chunk_) {
+    if (header.size() < kLineEnd.size()) return std::nullopt;
+    if (!header.starts_with(kLineEnd)) {
+      error_ = StreamError::bad_chunk;
       return std::nullopt;
     }
-    ++lines_;
-    std::string line = text_.substr(0, end);
-    text_.erase(0, end + 1);
-    if (!line.empty() && line.back() == '\r') line.pop_back();
-    if (line.empty()) {
-      if (std::exchange(has_data_, false)) return std::exchange(event_, {});
-      event_ = {};
+    start = kLineEnd.size();
+  }
+  const std::size_t end = header.find(kLineEnd, start);
+  if (end == std::string_view::npos) {
+    if (header.size() - start > kMaxChunkHeaderBytes) error_ = StreamError::bad_chunk;
+    return std::nullopt;
+  }
+  const char* const size_end = header.data() + end;
+  const auto [stop, error] = std::from_chars(header.data() + start, size_end, chunk_left_, kHexadecimal);
+  const bool is_terminated = stop == size_end || *stop == ';';
+  if (error != std::errc{} || !is_terminated || chunk_left_ > kMaxEvent) {
+    error_ = StreamError::bad_chunk;
+    return std::nullopt;
+  }
+  has_previous_chunk_ = true;
+  return at + end + kLineEnd.size();
+}
+
+std::optional<std::string> EventStreamReader::take_line() {
+  const std::size_t end = text_.find('\n');
+  if (end == std::string::npos) return std::nullopt;
+  ++lines_;
+  std::string line = text_.substr(0, end);
+  text_.erase(0, end + 1);
+  if (!line.empty() && line.back() == '\r') line.pop_back();
+  return line;
+}
+
+void EventStreamReader::read_field(std::string_view line) {
+  const std::size_t colon = std::min(line.find(':'), line.size());
+  const std::string_view name = line.substr(0, colon);
+  std::string_view value = line.substr(std::min(colon + 1, line.size()));
+  if (value.starts_with(' ')) value.remove_prefix(1);
+  if (name == "id") {
+    event_.id = value;
+  } else if (name == "data") {
+    if (std::exchange(has_data_, true)) event_.data += '\n';
+    event_.data += value;
+    if (event_.data.size() > kMaxEvent) error_ = StreamError::event_too_long;
+  }
+}
+
+std::optional<StreamEvent> EventStreamReader::next() {
+  while (const std::optional<std::string> line = take_line()) {
+    if (!line->empty()) {
+      read_field(*line);
       continue;
     }
-    const std::size_t colon = std::min(line.find(':'), line.size());
-    std::string_view value = std::string_view(line).substr(std::min(colon + 1, line.size()));
-    if (!value.empty() && value.front() == ' ') value.remove_prefix(1);
-    const std::string_view name = std::string_view(line).substr(0, colon);
-    if (name == "id") {
-      event_.id = value;
-    } else if (name == "data") {
-      if (std::exchange(has_data_, true)) event_.data += '\n';
-      event_.data += value;
-      if (event_.data.size() > kMaxEvent) error_ = StreamError::event_too_long;
-    }
+    StreamEvent event = std::exchange(event_, {});
+    if (std::exchange(has_data_, false)) return event;
   }
+  // Guards against an endless line or event filling the memory.
+  if (text_.size() + event_.data.size() > kMaxEvent) error_ = StreamError::event_too_long;
+  return std::nullopt;
 }
 
 }  // namespace edge_proxy::codec
--- a/src/codec/http_call.cpp
+++ b/src/codec/http_call.cpp
@@ -5,11 +5,28 @@
 #include <charconv>
 #include <utility>
 
+#include "codec/ascii.h"
+
 namespace edge_proxy::codec {
 namespace {
 
-/// A path without its query and with its escapes read; none where an escape is faulty.
-std::optional<std::string> read_path(std::string_view target) {
+constexpr std::string_view kHeadEnd = "\r\n\r\n";
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr std::string_view kVersion = "HTTP/1.";
+constexpr int kHexadecimal = 16;
+constexpr std::size_t kEscapeDigits = 2;
+
+/// The byte that the digits of a percent escape stand for.
+std::optional<char> decode_escape(std::string_view digits) {
+  unsigned value = 0;
+  const char* const digits_end = digits.data() + digits.size();
+  const auto [end, error] = std::from_chars(digits.data(), digits_end, value, kHexadecimal);
+  if (digits.size() != kEscapeDigits || error != std::errc{} || end != digits_end) return std::nullopt;
+  return static_cast<char>(value);
+}
+
+/// A path without its query, percent-decoded; none where an escape is malformed.
+std::optional<std::string> decode_path(std::string_view target) {
   target = target.substr(0, target.find('?'));
   std::string path;
   while (!target.empty()) {
@@ -18,29 +35,26 @@
       target.remove_prefix(1);
       continue;
     }
-    unsigned value = 0;
-    const std::string_view digits = target.substr(1, 2);
-    const auto [end, problem] = std::from_chars(digits.data(), digits.data() + digits.size(), value, 16);
-    if (digits.size() != 2 || problem != std::errc{} || end != digits.data() + 2) return std::nullopt;
-    path.push_back(static_cast<char>(value));
-    target.remove_prefix(3);
+    const std::optional<char> byte = decode_escape(target.substr(1, kEscapeDigits));
+    if (!byte) return std::nullopt;
+    path.push_back(*byte);
+    target.remove_prefix(1 + kEscapeDigits);
   }
   return path;
 }
 
-/// What the head says of the body's length; 0 where it says nothing, none where that can't be read.
-std::optional<std::size_t> body_length(std::string_view head) {
+/// The Content-Length of a head that ends in an empty line's CRLF; 0 where it is absent, none where it is
+/// malformed.
+std::optional<std::size_t> content_length(std::string_view head) {
   constexpr std::string_view kName = "\r\ncontent-length:";
-  std::string low(head);
-  std::transform(low.begin(), low.end(), low.begin(),
-                 [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; });
-  std::size_t at = low.find(kName);
+  const std::string lowered = to_lower(head);
+  std::size_t at = lowered.find(kName);
   if (at == std::string::npos) return 0;
-  for (at += kName.size(); low[at] == ' '; ++at) {
-  }
+  at += kName.size();
+  while (lowered[at] == ' ') ++at;
   std::size_t length = 0;
-  const auto [end, problem] = std::from_chars(low.data() + at, low.data() + low.size(), length);
-  if (problem != std::errc{} || *end != '\r') return std::nullopt;
+  const auto [end, error] = std::from_chars(lowered.data() + at, lowered.data() + lowered.size(), length);
+  if (error != std::errc{} || *end != '\r') return std::nullopt;
   return length;
 }
 
@@ -72,32 +86,43 @@
 void HttpCallReader::feed(std::string_view bytes) {
   if (is_done_ || is_broken_) return;
   // Guards the memory against a head that never ends.
-  constexpr std::size_t kMost = kMaxCallHead + kMaxCallBody + 1;
-  head_.append(bytes.substr(0, kMost - std::min(head_.size(), kMost)));
+  constexpr std::size_t kMaxReceived = kMaxCallHead + kMaxCallBody + 1;
+  received_.append(bytes.substr(0, kMaxReceived - std::min(received_.size(), kMaxReceived)));
 }
 
 std::optional<HttpCall> HttpCallReader::next() {
   if (is_done_ || is_broken_) return std::nullopt;
-  const std::size_t end = head_.find("\r\n\r\n");
-  if (end == std::string::npos) {
-    is_broken_ = head_.size() > kMaxCallHead;
+  const std::size_t head_end = received_.find(kHeadEnd);
+  if (head_end == std::string::npos) {
+    is_broken_ = received_.size() > kMaxCallHead;
     return std::nullopt;
   }
-  const std::string_view line = std::string_view(head_).substr(0, head_.find("\r\n"));
-  const std::size_t first = line.find(' ');
-  const std::size_t second = line.find(' ', first == std::string_view::npos ? first : first + 1);
-  is_broken_ = second == std::string_view::npos || first == 0 || line.substr(second + 1, 7) != "HTTP/1.";
+  std::optional<HttpCall> call = read_call(head_end);
+  if (!call) return std::nullopt;
+  is_done_ = true;
+  std::string().swap(received_);
+  return call;
+}
+
+/// Sets `is_broken_` where the request is malformed or too large; none also where its body is incomplete.
+std::optional<HttpCall> HttpCallReader::read_call(std::size_t head_end) {
+  const std::string_view received = received_;
+  const std::string_view line = received.substr(0, received.find(kLineEnd));
+  const std::size_t method_end = line.find(' ');
+  const std::size_t target_start = method_end == std::string_view::npos ? method_end : method_end + 1;
+  const std::size_t target_end = line.find(' ', target_start);
+  is_broken_ = target_end == std::string_view::npos || method_end == 0 ||
+               !line.substr(target_end + 1).starts_with(kVersion);
   if (is_broken_) return std::nullopt;
-  auto path = read_path(line.substr(first + 1, second - first - 1));
+  std::optional<std::string> path = decode_path(line.substr(target_start, target_end - target_start));
   is_broken_ = !path || path->empty();
   if (is_broken_) return std::nullopt;
-  const auto length = body_length(std::string_view(head_).substr(0, end + 2));
-  is_broken_ = !length || *length > kMaxCallBody || end > kMaxCallHead;
-  if (is_broken_ || head_.size() - end - 4 < *length) return std::nullopt;
-  HttpCall call{std::string(line.substr(0, first)), std::move(*path), head_.substr(end + 4, *length)};
-  is_done_ = true;
-  std::string().swap(head_);
-  return call;
+  const auto length = content_length(received.substr(0, head_end + kLineEnd.size()));
+  is_broken_ = !length || *length > kMaxCallBody || head_end > kMaxCallHead;
+  const std::size_t body_start = head_end + kHeadEnd.size();
+  if (is_broken_ || received.size() - body_start < *length) return std::nullopt;
+  return HttpCall{std::string(line.substr(0, method_end)), std::move(*path),
+                  std::string(received.substr(body_start, *length))};
 }
 
 std::string write_http_response(int status, std::string_view body) {
--- a/src/codec/http_call.h
+++ b/src/codec/http_call.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// One HTTP/1.1 call on a connection of its own, as the second address takes it. No I/O.
+/// One HTTP/1.1 request on a connection of its own, as the admin address accepts it. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -10,30 +10,35 @@
 
 namespace edge_proxy::codec {
 
+/// Largest head and body of a request that are accepted, in bytes.
 constexpr std::size_t kMaxCallHead = 8 * 1024;
 constexpr std::size_t kMaxCallBody = 72 * 1024;
 
+/// A complete request.
 struct HttpCall {
   std::string method;
-  std::string path;  ///< without a query, its escapes read
-  std::string body;  ///< as long as the head says
+  std::string path;  ///< without its query, percent-decoded
+  std::string body;  ///< of the length that Content-Length gives
 };
 
-/// Takes the first call out of a stream of bytes, however it is split. What follows its body is passed over.
+/// Reads the first request of a stream of bytes, however it is split. What follows its body is ignored.
 class HttpCallReader {
  public:
   void feed(std::string_view bytes);
-  /// The call, once, when its head and body are whole.
-  std::optional<HttpCall> next();
-  /// What came can't become a call.
+  /// The request, once, when its head and body are complete.
+  [[nodiscard]] std::optional<HttpCall> next();
+  /// The bytes received can't become a request that is accepted.
   [[nodiscard]] bool is_broken() const { return is_broken_; }
 
  private:
-  std::string head_;
-  bool is_done_ = false, is_broken_ = false;
+  [[nodiscard]] std::optional<HttpCall> read_call(std::size_t head_end);
+
+  std::string received_;
+  bool is_done_ = false;
+  bool is_broken_ = false;
 };
 
-/// A whole answer, after which the connection ends.
-std::string write_http_response(int status, std::string_view body);
+/// A complete response, after which the connection is closed.
+[[nodiscard]] std::string write_http_response(int status, std::string_view body);
 
 }  // namespace edge_proxy::codec
