--- a/src/admission/fill_admission.cpp
+++ b/src/admission/fill_admission.cpp
@@ -27,8 +27,9 @@
 void FillAdmission::decay(Time now) {
   const double kept = std::exp(-std::chrono::duration<double>(now - decayed_at_) / kDecayTime);
   for (double* count :
-       {&in_time_, &rejected_, &timed_out_, &source_asked_, &denied_, &cached_, &cached_timed_out_})
+       {&in_time_, &rejected_, &timed_out_, &source_asked_, &denied_, &cached_, &cached_timed_out_}) {
     *count *= kept;
+  }
   decayed_at_ = now;
 }
 
--- a/src/routing/attempt_feedback.cpp
+++ b/src/routing/attempt_feedback.cpp
@@ -53,8 +53,9 @@
   EndpointStats& endpoint = parts_.endpoints[attempt.endpoint];
   const FillKind fill_kind = fill_kind_of(attempt);
   parts_.fills.record_attempt_ended(now, fill_kind);
-  if (endpoint.role == Role::cache && outcome.report && outcome.report->link_utilization)
+  if (endpoint.role == Role::cache && outcome.report && outcome.report->link_utilization) {
     parts_.fills.record_link_utilization(*outcome.report->link_utilization);
+  }
   endpoint.health.record_attempt(outcome.result == AttemptResult::error);
   record_result({.now = now,
                  .pending = pending,
@@ -98,8 +99,9 @@
 void AttemptFeedback::record_served(const Ended& ended) {
   const PendingRequest& pending = ended.pending;
   EndpointStats& endpoint = ended.endpoint;
-  if (!pending.is_size_known)
+  if (!pending.is_size_known) {
     parts_.work.record(class_index(pending.request), to_seconds(ended.outcome.duration));
+  }
   const double relative_latency = relative_latency_of(ended.outcome, pending);
   const bool hit = is_hit(ended.outcome.cache_status);
   endpoint.health.record_success();
@@ -179,8 +181,9 @@
     if (!attempt.is_open) continue;
     EndpointStats& endpoint = parts_.endpoints[attempt.endpoint];
     EndpointStats& source = parts_.endpoints[attempt.source];  // the endpoint itself where there is no fill
-    if (endpoint.limit.is_reached(endpoint.in_flight) || source.limit.is_reached(source.in_flight))
+    if (endpoint.limit.is_reached(endpoint.in_flight) || source.limit.is_reached(source.in_flight)) {
       overdue.is_at_capacity = true;
+    }
     if (std::exchange(attempt.is_overdue, true)) continue;
     source.limit.decrease();
     endpoint.health.sample_latency(kWorstLatency);
--- a/src/routing/attempt_feedback.h
+++ b/src/routing/attempt_feedback.h
@@ -59,7 +59,7 @@
   void record_served(const Ended& ended);
   void record_served_fill(const Ended& ended, double relative_latency);
   void record_refused(const Ended& ended);
-  void blame_endpoint_or_source(const Ended& ended);
+  static void blame_endpoint_or_source(const Ended& ended);
 
   FeedbackParts parts_;
 };
--- a/src/routing/attempt_planner.cpp
+++ b/src/routing/attempt_planner.cpp
@@ -69,12 +69,14 @@
                                                    .capacity_ratio = parts_.fills.capacity_ratio(pending)});
   if (parent) {
     if (parts_.fills.admit(now, FillKind::parent, pending)) return {.source = parent};
-    if (parts_.fills.admit(now, FillKind::parent_cached, pending))
+    if (parts_.fills.admit(now, FillKind::parent_cached, pending)) {
       return {.source = parent, .is_cached_only = true};
+    }
     return {};
   }
-  if (origin && is_below_limit(*origin) && parts_.fills.admit(now, FillKind::origin, pending))
+  if (origin && is_below_limit(*origin) && parts_.fills.admit(now, FillKind::origin, pending)) {
     return {.source = origin};
+  }
   return {};
 }
 
@@ -113,8 +115,9 @@
   attempt.send_within = parts_.safety.send_within(now, pending);
   // A parent that is asked directly gives only what it has cached unless the origin is named as its source.
   const auto origin = parts_.endpoints.origin();
-  if (route.endpoint == route.source && endpoint.role == Role::parent && !attempt.cached_only && origin)
+  if (route.endpoint == route.source && endpoint.role == Role::parent && !attempt.cached_only && origin) {
     attempt.source = parts_.endpoints[*origin].endpoint.id;
+  }
   return attempt;
 }
 
--- a/src/routing/copy_age.cpp
+++ b/src/routing/copy_age.cpp
@@ -26,8 +26,9 @@
 Time CopyAge::max_copy_age(Time now, const Request& request, GraceTime grace) const {
   std::optional<Time> newest;
   if (const auto found = by_object_.find(request.object); found != by_object_.end()) newest = found->second;
-  if (const auto found = by_group_.find(request.group); found != by_group_.end())
+  if (const auto found = by_group_.find(request.group); found != by_group_.end()) {
     newest = newest ? std::max(*newest, found->second) : found->second;
+  }
 
   const RequestClass& request_class = class_of(settings_, request);
   const bool has_age_limit = request_class.max_age.count() > 0;
--- a/src/routing/fill_policy.cpp
+++ b/src/routing/fill_policy.cpp
@@ -98,8 +98,9 @@
   double& in_time_ratio = in_time_ratio_by_class_[class_index(pending.request)];
   in_time_ratio += kMeanGain * ((is_in_time ? 1 : 0) - in_time_ratio);
   // A full link slows large fills most: only small ones show the delay of the source.
-  if (pending.work < usual_work_)
+  if (pending.work < usual_work_) {
     fill_delay_seconds_ += kMeanGain * (to_seconds(delay) - fill_delay_seconds_);
+  }
 }
 
 FillAdmission& FillPolicy::admission_for(FillKind kind) {
--- a/src/routing/peer_group.cpp
+++ b/src/routing/peer_group.cpp
@@ -24,8 +24,9 @@
 
 bool has_own_errors(const EndpointTable& endpoints, const EndpointStats& stats) {
   double lowest = 1;
-  for (const std::size_t index : endpoints.running(stats.role))
+  for (const std::size_t index : endpoints.running(stats.role)) {
     lowest = std::min(lowest, endpoints[index].health.error_rate());
+  }
   return stats.health.error_rate() > lowest + kOwnErrorExcess;
 }
 
--- a/src/routing/retry_safety.cpp
+++ b/src/routing/retry_safety.cpp
@@ -59,8 +59,9 @@
   const RequestClass& request_class = class_of(settings_, pending.request);
   if (request_class.idempotency == Idempotency::idempotent) return true;
   if (request_class.idempotency == Idempotency::with_key &&
-      request_class.deduplication_scope == DeduplicationScope::all)
+      request_class.deduplication_scope == DeduplicationScope::all) {
     return true;
+  }
   return !may_have_run(pending);
 }
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -252,8 +252,9 @@
   fills_.record_request(arrived);
   retry_budget_.record_request();
   timers_.add(request.expires - settings_.tick, {TimerKind::deadline, request.id});
-  if (!runs_at_origin(settings_, request))
+  if (!runs_at_origin(settings_, request)) {
     timers_.add(now_ + arrived.latency_objective, {TimerKind::latency_objective, request.id});
+  }
   PendingRequest& pending = pending_[request.id] = std::move(arrived);
   if (!attempt(pending)) give_up(pending);
   drop_if_done(request.id);
@@ -268,8 +269,9 @@
   feedback_.record_outcome(now_, pending, pending.attempts[number], outcome);
   safety_.record_result(outcome.request, outcome.result);
   if (outcome.request_finished) finish(pending);
-  if (!pending.is_finished && outcome.result != AttemptResult::served)
+  if (!pending.is_finished && outcome.result != AttemptResult::served) {
     retry_or_give_up(pending, outcome.result);
+  }
   drop_if_done(outcome.request);
 }
 
@@ -419,8 +421,9 @@
   if (std::exchange(pending.is_finished, true)) return;
   if (!settings_.cancellation || pending.is_streaming) return;
   for (std::size_t number = 0; number < pending.attempts.size(); ++number) {
-    if (pending.attempts[number].is_open)
+    if (pending.attempts[number].is_open) {
       actions_.emplace_back(Cancel{pending.request.id, static_cast<int>(number)});
+    }
   }
 }
 
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -51,11 +51,13 @@
 double SlowStart::load_share(const EndpointStats& stats) const {
   const bool is_parent = stats.role == Role::parent;
   const double weight = weight_of(settings_, stats.endpoint);
-  if (has_endpoint_sizes(settings_))
+  if (has_endpoint_sizes(settings_)) {
     return weight / std::max(1, is_parent ? settings_.router_count : routers_in_zone(settings_));
+  }
   double weights = 0;
-  for (const std::size_t index : endpoints_.running(stats.role))
+  for (const std::size_t index : endpoints_.running(stats.role)) {
     weights += weight_of(settings_, endpoints_[index].endpoint);
+  }
   return (is_parent ? parents_ : caches_).usual * weight / std::max(weights, kMinWeightSum);
 }
 
@@ -101,8 +103,9 @@
   // Seconds in which most of a group is warming up, or fails though it is listed, do not show what its
   // endpoints can do: after a restart of all, budgets that followed them would fall to nothing.
   if (is_mostly_warm(now, Role::cache)) caches_.usual += kLoadGain * (caches_.this_second - caches_.usual);
-  if (is_mostly_warm(now, Role::parent))
+  if (is_mostly_warm(now, Role::parent)) {
     parents_.usual += kLoadGain * (parents_.this_second - parents_.usual);
+  }
   caches_.this_second = 0;
   parents_.this_second = 0;
 }
