--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -21,10 +21,16 @@
 
 /// One step of SplitMix64: each bit of the argument changes about half of the bits of the result.
 [[nodiscard]] constexpr std::uint64_t splitmix64(std::uint64_t value) {
-  value += 0x9e3779b97f4a7c15U;
-  value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9U;
-  value = (value ^ (value >> 27U)) * 0x94d049bb133111ebU;
-  return value ^ (value >> 31U);
+  constexpr std::uint64_t kIncrement = 0x9e3779b97f4a7c15U;
+  constexpr std::uint64_t kFirstMultiplier = 0xbf58476d1ce4e5b9U;
+  constexpr std::uint64_t kSecondMultiplier = 0x94d049bb133111ebU;
+  constexpr unsigned kFirstShift = 30;
+  constexpr unsigned kSecondShift = 27;
+  constexpr unsigned kThirdShift = 31;
+  value += kIncrement;
+  value = (value ^ (value >> kFirstShift)) * kFirstMultiplier;
+  value = (value ^ (value >> kSecondShift)) * kSecondMultiplier;
+  return value ^ (value >> kThirdShift);
 }
 
 /// Count of the values that `top_53_bits` can give: all integers below it are exact as a double.
