--- a/src/admission/quota_leases.cpp
+++ b/src/admission/quota_leases.cpp
@@ -58,7 +58,7 @@
     if (name == settings_.name) continue;
     if (is_registered) {
       track_unfenced({name, identity, true});
-    } else if (shut_down.count(name) == 0) {
+    } else if (!shut_down.contains(name)) {
       track_unfenced({name, identity, false});
     }
   }
@@ -101,7 +101,7 @@
 
 void QuotaLeases::on_ack(Time now, const QuotaAck& ack) {
   const auto self = members_.find(settings_.name);
-  if (self == members_.end() || members_.count(ack.from) == 0 || ack.from == settings_.name) return;
+  if (self == members_.end() || !members_.contains(ack.from) || ack.from == settings_.name) return;
   for (UnfencedRecord& record : unfenced_) {
     if (ack.announced_version < record.announced_in) continue;
     record.acknowledged_by.insert(ack.from);
@@ -137,7 +137,7 @@
   if (record.acknowledged_by.size() + 2 < members_.size()) return false;
   return std::all_of(members_.begin(), members_.end(), [&](const auto& member) {
     return member.first == settings_.name || member.first == record.holder.name ||
-           record.acknowledged_by.count(member.first) != 0;
+           record.acknowledged_by.contains(member.first);
   });
 }
 
@@ -157,8 +157,7 @@
 void QuotaLeases::update_confirmation(Time now) {
   if (confirmed_ || !participates_ || now < confirmed_not_before_) return;
   // All others: those in `counted_by_` are registered, and this member is not among them.
-  const bool counted_by_all =
-      counted_by_.size() + 1 == members_.size() && members_.count(settings_.name) != 0;
+  const bool counted_by_all = counted_by_.size() + 1 == members_.size() && members_.contains(settings_.name);
   // Guards against halves of a new cluster that never met: each would take the whole budget for its own.
   confirmed_ = counted_by_all && members_.size() * 2 > settings_.expected_members;
 }
@@ -169,8 +168,9 @@
   const std::size_t counted = std::max<std::size_t>(1, counted_members());
   const auto self = members_.find(settings_.name);
   const Time expires_at = lease_end(counted);
-  if (!confirmed_ || !participates_ || self == members_.end() || expires_at <= now)
+  if (!confirmed_ || !participates_ || self == members_.end() || expires_at <= now) {
     return reserve_share(counted);
+  }
   const std::size_t in_zone = std::max<std::size_t>(1, counted_members_in_zone(self->second.zone));
   return {(1 - settings_.reserve_share) / static_cast<double>(counted),
           (1 - settings_.reserve_share) / static_cast<double>(in_zone), true, expires_at};
@@ -204,8 +204,9 @@
 std::size_t QuotaLeases::counted_members_in_zone(int zone) const {
   std::size_t count = 0;
   for (const auto& [name, identity] : members_) count += identity.zone == zone ? 1 : 0;
-  for (const UnfencedRecord& record : unfenced_)
+  for (const UnfencedRecord& record : unfenced_) {
     count += !record.holder.replaced && record.holder.identity.zone == zone ? 1 : 0;
+  }
   return count;
 }
 
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -55,8 +55,9 @@
 bool is_valid(const pb::Message& message) {
   if (message.kind() >= kMessageKindCount || !is_empty_or_valid_name(message.to()) ||
       !is_valid(message.from()) || !is_empty_or_valid_name(message.target()) ||
-      !is_empty_or_valid_address(message.target_address()))
+      !is_empty_or_valid_address(message.target_address())) {
     return false;
+  }
   const auto kind = static_cast<MessageKind>(message.kind());
   const bool has_target = !message.target().empty() && !message.target_address().empty();
   if (kind == MessageKind::ping_req && !has_target) return false;
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -131,8 +131,9 @@
 
 Time FailureDetector::next_due() const {
   Time due = next_probe_;
-  for (const auto& [sequence, probe] : probes_)
+  for (const auto& [sequence, probe] : probes_) {
     due = std::min(due, probe.phase == Phase::direct ? probe.direct_deadline : probe.expires_at);
+  }
   return due;
 }
 
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -77,8 +77,9 @@
 void FailureDetector::check_probes(OnUnreachable&& on_unreachable) {
   for (auto it = probes_.begin(); it != probes_.end();) {
     Probe& probe = it->second;
-    if (probe.phase == Phase::direct && probe.direct_deadline <= context_.now)
+    if (probe.phase == Phase::direct && probe.direct_deadline <= context_.now) {
       send_ping_requests(it->first, probe);
+    }
     if (probe.expires_at > context_.now) {
       ++it;
       continue;
--- a/src/membership/gossip.cpp
+++ b/src/membership/gossip.cpp
@@ -36,8 +36,9 @@
 void Gossip::ping_suspects() {
   if (!context_.settings.lifeguard || !context_.is_participating()) return;
   const auto fanout = static_cast<std::size_t>(context_.settings.gossip_fanout);
-  for (const std::string& name : suspicions_.past_half_time(fanout))
+  for (const std::string& name : suspicions_.past_half_time(fanout)) {
     messenger_.send(name, messenger_.make_message(MessageKind::ping, name, messenger_.next_sequence()));
+  }
 }
 
 void Gossip::announce_shutdown(const MemberUpdate& update) {
--- a/src/membership/messenger.cpp
+++ b/src/membership/messenger.cpp
@@ -35,8 +35,9 @@
     room -= encoded_size(receiver->update);
   }
   if (!broadcasts_.empty()) {
-    for (MemberUpdate& update : broadcasts_.take(room, max_transmits(), encoded_size))
+    for (MemberUpdate& update : broadcasts_.take(room, max_transmits(), encoded_size)) {
       message.updates.push_back(std::move(update));
+    }
   }
   send_plain(address, std::move(message));
 }
@@ -50,7 +51,7 @@
 }
 
 std::size_t Messenger::max_transmits() const {
-  const double members = static_cast<double>(context_.view.registered());
+  const auto members = static_cast<double>(context_.view.registered());
   const double transmits = std::ceil(context_.settings.retransmit_factor * std::log10(members + 1));
   return std::max(static_cast<std::size_t>(transmits), kMinTransmits);
 }
--- a/src/membership/ping_relay.cpp
+++ b/src/membership/ping_relay.cpp
@@ -63,8 +63,9 @@
 
 Time PingRelay::next_due() const {
   Time due = Time::max();
-  for (const auto& [sequence, ping] : pings_)
+  for (const auto& [sequence, ping] : pings_) {
     due = std::min(due, ping.nack_sent ? ping.expires_at : ping.nack_at);
+  }
   return due;
 }
 
--- a/src/membership/probe_order.cpp
+++ b/src/membership/probe_order.cpp
@@ -47,8 +47,9 @@
     const std::string& name = order_[context_.random() % order_.size()];
     const Member* member = context_.view.find(name);
     const bool is_drawn = std::find(drawn.begin(), drawn.end(), name) != drawn.end();
-    if (name != excluded && member != nullptr && is_reachable(member->update.status) && !is_drawn)
+    if (name != excluded && member != nullptr && is_reachable(member->update.status) && !is_drawn) {
       drawn.push_back(name);
+    }
   }
   return drawn;
 }
--- a/src/membership/quota_adapter.cpp
+++ b/src/membership/quota_adapter.cpp
@@ -91,8 +91,9 @@
   // Only the process that is the member here is counted: neither another one of its name nor one that was
   // forgotten.
   if (known != nullptr && known->update.disk_id == ping_sender.disk_id &&
-      known->update.incarnation == ping_sender.incarnation)
+      known->update.incarnation == ping_sender.incarnation) {
     ack.counted_disk = leases_.counted_disk_of(ping_sender.name);
+  }
   ack.member_names_hash = leases_.member_names_hash();
   ack.confirmed = leases_.confirmed();
 }
--- a/src/membership/reconnector.cpp
+++ b/src/membership/reconnector.cpp
@@ -41,8 +41,9 @@
   const bool knows_others = context_.view.reachable() > 1;
   // Guards against islands: members that found each other first go on pinging seeds that none of them is.
   if (knows_others) {
-    if (context_.is_participating())
+    if (context_.is_participating()) {
       messenger_.send_plain(seed, messenger_.make_message(MessageKind::ping, "", messenger_.next_sequence()));
+    }
     return;
   }
   Message request = messenger_.make_message(MessageKind::full_sync, "", messenger_.next_sequence());
--- a/src/membership/reducer.cpp
+++ b/src/membership/reducer.cpp
@@ -62,12 +62,14 @@
   for (MemberUpdate update : stored) {
     if (update.name == context_.settings.name || QuotaAdapter::is_holder_only(update)) continue;
     // Whether they were reachable is outdated; that they are registered is not.
-    if (update.status == MemberStatus::suspect || update.status == MemberStatus::dead)
+    if (update.status == MemberStatus::suspect || update.status == MemberStatus::dead) {
       update.status = MemberStatus::alive;
+    }
     update.reported_by.clear();
     const View::Merged merged = context_.view.merge(update, context_.now);
-    if (merged.result == View::MergeResult::changed && is_reachable(update.status))
+    if (merged.result == View::MergeResult::changed && is_reachable(update.status)) {
       reachable.push_back(update.name);
+    }
   }
   probe_order_.start(std::move(reachable));
 }
@@ -292,13 +294,15 @@
 }
 
 void State::log_change(const View::Merged& merged, const MemberUpdate& update, const std::string& cause) {
-  if (merged.replaced)
+  if (merged.replaced) {
     context_.log("peer replaced name=" + update.name + " disk=" + std::to_string(update.disk_id) +
                  " before=" + std::to_string(merged.replaced->disk_id) +
                  ": what the one before held is gone");
-  if (merged.previous_address)
+  }
+  if (merged.previous_address) {
     context_.log("peer moved name=" + update.name + " address=" + update.address +
                  " before=" + *merged.previous_address);
+  }
   if (!merged.is_new && !merged.previous_status) return;
   const std::string_view before = merged.previous_status ? name_of(*merged.previous_status) : "unknown";
   std::string line = "peer name=" + update.name + " state=" + std::string(name_of(update.status)) +
--- a/src/membership/refutation.cpp
+++ b/src/membership/refutation.cpp
@@ -69,8 +69,9 @@
   const bool is_disputed = self.status == MemberStatus::disputed;
   const bool in_grace_period = context_.now - context_.started_at < kRestartGracePeriod;
   if (in_grace_period && !is_disputed) {
-    if (update.disk_id != self.disk_id)
+    if (update.disk_id != self.disk_id) {
       context_.log("peers name taken over disk=" + std::to_string(update.disk_id));
+    }
     raise_incarnation(update.incarnation + kEpochStep, MemberStatus::alive);
   } else if (!is_disputed || update.status != MemberStatus::disputed) {
     raise_incarnation(update.incarnation, MemberStatus::disputed);
--- a/src/membership/report.cpp
+++ b/src/membership/report.cpp
@@ -75,8 +75,9 @@
             [](const Member* left, const Member* right) { return left->update.name < right->update.name; });
   out.Key("members");
   out.StartArray();
-  for (const Member* member : members)
+  for (const Member* member : members) {
     write_member(out, *member, member->update.name == state.settings().name, now);
+  }
   out.EndArray();
 }
 
@@ -121,8 +122,9 @@
   add("exchanges", counters.full_syncs);
   add("not_for_here", counters.wrong_recipient);
   add("turned_away", counters.table_full);
-  for (std::size_t i = 0; i < kDecodeErrorCount; ++i)
+  for (std::size_t i = 0; i < kDecodeErrorCount; ++i) {
     add("refused." + std::string(name_of(static_cast<DecodeError>(i))), counters.decode_errors[i]);
+  }
 }
 
 }  // namespace
--- a/src/membership/state_sync.cpp
+++ b/src/membership/state_sync.cpp
@@ -13,6 +13,8 @@
 
 /// Up to this many members the interval of periodic syncs does not depend on their number.
 constexpr double kFullSyncBaseMembers = 32;
+/// Part of the interval after which the first periodic sync happens at the earliest.
+constexpr double kMinFirstSyncDelay = 0.5;
 /// A view has to differ for this long before it is repaired: gossip repairs most differences.
 constexpr Time kDifferenceTolerance = 2s;
 /// Minimum time between two syncs before a repair, and what each registered member adds to it.
@@ -25,13 +27,13 @@
     : context_(context), messenger_(messenger), probe_order_(probe_order), next_full_sync_(context.now) {}
 
 void StateSync::start() {
-  std::uniform_real_distribution<> phase(0.5, 1);
+  std::uniform_real_distribution<> phase(kMinFirstSyncDelay, 1);
   next_full_sync_ += scaled(context_.settings.full_sync_interval, phase(context_.random));
 }
 
 void StateSync::run_timers() {
   if (next_full_sync_ > context_.now) return;
-  const double members = static_cast<double>(context_.view.registered());
+  const auto members = static_cast<double>(context_.view.registered());
   const double stretch = std::max(1.0, members / kFullSyncBaseMembers);
   next_full_sync_ = context_.now + scaled(context_.settings.full_sync_interval, stretch);
   for (const std::string& name : probe_order_.random_members(1)) full_sync_with(name);
@@ -61,8 +63,9 @@
   const auto members = static_cast<int>(context_.view.registered());
   const Time repair_interval = kMinRepairInterval + kRepairIntervalPerMember * members;
   if (context_.now - since < kDifferenceTolerance || context_.now - last_full_sync_ < repair_interval ||
-      !context_.is_participating())
+      !context_.is_participating()) {
     return;
+  }
   full_sync_with(sender);
 }
 
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -78,7 +78,7 @@
 }
 
 bool View::has_no_room_for(const std::string& name) const {
-  return members_.count(name) == 0 && registered_ >= max_members_;
+  return !members_.contains(name) && registered_ >= max_members_;
 }
 
 View::Merged View::merge(const MemberUpdate& update, Time now) {
