--- a/src/codec/cache_lines.cpp
+++ b/src/codec/cache_lines.cpp
@@ -21,6 +21,12 @@
 
 }  // namespace
 
+std::string_view name_of(LineError error) {
+  static constexpr std::array<std::string_view, 6> kNames{
+      "none", "line_too_long", "not_a_response", "unknown_word", "body_too_long", "body_not_terminated"};
+  return kNames[static_cast<std::size_t>(error)];
+}
+
 void FieldList::add(std::string_view name, std::string_view value) {
   if (!text_.empty()) text_ += ',';
   text_.append(name).append("=").append(value);
--- a/src/codec/cache_lines.h
+++ b/src/codec/cache_lines.h
@@ -47,6 +47,8 @@
   body_too_long,
   body_not_terminated
 };
+/// As log lines show it: the enumerator's name.
+[[nodiscard]] std::string_view name_of(LineError error);
 
 /// Takes answers out of a stream of bytes, however it is split.
 class CacheResponseReader {
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -320,7 +320,7 @@
   if (from.read_error() == codec::LineError::none) return;
   // Guards against a peer that does not speak the protocol: nothing more it says can be told apart.
   context_.log("member unreadable answer member=" + from.endpoint() +
-               " error=" + std::to_string(static_cast<int>(from.read_error())));
+               " error=" + std::string(name_of(from.read_error())));
   close(connection, CloseReason::malformed_response, ClosedBy::proxy);
 }
 
