--- a/src/proxy/upstream/endpoint_directory.cpp
+++ b/src/proxy/upstream/endpoint_directory.cpp
@@ -2,56 +2,69 @@
 #include "proxy/upstream/endpoint_directory.h"
 
 #include <algorithm>
-#include <array>
 #include <charconv>
+#include <utility>
 
 #include "proxy/resource_limits.h"
 
 namespace edge_proxy::proxy {
+namespace {
+
+// The words with which a stored override begins.
+constexpr std::string_view kSuspendedWord = "out ";
+constexpr std::string_view kResumedWord = "in ";
+
+}  // namespace
 
 codec::ListedEndpoint EndpointDirectory::effective(const codec::ListedEndpoint& listed) const {
   const auto found = overrides_.find(listed.endpoint.id);
-  const bool agreed_out = policy_suspended_.count(listed.endpoint.id) != 0;
-  if (found == overrides_.end() && !agreed_out) return listed;
-  codec::ListedEndpoint told = listed;
-  if (agreed_out || found->second.is_suspended) {
-    if (told.endpoint.state == EndpointState::running) told.endpoint.state = EndpointState::draining;
+  const bool is_policy_suspended = policy_suspended_.contains(listed.endpoint.id);
+  if (found == overrides_.end() && !is_policy_suspended) return listed;
+  codec::ListedEndpoint effective = listed;
+  Endpoint& endpoint = effective.endpoint;
+  if (is_policy_suspended || found->second.is_suspended) {
+    if (endpoint.state == EndpointState::running) endpoint.state = EndpointState::draining;
   } else {
-    // Guards against pushing over a member that was restarted while it was out, of which the bulletin may not
-    // have told yet: it counts as cold from the moment it was put back. Harm: one that was not restarted is
-    // asked less than it could bear for a while.
-    told.endpoint.started = std::max(told.endpoint.started, found->second.changed_at);
+    // Guards against overloading an endpoint that was restarted while it was suspended, of which discovery
+    // may not have sent an event yet: it warms up from the moment it was resumed. Harm: one that was not
+    // restarted gets less than it could bear for a while.
+    endpoint.started = std::max(endpoint.started, found->second.changed_at);
   }
-  return told;
+  return effective;
 }
 
-codec::EndpointUpdate EndpointDirectory::apply(const codec::EndpointUpdate& told, Time now) {
-  const auto gone = [this](const std::string& id) {
-    recently_removed_.push_back(id);
-    if (recently_removed_.size() > kMaxRemovedEndpoints) recently_removed_.pop_front();
-  };
-  if (told.is_complete) {
-    for (const auto& [id, listed] : std::exchange(endpoints_, {})) gone(id);
+codec::EndpointUpdate EndpointDirectory::apply(const codec::EndpointUpdate& update, Time now) {
+  if (update.is_complete) {
+    for (const auto& [id, listed] : std::exchange(endpoints_, {})) remember_removed(id);
   }
-  codec::EndpointUpdate out{told.is_complete, {}};
-  for (const codec::ListedEndpoint& news : told.endpoints) {
-    codec::ListedEndpoint listed = news;
-    const auto before = endpoints_.find(news.endpoint.id);
+  codec::EndpointUpdate effective_update{update.is_complete, {}};
+  for (const codec::ListedEndpoint& changed : update.endpoints) {
+    codec::ListedEndpoint listed = changed;
+    const auto before = endpoints_.find(changed.endpoint.id);
     if (listed.address.empty() && before != endpoints_.end()) listed.address = before->second.address;
-    if (news.endpoint.state != EndpointState::removed) {
-      endpoints_[news.endpoint.id] = listed;
-    } else if (before != endpoints_.end()) {
-      endpoints_.erase(before);
-      gone(news.endpoint.id);
-    }
-    out.endpoints.push_back(effective(listed));
+    store(listed);
+    effective_update.endpoints.push_back(effective(listed));
   }
   drop_expired_overrides(now);
-  return out;
+  return effective_update;
+}
+
+void EndpointDirectory::store(const codec::ListedEndpoint& listed) {
+  const std::string& id = listed.endpoint.id;
+  if (listed.endpoint.state != EndpointState::removed) {
+    endpoints_[id] = listed;
+  } else if (endpoints_.erase(id) > 0) {
+    remember_removed(id);
+  }
+}
+
+void EndpointDirectory::remember_removed(const std::string& id) {
+  recently_removed_.push_back(id);
+  if (recently_removed_.size() > kMaxRemovedEndpoints) recently_removed_.pop_front();
 }
 
 bool EndpointDirectory::is_known(const std::string& id) const {
-  return endpoints_.count(id) != 0 || overrides_.count(id) != 0 ||
+  return endpoints_.contains(id) || overrides_.contains(id) ||
          std::find(recently_removed_.begin(), recently_removed_.end(), id) != recently_removed_.end();
 }
 
@@ -61,22 +74,23 @@
   return {false, {effective(listed->second)}};
 }
 
-codec::EndpointUpdate EndpointDirectory::set_policy_suspended(std::set<std::string> out, Time now) {
-  const std::set<std::string> before = std::exchange(policy_suspended_, std::move(out));
+codec::EndpointUpdate EndpointDirectory::set_policy_suspended(std::set<std::string> suspended, Time now) {
+  const std::set<std::string> before = std::exchange(policy_suspended_, std::move(suspended));
   for (const std::string& id : before) {
-    if (policy_suspended_.count(id) == 0 && !is_suspended(id) && overrides_.size() < kMaxOverrides)
-      overrides_[id] = {false, now};
+    const bool is_resumed = !policy_suspended_.contains(id) && !is_suspended(id);
+    if (is_resumed && overrides_.size() < kMaxOverrides) overrides_[id] = {false, now};
   }
   codec::EndpointUpdate changed;
   for (const auto& [id, listed] : endpoints_) {
-    if (before.count(id) != policy_suspended_.count(id)) changed.endpoints.push_back(effective(listed));
+    if (before.contains(id) != policy_suspended_.contains(id)) changed.endpoints.push_back(effective(listed));
   }
   return changed;
 }
 
 std::optional<codec::EndpointUpdate> EndpointDirectory::suspend(const std::string& id, Time now) {
-  if (!is_known(id) || (overrides_.size() >= kMaxOverrides && overrides_.count(id) == 0)) return std::nullopt;
-  if (!is_suspended(id)) overrides_[id] = {true, now};  // said again, it changes nothing
+  const bool is_full = overrides_.size() >= kMaxOverrides && !overrides_.contains(id);
+  if (!is_known(id) || is_full) return std::nullopt;
+  if (!is_suspended(id)) overrides_[id] = {true, now};  // repeated, the call changes nothing
   return update_for(id);
 }
 
@@ -86,44 +100,55 @@
   return update_for(id);
 }
 
-/// Guards the memory: once a member that was put back would be warm anyway, that it was out tells nothing.
+/// Guards the memory: once an endpoint that was resumed has warmed up anyway, its override has no effect.
 void EndpointDirectory::drop_expired_overrides(Time now) {
-  std::erase_if(overrides_, [now](const auto& e) {
-    return !e.second.is_suspended && now - e.second.changed_at >= kOverrideRetention;
+  std::erase_if(overrides_, [now](const auto& item) {
+    return !item.second.is_suspended && now - item.second.changed_at >= kOverrideRetention;
   });
 }
 
+// ---- Stored overrides: one line each, `out TIME ID` or `in TIME ID` ----
+
 std::string EndpointDirectory::serialized_overrides() const {
   std::string text;
-  for (const auto& [id, said] : overrides_) {
-    text.append(said.is_suspended ? "out " : "in ").append(std::to_string(said.changed_at.count()));
-    text.append(" ").append(id).append("\n");
+  for (const auto& [id, entry] : overrides_) {
+    text.append(entry.is_suspended ? kSuspendedWord : kResumedWord);
+    text.append(std::to_string(entry.changed_at.count())).append(" ").append(id).append("\n");
   }
   return text;
 }
 
-codec::EndpointUpdate EndpointDirectory::load_overrides(std::string_view text) {
-  std::map<std::string, AdminOverride> read;
-  while (!text.empty() && read.size() < kMaxOverrides) {
+/// Guards against a file that was cut off: a line that can't be read is passed over.
+EndpointDirectory::Overrides EndpointDirectory::parse_overrides(std::string_view text) {
+  Overrides overrides;
+  while (!text.empty() && overrides.size() < kMaxOverrides) {
     std::string_view line = text.substr(0, text.find('\n'));
     text.remove_prefix(std::min(line.size() + 1, text.size()));
-    const bool out = line.substr(0, 4) == "out ";
-    if (!out && line.substr(0, 3) != "in ") continue;
-    line.remove_prefix(out ? 4 : 3);
-    std::int64_t at = 0;
-    const auto [end, problem] = std::from_chars(line.data(), line.data() + line.size(), at);
-    const auto used = static_cast<std::size_t>(end - line.data());
-    // Guards against a file that was cut off: a line that can't be read is passed over.
-    if (problem != std::errc{} || used + 1 >= line.size() || line[used] != ' ') continue;
-    read[std::string(line.substr(used + 1))] = {out, Time{at}};
+    const bool is_suspended = line.starts_with(kSuspendedWord);
+    if (!is_suspended && !line.starts_with(kResumedWord)) continue;
+    line.remove_prefix(is_suspended ? kSuspendedWord.size() : kResumedWord.size());
+    std::int64_t changed_at = 0;
+    const auto [end, error] = std::from_chars(line.data(), line.data() + line.size(), changed_at);
+    const auto digits = static_cast<std::size_t>(end - line.data());
+    if (error != std::errc{} || digits + 1 >= line.size() || line[digits] != ' ') continue;
+    overrides[std::string(line.substr(digits + 1))] = {is_suspended, Time{changed_at}};
   }
-  std::map<std::string, AdminOverride> before = std::exchange(overrides_, std::move(read));
+  return overrides;
+}
+
+EndpointDirectory::AdminOverride EndpointDirectory::override_of(const Overrides& overrides,
+                                                                const std::string& id) {
+  const auto found = overrides.find(id);
+  return found == overrides.end() ? AdminOverride{} : found->second;
+}
+
+codec::EndpointUpdate EndpointDirectory::load_overrides(std::string_view text) {
+  const Overrides before = std::exchange(overrides_, parse_overrides(text));
   codec::EndpointUpdate changed;
   for (const auto& [id, listed] : endpoints_) {
-    const auto was = before.find(id), is = overrides_.find(id);
-    const AdminOverride none{};
-    if ((was == before.end() ? none : was->second) != (is == overrides_.end() ? none : is->second))
+    if (override_of(before, id) != override_of(overrides_, id)) {
       changed.endpoints.push_back(effective(listed));
+    }
   }
   return changed;
 }
--- a/src/proxy/upstream/endpoint_directory.h
+++ b/src/proxy/upstream/endpoint_directory.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The list of members as the bulletin tells it, with what operators took out by hand laid over it.
+/// The endpoint list as discovery sends it, with the overrides laid over it: endpoints that operators
+/// suspended, and those that the policy of the cluster suspends.
 #pragma once
 
 #include <cstddef>
@@ -15,46 +16,55 @@
 
 namespace edge_proxy::proxy {
 
+/// Each function that changes something returns the endpoints whose effective state may have changed: all
+/// parts have to be notified of them.
 class EndpointDirectory {
  public:
-  /// Takes in the bulletin's news; what is to be told of it to all others.
-  codec::EndpointUpdate apply(const codec::EndpointUpdate& told, Time now);
+  /// Takes in an update from discovery; returns it with the overrides laid over it.
+  codec::EndpointUpdate apply(const codec::EndpointUpdate& update, Time now);
 
-  /// Takes a member out, or in again. What is to be told of it; none where no such member was ever listed.
+  /// An operator suspends the endpoint, or resumes it. None where no such endpoint was ever listed, or
+  /// kMaxOverrides are suspended already.
   std::optional<codec::EndpointUpdate> suspend(const std::string& id, Time now);
   std::optional<codec::EndpointUpdate> resume(const std::string& id, Time now);
 
-  /// Those that the policy of the whole fleet takes out; what is to be told of the differences. One that
-  /// comes back counts as started at that moment, as where an operator puts it back.
-  codec::EndpointUpdate set_policy_suspended(std::set<std::string> out, Time now);
+  /// The endpoints that the policy suspends. One that it resumes counts as started at that moment, as where
+  /// an operator does.
+  codec::EndpointUpdate set_policy_suspended(std::set<std::string> suspended, Time now);
 
-  /// What outlives the process, and what another process has kept meanwhile. The latter gives what is to be
-  /// told of the differences.
+  /// The operators' overrides, for a process that is started later.
   [[nodiscard]] std::string serialized_overrides() const;
+  /// Takes over what another process has stored meanwhile.
   codec::EndpointUpdate load_overrides(std::string_view text);
 
+  /// Whether an operator suspended the endpoint.
   [[nodiscard]] bool is_suspended(const std::string& id) const {
     const auto found = overrides_.find(id);
     return found != overrides_.end() && found->second.is_suspended;
   }
 
  private:
-  /// What operators said of a member last.
+  /// What an operator last did with an endpoint.
   struct AdminOverride {
     bool is_suspended = false;
     Time changed_at{0};
     bool operator==(const AdminOverride&) const = default;
   };
+  using Overrides = std::map<std::string, AdminOverride>;
 
   [[nodiscard]] codec::ListedEndpoint effective(const codec::ListedEndpoint& listed) const;
   [[nodiscard]] codec::EndpointUpdate update_for(const std::string& id) const;
   [[nodiscard]] bool is_known(const std::string& id) const;
+  void store(const codec::ListedEndpoint& listed);
+  void remember_removed(const std::string& id);
   void drop_expired_overrides(Time now);
+  [[nodiscard]] static Overrides parse_overrides(std::string_view text);
+  [[nodiscard]] static AdminOverride override_of(const Overrides& overrides, const std::string& id);
 
   std::map<std::string, codec::ListedEndpoint> endpoints_;
-  std::map<std::string, AdminOverride> overrides_;
+  Overrides overrides_;
   std::set<std::string> policy_suspended_;
-  std::deque<std::string> recently_removed_;  // the ids that left last
+  std::deque<std::string> recently_removed_;  // ids, the latest at the back
 };
 
 }  // namespace edge_proxy::proxy
