--- /dev/null
+++ b/src/proxy/admin/admin_call.cpp
@@ -0,0 +1,64 @@
+// SPDX-License-Identifier: MIT
+#include "proxy/admin/admin_call.h"
+
+#include <array>
+#include <optional>
+#include <string_view>
+
+namespace edge_proxy::proxy {
+namespace {
+
+/// Stands in a path for the name of an endpoint, member or voter, which may hold slashes.
+constexpr char kTargetPlaceholder = '*';
+
+/// One admin call: the method and path by which it is made.
+struct AdminRoute {
+  std::string_view method;
+  std::string_view path;
+  AdminOperation operation;
+};
+
+constexpr std::array<AdminRoute, 11> kAdminRoutes{{
+    {"GET", "/v1/readyz", AdminOperation::ready},
+    {"GET", "/v1/metrics", AdminOperation::metrics},
+    {"POST", "/v1/pop-caches/*/suspend", AdminOperation::suspend},
+    {"POST", "/v1/pop-caches/*/resume", AdminOperation::resume},
+    {"GET", "/v1/peers", AdminOperation::peers},
+    {"POST", "/v1/peers/*/forget", AdminOperation::forget},
+    {"GET", "/v1/policy", AdminOperation::policy},
+    {"PUT", "/v1/policy", AdminOperation::put_policy},
+    {"POST", "/v1/policy/abort", AdminOperation::abort_policy},
+    {"POST", "/v1/policy/voters/*/add", AdminOperation::add_voter},
+    {"POST", "/v1/policy/voters/*/remove", AdminOperation::remove_voter},
+}};
+
+/// The name that the path holds in the place of the pattern's placeholder, empty where the pattern has none;
+/// nothing where the path does not match.
+std::optional<std::string_view> match_path(std::string_view path, std::string_view pattern) {
+  const std::size_t placeholder = pattern.find(kTargetPlaceholder);
+  if (placeholder == std::string_view::npos) {
+    return path == pattern ? std::optional(std::string_view()) : std::nullopt;
+  }
+  const std::string_view prefix = pattern.substr(0, placeholder);
+  const std::string_view suffix = pattern.substr(placeholder + 1);
+  if (!path.starts_with(prefix) || !path.ends_with(suffix)) return std::nullopt;
+  if (path.size() <= prefix.size() + suffix.size()) return std::nullopt;
+  return path.substr(prefix.size(), path.size() - prefix.size() - suffix.size());
+}
+
+}  // namespace
+
+AdminCall read_admin_call(const codec::HttpCall& call) {
+  AdminCall read;
+  for (const AdminRoute& route : kAdminRoutes) {
+    const auto target = match_path(call.path, route.path);
+    if (!target) continue;
+    read.target = *target;
+    read.operation = call.method == route.method ? route.operation : AdminOperation::wrong_method;
+    if (read.operation != AdminOperation::wrong_method) break;
+  }
+  if (read.operation == AdminOperation::put_policy) read.body = call.body;
+  return read;
+}
+
+}  // namespace edge_proxy::proxy
--- a/src/proxy/admin/admin_connections.h
+++ b/src/proxy/admin/admin_connections.h
@@ -1,56 +1,38 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The connections at the second address, where operators call: one call each.
+/// The connections at the admin address: one call each.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <optional>
-#include <string>
 #include <string_view>
-#include <utility>
-#include <vector>
 
 #include "codec/http_call.h"
+#include "proxy/admin/admin_call.h"
 #include "proxy/context.h"
 
 namespace edge_proxy::proxy {
 
-/// What operators can ask for.
-enum class AdminOperation {
-  ready,
-  metrics,
-  suspend,
-  resume,
-  peers,
-  forget,
-  policy,
-  put_policy,
-  abort_policy,
-  add_voter,
-  remove_voter,
-  unknown,
-  wrong_method
-};
-struct AdminCall {
-  AdminOperation operation = AdminOperation::unknown;
-  std::string target;  ///< of suspend, resume, forget and the words on voters
-  std::string body;    ///< of put_policy
-};
-AdminCall read_admin_call(const codec::HttpCall& call);
-
 class Admin {
  public:
   explicit Admin(Context& context) : context_(context) {}
 
+  /// Guards the descriptors against callers that connect and send nothing: the oldest connection makes room
+  /// for a new one.
   void on_accepted(ConnectionId connection);
-  [[nodiscard]] bool owns(ConnectionId connection) const { return connections_.count(connection) != 0; }
-  /// The call, once it is whole. One that can't be read is answered here.
-  std::optional<AdminCall> on_bytes(ConnectionId connection, std::string_view on_bytes);
-  /// The answer; the connection ends once the other side has read it.
+  [[nodiscard]] bool owns(ConnectionId connection) const { return connections_.contains(connection); }
+  /// The call, once it is complete. One that can't be read is answered here.
+  std::optional<AdminCall> on_bytes(ConnectionId connection, std::string_view bytes);
+  /// Writes the answer; the connection ends once the other side has read it.
   void reply(ConnectionId connection, int status, std::string_view body);
+  /// The connection ends; `close_it`: this side closes it.
   void end(ConnectionId connection, CloseReason reason, bool close_it);
-  /// Ends connections that have stayed for too long.
+  /// Closes connections whose call did not come in kAdminCallTimeout, or whose answer was not taken in
+  /// kDrainTimeout.
   void sweep();
+  /// Closes all connections.
   void stop();
 
  private:
@@ -61,6 +43,10 @@
     codec::HttpCallReader reader;
   };
 
+  [[nodiscard]] bool is_full() const;
+  [[nodiscard]] ConnectionId connection_to_evict() const;
+  [[nodiscard]] std::optional<CloseReason> expiry_of(const AdminConnection& connection) const;
+
   Context& context_;
   std::map<ConnectionId, AdminConnection> connections_;
 };
--- a/src/proxy/admin/admin_handler.h
+++ b/src/proxy/admin/admin_handler.h
@@ -1,11 +1,14 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What operators ask for at the second address, carried out and answered.
+/// Carries out the calls that operators make at the admin address, and answers them.
 #pragma once
 
+#include <optional>
 #include <string>
 
+#include "proxy/admin/admin_call.h"
 #include "proxy/admin/admin_connections.h"
+#include "proxy/admin/http_status.h"
 #include "proxy/client/pending_requests.h"
 #include "proxy/cluster/membership_adapter.h"
 #include "proxy/cluster/policy_controller.h"
@@ -27,19 +30,30 @@
     MembershipAdapter& membership;
     PolicyController& policy;
   };
-  explicit AdminHandler(const Dependencies& parts) : dependencies_(parts) {}
+  explicit AdminHandler(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
-  /// Does what the call asks for. The members that are to be treated otherwise from now on: to be told to all
-  /// before the call is answered.
+  /// Suspends or resumes the endpoint that the call names; nothing for other calls. Returns the endpoints
+  /// whose state has changed: all parts have to be notified of them before the call is answered.
   codec::EndpointUpdate execute(const AdminCall& call, Time now);
-  /// The answer, after act: a yes comes once all is done. `ready`: whether the proxy can serve.
+  /// Carries out any other call and answers it, after execute(): a success is reported once all is done.
+  /// Changes of the policy are answered later, by PolicyController::take_replies(). `ready`: whether the
+  /// proxy can serve.
   void reply(ConnectionId connection, const AdminCall& call, bool ready);
 
  private:
+  struct Reply {
+    int status = kHttpOk;
+    std::string body;
+  };
+
+  /// The answer to a call that is answered at once; none to one that waits for the policy's log.
+  [[nodiscard]] std::optional<Reply> reply_to(const AdminCall& call, bool ready);
+  [[nodiscard]] Reply forget_member(const std::string& name);
   [[nodiscard]] std::string metrics() const;
+  void change_policy(ConnectionId connection, const AdminCall& call);
 
   Dependencies dependencies_;
-  bool target_known_ = false;  // the member that the last call named
+  bool is_target_known_ = false;  // whether the endpoint that the last call named was ever listed
 };
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/admin/stats_log.cpp
+++ b/src/proxy/admin/stats_log.cpp
@@ -10,46 +10,57 @@
 namespace edge_proxy::proxy {
 namespace {
 
-std::string_view name_of(AttemptResult ending) {
-  static constexpr std::array<std::string_view, 10> names{"served",      "error",  "shed",      "timed_out",
-                                                          "unreachable", "broken", "cancelled", "unsent",
-                                                          "missing",     "spoilt"};
-  return names[static_cast<std::size_t>(ending)];
+constexpr std::int64_t kMicrosecondsPerMillisecond = 1000;
+
+std::string_view name_of(AttemptResult result) {
+  static constexpr std::array<std::string_view, 10> kNames{
+      "served",          "error",     "shed",     "timed_out",  "unreachable",
+      "connection_lost", "cancelled", "not_sent", "cache_miss", "malformed_response"};
+  return kNames[static_cast<std::size_t>(result)];
 }
 
 }  // namespace
 
-void StatsLog::log_attempt(Context& context, const AttemptCompletion& log_attempt, AttemptResult ending) {
-  ++results_[log_attempt.endpoint][ending];
-  if (ending == AttemptResult::served || ++failed_attempt_lines_ > kMaxFailedAttemptLines) return;
-  context.log("wrong request=" + log_attempt.request + " attempt=" + std::to_string(log_attempt.attempt) +
-              " member=" + log_attempt.endpoint + " source=" + log_attempt.source +
-              " ending=" + std::string(name_of(ending)) +
-              " took_ms=" + std::to_string(log_attempt.duration.count() / 1000));
+void StatsLog::log_attempt(Context& context, const AttemptCompletion& attempt, AttemptResult result) {
+  ++results_[attempt.endpoint][result];
+  if (result == AttemptResult::served || ++failed_attempt_lines_ > kMaxFailedAttemptLines) return;
+  context.log("wrong request=" + attempt.request + " attempt=" + std::to_string(attempt.attempt) +
+              " member=" + attempt.endpoint + " source=" + attempt.source +
+              " ending=" + std::string(name_of(result)) +
+              " took_ms=" + std::to_string(attempt.duration.count() / kMicrosecondsPerMillisecond));
 }
 
-void StatsLog::log_second(Context& context, const Gauges& now) {
-  if (counters != SecondCounters{}) {
-    const Router::Stats& believed = now.router;
-    context.log(
-        "load taken=" + std::to_string(counters.accepted) + " attempts=" + std::to_string(counters.attempts) +
-        " served=" + std::to_string(counters.served) + " own=" + std::to_string(counters.served_locally) +
-        " refused=" + std::to_string(counters.rejected) + " turned_away=" +
-        std::to_string(counters.rejected_early) + " failed=" + std::to_string(counters.failed) +
-        " open=" + std::to_string(now.pending_requests) + " out=" + std::to_string(now.attempts_in_flight) +
-        " believed_out=" + std::to_string(believed.in_flight) + " shut=" + std::to_string(believed.ejected) +
-        " members=" + std::to_string(now.endpoints) +
-        " kept=" + std::to_string(believed.table_entries + now.table_entries) +
-        " sockets=" + std::to_string(now.connections));
-  }
+void StatsLog::log_second(Context& context, const Gauges& gauges) {
+  if (counters != SecondCounters{}) log_requests(context, gauges);
   counters = {};
   failed_attempt_lines_ = 0;
-  for (const auto& [member, endings] : std::exchange(results_, {})) {
-    std::string line = "endings member=" + member;
-    for (const auto& [ending, count] : endings)
-      line.append(" ").append(name_of(ending)).append("=").append(std::to_string(count));
-    if (endings.size() > 1 || endings.begin()->first != AttemptResult::served) context.log(std::move(line));
+  for (const auto& [endpoint, counts] : std::exchange(results_, {})) {
+    const bool all_served = counts.size() == 1 && counts.begin()->first == AttemptResult::served;
+    if (!all_served) log_results(context, endpoint, counts);
+  }
+}
+
+void StatsLog::log_requests(Context& context, const Gauges& gauges) const {
+  const Router::Stats& router = gauges.router;
+  context.log(
+      "load taken=" + std::to_string(counters.accepted) + " attempts=" + std::to_string(counters.attempts) +
+      " served=" + std::to_string(counters.served) + " own=" + std::to_string(counters.served_locally) +
+      " refused=" + std::to_string(counters.rejected) +
+      " turned_away=" + std::to_string(counters.rejected_early) +
+      " failed=" + std::to_string(counters.failed) + " open=" + std::to_string(gauges.pending_requests) +
+      " out=" + std::to_string(gauges.attempts_in_flight) +
+      " believed_out=" + std::to_string(router.in_flight) + " shut=" + std::to_string(router.ejected) +
+      " members=" + std::to_string(gauges.endpoints) +
+      " kept=" + std::to_string(router.table_entries + gauges.table_entries) +
+      " sockets=" + std::to_string(gauges.connections));
+}
+
+void StatsLog::log_results(Context& context, const std::string& endpoint, const ResultCounts& counts) {
+  std::string line = "endings member=" + endpoint;
+  for (const auto& [result, count] : counts) {
+    line.append(" ").append(name_of(result)).append("=").append(std::to_string(count));
   }
+  context.log(std::move(line));
 }
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/cluster/policy_terms.cpp
+++ b/src/proxy/cluster/policy_terms.cpp
@@ -2,17 +2,20 @@
 #include "proxy/cluster/policy_terms.h"
 
 #include <algorithm>
+#include <initializer_list>
+#include <string_view>
+#include <vector>
 
 #include "config/fields.h"
 
 namespace edge_proxy::proxy {
 namespace {
 
-constexpr std::size_t kMostOut = 1024;
-constexpr std::size_t kMostId = 256;
-constexpr int kMostAttempts = 64;
+constexpr std::size_t kMaxSuspendedEndpoints = 1024;
+constexpr std::size_t kMaxEndpointIdBytes = 256;
+constexpr int kMaxAttempts = 64;
 
-/// Guards against a misspelt key that would be passed over: a policy says what it says, or is refused.
+/// Guards against a misspelt key that would be passed over: a policy is applied wholly, or rejected.
 void check_keys(const Json& object, const Fields& fields, std::initializer_list<std::string_view> known) {
   for (const auto& member : object.GetObject()) {
     const std::string_view key(member.name.GetString(), member.name.GetStringLength());
@@ -20,56 +23,77 @@
   }
 }
 
-void read_class(const Json& said, const Fields& fields, std::size_t at, PolicyTerms& terms) {
-  check_keys(said, fields, {"aim", "worth", "late_worth", "refused"});
-  RequestClass& c = terms.settings.classes[at];
-  c.latency_objective = fields.time("aim", c.latency_objective);
-  if (c.latency_objective <= Time{0} || c.latency_objective > c.deadline)
+void read_class(const Json& object, const Fields& fields, std::size_t class_index, PolicyTerms& terms) {
+  check_keys(object, fields, {"aim", "worth", "late_worth", "refused"});
+  RequestClass& request_class = terms.settings.classes[class_index];
+  request_class.latency_objective = fields.time("aim", request_class.latency_objective);
+  if (request_class.latency_objective <= Time{0} ||
+      request_class.latency_objective > request_class.deadline) {
     fields.fail("aim", "should be more than 0, and the deadline at most");
-  c.priority_weight = fields.number("worth", c.priority_weight);
-  c.late_weight = fields.number("late_worth", c.late_weight);
-  if (c.priority_weight < 0 || c.late_weight < 0) fields.fail("worth", "should be 0 or more");
-  if (fields.boolean("refused", false)) terms.refused_classes.insert(at);
+  }
+  request_class.priority_weight = fields.number("worth", request_class.priority_weight);
+  request_class.late_weight = fields.number("late_worth", request_class.late_weight);
+  if (request_class.priority_weight < 0 || request_class.late_weight < 0) {
+    fields.fail("worth", "should be 0 or more");
+  }
+  if (fields.boolean("refused", false)) terms.refused_classes.insert(class_index);
+}
+
+void read_classes(const Fields& root, PolicyTerms& terms) {
+  const Fields fields = root.object_or_empty("classes");
+  const Json* object = root.find("classes");
+  if (object == nullptr) return;
+  const std::vector<RequestClass>& classes = terms.settings.classes;
+  for (const auto& member : object->GetObject()) {
+    const std::string name(member.name.GetString(), member.name.GetStringLength());
+    const auto has_name = [&name](const RequestClass& candidate) { return candidate.name == name; };
+    const auto found = std::find_if(classes.begin(), classes.end(), has_name);
+    if (found == classes.end()) fields.fail(name, "is no class of this proxy's");
+    read_class(member.value, fields.object(name.c_str()), static_cast<std::size_t>(found - classes.begin()),
+               terms);
+  }
+}
+
+void read_suspended_endpoints(const Fields& root, PolicyTerms& terms) {
+  const Json* ids = root.find("caches_out");
+  if (ids == nullptr) return;
+  if (!ids->IsArray() || ids->Size() > kMaxSuspendedEndpoints) {
+    root.fail("caches_out", "should be a list of 1,024 at most");
+  }
+  for (const auto& id : ids->GetArray()) {
+    if (!id.IsString() || id.GetStringLength() == 0 || id.GetStringLength() > kMaxEndpointIdBytes) {
+      root.fail("caches_out", "should hold ids of caches");
+    }
+    terms.suspended_endpoints.emplace(id.GetString(), id.GetStringLength());
+  }
+}
+
+void read_limits(const Fields& root, Settings& settings) {
+  settings.max_attempts = root.small("attempts_cap", settings.max_attempts);
+  if (settings.max_attempts < 1 || settings.max_attempts > kMaxAttempts) {
+    root.fail("attempts_cap", "should be 1 to 64");
+  }
+  settings.hedging = root.boolean("second_copies", settings.hedging);
+  settings.max_retry_after = root.time("max_retry_after", settings.max_retry_after);
+  if (settings.max_retry_after < Time{0}) root.fail("max_retry_after", "should be 0 or more");
 }
 
 }  // namespace
 
-PolicyTerms read_policy_terms(const std::string& text, const Settings& start) {
-  PolicyTerms terms{start, {}, {}};
+PolicyTerms read_policy_terms(const std::string& text, const Settings& startup_settings) {
+  PolicyTerms terms{startup_settings, {}, {}};
   if (text.empty()) return terms;
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (document.HasParseError())
+  if (document.HasParseError()) {
     throw FieldError("field '': not JSON at byte " + std::to_string(document.GetErrorOffset()));
+  }
   const Fields root(document, 0);
   check_keys(document, root,
              {"name", "attempts_cap", "second_copies", "max_retry_after", "classes", "caches_out"});
-  Settings& s = terms.settings;
-  s.max_attempts = root.small("attempts_cap", s.max_attempts);
-  if (s.max_attempts < 1 || s.max_attempts > kMostAttempts) root.fail("attempts_cap", "should be 1 to 64");
-  s.hedging = root.boolean("second_copies", s.hedging);
-  s.max_retry_after = root.time("max_retry_after", s.max_retry_after);
-  if (s.max_retry_after < Time{0}) root.fail("max_retry_after", "should be 0 or more");
-  const Fields classes = root.object_or_empty("classes");
-  if (const Json* said = root.find("classes")) {
-    for (const auto& member : said->GetObject()) {
-      const std::string name(member.name.GetString(), member.name.GetStringLength());
-      const auto named = [&name](const RequestClass& c) { return c.name == name; };
-      const auto found = std::find_if(s.classes.begin(), s.classes.end(), named);
-      if (found == s.classes.end()) classes.fail(name, "is no class of this proxy's");
-      read_class(member.value, classes.object(name.c_str()),
-                 static_cast<std::size_t>(found - s.classes.begin()), terms);
-    }
-  }
-  if (const Json* out = root.find("caches_out")) {
-    if (!out->IsArray() || out->Size() > kMostOut)
-      root.fail("caches_out", "should be a list of 1,024 at most");
-    for (const auto& id : out->GetArray()) {
-      if (!id.IsString() || id.GetStringLength() == 0 || id.GetStringLength() > kMostId)
-        root.fail("caches_out", "should hold ids of caches");
-      terms.suspended_endpoints.emplace(id.GetString(), id.GetStringLength());
-    }
-  }
+  read_limits(root, terms.settings);
+  read_classes(root, terms);
+  read_suspended_endpoints(root, terms);
   return terms;
 }
 
--- a/src/proxy/cluster/policy_terms.h
+++ b/src/proxy/cluster/policy_terms.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What a policy says: those settings that a running proxy takes over whole (docs/consensus.md, "The
+/// The terms of a policy: those settings that a running proxy takes over together (docs/consensus.md, "The
 /// policy").
 #pragma once
 
+#include <cstddef>
 #include <set>
 #include <string>
 
@@ -12,12 +13,13 @@
 namespace edge_proxy::proxy {
 
 struct PolicyTerms {
-  Settings settings;  ///< those of the start, with what the policy says in their place
+  Settings settings;  ///< those of the start, with what the policy sets in their place
   std::set<std::size_t> refused_classes;
-  std::set<std::string> suspended_endpoints;  ///< caches out for the whole fleet
+  std::set<std::string> suspended_endpoints;  ///< by the whole cluster
 };
 
-/// Throws FieldError, which names the key, where this proxy could not run it. An empty text says nothing.
-PolicyTerms read_policy_terms(const std::string& text, const Settings& start);
+/// Throws FieldError, which names the key, where this proxy could not apply the policy. An empty text sets
+/// nothing.
+PolicyTerms read_policy_terms(const std::string& text, const Settings& startup_settings);
 
 }  // namespace edge_proxy::proxy
