--- a/src/proxy/admin/admin_handler.cpp
+++ b/src/proxy/admin/admin_handler.cpp
@@ -37,6 +37,11 @@
   }
 }
 
+AdminHandler::Reply AdminHandler::report_reply(std::optional<std::string> report, std::string missing) {
+  if (!report) return {kHttpNotFound, std::move(missing)};
+  return {kHttpOk, *std::move(report)};
+}
+
 std::optional<AdminHandler::Reply> AdminHandler::reply_to(const AdminCall& call, bool ready) {
   switch (call.operation) {
     case AdminOperation::ready:
@@ -46,16 +51,12 @@
     case AdminOperation::suspend:
     case AdminOperation::resume:
       return is_target_known_ ? Reply{kHttpOk, "done\n"} : Reply{kHttpNotFound, "no such member\n"};
-    case AdminOperation::peers: {
-      auto report = dependencies_.membership.report();
-      return report ? Reply{kHttpOk, *std::move(report)} : Reply{kHttpNotFound, "no peers\n"};
-    }
+    case AdminOperation::peers:
+      return report_reply(dependencies_.membership.report(), "no peers\n");
     case AdminOperation::forget:
       return forget_member(call.target);
-    case AdminOperation::policy: {
-      auto report = dependencies_.policy.report();
-      return report ? Reply{kHttpOk, *std::move(report)} : Reply{kHttpNotFound, "no policy is configured\n"};
-    }
+    case AdminOperation::policy:
+      return report_reply(dependencies_.policy.report(), "no policy is configured\n");
     case AdminOperation::unknown:
       return Reply{kHttpNotFound, "no such call\n"};
     case AdminOperation::wrong_method:
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -4,8 +4,6 @@
 #include <algorithm>
 #include <utility>
 
-#include "proxy/upstream/load_report.h"
-
 namespace edge_proxy::proxy {
 namespace {
 
@@ -216,37 +214,17 @@
   std::optional<ConnectionId> id;
   if (endpoints_.accepts_attempts(endpoint)) id = connection_for(endpoint, {});
   if (!id) {
-    report_failed_health_checks(endpoint, {Time{0}});
+    health_checks_.add_failures(endpoint, {Time{0}});
     return;
   }
-  const std::string tag = std::string("g").append(std::to_string(++last_health_check_));
-  connections_.at(*id).queue_health_check(tag, context_.now);
+  connections_.at(*id).queue_health_check(health_checks_.next_tag(), context_.now);
   write_next(*id);
 }
 
 bool UpstreamPool::take_health_result(HealthChecked& result) {
-  if (health_results_.empty()) return false;
-  result = std::move(health_results_.front());
-  health_results_.pop_front();
-  return true;
-}
-
-void UpstreamPool::on_health_response(UpstreamConnection& connection, const codec::CacheResponse& response) {
-  const auto duration = connection.take_health_check(response.id, context_.now);
-  if (!duration) return;  // it has timed out
-  const auto report = codec::field_in(response.fields, "report");
-  health_results_.push_back({.endpoint = connection.endpoint(),
-                             .answered = response.status == codec::CacheResponseStatus::healthy,
-                             .duration = *duration,
-                             .report = report ? std::optional(read_load_report(*report)) : std::nullopt});
-}
-
-void UpstreamPool::report_failed_health_checks(const std::string& endpoint,
-                                               const std::vector<Time>& durations) {
-  for (const Time duration : durations) {
-    health_results_.push_back(
-        {.endpoint = endpoint, .answered = false, .duration = duration, .report = std::nullopt});
-  }
+  auto oldest = health_checks_.take();
+  if (oldest) result = std::move(*oldest);
+  return oldest.has_value();
 }
 
 // ---- Opening and writing ----
@@ -318,7 +296,7 @@
   from.on_bytes(bytes, context_.now);
   while (auto response = from.next_response()) on_response(from, std::move(*response));
   if (from.read_error() == codec::LineError::none) return;
-  // Guards against a peer that does not speak the protocol: nothing more it says can be told apart.
+  // Guards against a peer that does not speak the protocol: where the next response begins is unknown.
   context_.log("member unreadable answer member=" + from.endpoint() +
                " error=" + std::string(name_of(from.read_error())));
   close(connection, CloseReason::malformed_response, ClosedBy::proxy);
@@ -326,7 +304,8 @@
 
 void UpstreamPool::on_response(UpstreamConnection& connection, codec::CacheResponse response) {
   if (is_health_response(response.status)) {
-    on_health_response(connection, response);
+    const auto duration = connection.take_health_check(response.id, context_.now);
+    if (duration) health_checks_.add_response(connection.endpoint(), response, *duration);
     return;
   }
   const auto key = connection.find_open_attempt(response.id);
@@ -383,7 +362,7 @@
       connection.is_connected() ? AttemptResult::not_sent : AttemptResult::unreachable;
   for (const AttemptKey& key : connection.queued_attempts()) complete(key, unsent_result);
   end_open_attempts(connection, reason, closed_by);
-  report_failed_health_checks(connection.endpoint(), connection.take_all_health_checks(context_.now));
+  health_checks_.add_failures(connection.endpoint(), connection.take_all_health_checks(context_.now));
 }
 
 void UpstreamPool::end_open_attempts(const UpstreamConnection& connection, CloseReason reason,
@@ -414,7 +393,7 @@
   };
   std::vector<Expired> expired;
   for (auto& [id, connection] : connections_) {
-    report_failed_health_checks(connection.endpoint(), connection.take_expired_health_checks(context_.now));
+    health_checks_.add_failures(connection.endpoint(), connection.take_expired_health_checks(context_.now));
     connection.forget_expired_uses(context_.now);
     if (const auto reason = expiry_of(connection)) expired.push_back({id, *reason});
   }
--- a/src/proxy/upstream/upstream_pool.h
+++ b/src/proxy/upstream/upstream_pool.h
@@ -7,7 +7,6 @@
 
 #include <cstddef>
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <optional>
 #include <string>
@@ -18,6 +17,7 @@
 #include "proxy/upstream/attempt_table.h"
 #include "proxy/upstream/connection_selection.h"
 #include "proxy/upstream/endpoint_table.h"
+#include "proxy/upstream/health_check_results.h"
 #include "proxy/upstream/upstream_connection.h"
 #include "proxy/upstream/upstream_request.h"
 
@@ -100,8 +100,6 @@
   void write_next(ConnectionId id);
   [[nodiscard]] std::string take_attempt_bytes(UpstreamConnection& connection);
   void on_response(UpstreamConnection& connection, codec::CacheResponse response);
-  void on_health_response(UpstreamConnection& connection, const codec::CacheResponse& response);
-  void report_failed_health_checks(const std::string& endpoint, const std::vector<Time>& durations);
   [[nodiscard]] std::optional<CloseReason> expiry_of(const UpstreamConnection& connection) const;
   void close(ConnectionId id, CloseReason reason, ClosedBy closed_by);
   void end_open_attempts(const UpstreamConnection& connection, CloseReason reason, ClosedBy closed_by);
@@ -115,8 +113,7 @@
   EndpointTable endpoints_;
   UpstreamConnections connections_;
   AttemptTable attempts_;
-  std::deque<HealthChecked> health_results_;
-  std::uint64_t last_health_check_ = 0;
+  HealthCheckResults health_checks_;
   std::vector<std::uint64_t> written_by_class_;
 };
 
