--- a/src/proxy/admin/admin_connections.h
+++ b/src/proxy/admin/admin_connections.h
@@ -15,6 +15,7 @@
 
 namespace edge_proxy::proxy {
 
+/// Reads calls from the admin connections and writes the answers.
 class Admin {
  public:
   explicit Admin(Context& context) : context_(context) {}
--- a/src/proxy/admin/admin_handler.h
+++ b/src/proxy/admin/admin_handler.h
@@ -17,6 +17,7 @@
 
 namespace edge_proxy::proxy {
 
+/// Decides on the answer to each call; the parts that it depends on do the work.
 class AdminHandler {
  public:
   /// What it reads its answers from, or acts on.
--- a/src/proxy/admin/stats_log.h
+++ b/src/proxy/admin/stats_log.h
@@ -13,6 +13,7 @@
 
 namespace edge_proxy::proxy {
 
+/// Counts through a second and logs the sums at its end.
 class StatsLog {
  public:
   /// Events since the last line.
--- a/src/proxy/cluster/decision_epochs.h
+++ b/src/proxy/cluster/decision_epochs.h
@@ -15,6 +15,7 @@
 /// No attempt of a request begins later than this after its epoch has ended here.
 constexpr Time kAttemptsAfterEpoch = std::chrono::milliseconds(300);
 
+/// Two epochs and when the earlier one ended; it knows of no lease but by the times handed in.
 class DecisionEpochs {
  public:
   [[nodiscard]] std::optional<consensus::Epoch> current() const { return current_; }
--- a/src/proxy/cluster/membership_adapter.h
+++ b/src/proxy/cluster/membership_adapter.h
@@ -18,6 +18,7 @@
 
 namespace edge_proxy::proxy {
 
+/// Owns the state of the membership reducer.
 class MembershipAdapter {
  public:
   MembershipAdapter(Context& context, const config::Config& config);
--- a/src/proxy/cluster/policy_controller.h
+++ b/src/proxy/cluster/policy_controller.h
@@ -22,6 +22,7 @@
 
 namespace edge_proxy::proxy {
 
+/// Owns the state of the consensus reducer.
 class PolicyController {
  public:
   PolicyController(Context& context, MembershipAdapter& membership, const config::Config& config);
--- a/src/proxy/upstream/attempt_table.h
+++ b/src/proxy/upstream/attempt_table.h
@@ -21,6 +21,7 @@
   bool is_written = false;                 ///< it was handed to the connection's socket
 };
 
+/// Outstanding attempts by key, and two queues of completions: those to be taken and those held back.
 class AttemptTable {
  public:
   void add(const AttemptKey& key, OutstandingAttempt attempt) { attempts_[key] = std::move(attempt); }
--- a/src/proxy/upstream/endpoint_table.h
+++ b/src/proxy/upstream/endpoint_table.h
@@ -14,6 +14,7 @@
 
 namespace edge_proxy::proxy {
 
+/// The endpoints by id, as the endpoint directory last sent them.
 class EndpointTable {
  public:
   struct Entry {
--- a/src/proxy/upstream/health_check_results.h
+++ b/src/proxy/upstream/health_check_results.h
@@ -14,6 +14,7 @@
 
 namespace edge_proxy::proxy {
 
+/// A queue of results, the oldest first.
 class HealthCheckResults {
  public:
   /// A tag by which the response to the next health check is recognized; none is used twice.
--- a/src/proxy/upstream/upstream_pool.h
+++ b/src/proxy/upstream/upstream_pool.h
@@ -23,6 +23,7 @@
 
 namespace edge_proxy::proxy {
 
+/// Coordinates the parts; all effects go to the context.
 class UpstreamPool {
  public:
   /// `is_owed`: whether a client still waits for the answer to a request.
