--- a/src/codec/cache_lines.h
+++ b/src/codec/cache_lines.h
@@ -54,6 +54,8 @@
   body_too_long,
   body_not_terminated
 };
+/// As log lines show it: the enumerator's name.
+[[nodiscard]] std::string_view name_of(LineError error);
 
 /// Reads responses from a stream of bytes, however it is split.
 class CacheResponseReader {
