--- a/src/invalidation/invalidation_log.cpp
+++ b/src/invalidation/invalidation_log.cpp
@@ -9,14 +9,18 @@
 
 bool InvalidationLog::can_serve(const std::string& key, const std::vector<std::string>& tags,
                                 UnixMs created_at) const {
-  return std::none_of(invalidations_.begin(), invalidations_.end(), [&](const InvalidationCommand& p) {
-    return p.issued_at > created_at && names(p.selector, key, tags);
-  });
+  const auto invalidates = [&](const InvalidationCommand& command) {
+    return command.issued_at > created_at && selects(command.selector, key, tags);
+  };
+  return std::none_of(invalidations_.begin(), invalidations_.end(), invalidates);
 }
 
-void InvalidationLog::forget_before(UnixMs oldest_servable) {
-  // Issued times may come out of order between numbers; only purges older than the bound are dropped.
-  std::erase_if(invalidations_, [&](const InvalidationCommand& p) { return p.issued_at < oldest_servable; });
+void InvalidationLog::prune_before(UnixMs oldest_servable) {
+  // Times of issue need not rise with the numbers: each command is looked at.
+  const auto is_obsolete = [&](const InvalidationCommand& command) {
+    return command.issued_at < oldest_servable;
+  };
+  std::erase_if(invalidations_, is_obsolete);
 }
 
 }  // namespace edge_proxy::invalidation
--- a/src/invalidation/key_index.cpp
+++ b/src/invalidation/key_index.cpp
@@ -7,54 +7,67 @@
 
 void KeyIndex::put(const std::string& key, const std::vector<std::string>& tags) {
   erase(key);
-  std::vector<std::string> folded = tags;
-  std::sort(folded.begin(), folded.end());
-  folded.erase(std::unique(folded.begin(), folded.end()), folded.end());
-  for (const std::string& tag : folded) by_tag_[tag].insert(key);
+  std::vector<std::string> distinct = tags;
+  std::sort(distinct.begin(), distinct.end());
+  distinct.erase(std::unique(distinct.begin(), distinct.end()), distinct.end());
+  for (const std::string& tag : distinct) keys_by_tag_[tag].insert(key);
   keys_.insert(key);
-  tags_of_[key] = std::move(folded);
+  tags_by_key_[key] = std::move(distinct);
 }
 
 void KeyIndex::erase(const std::string& key) {
-  const auto found = tags_of_.find(key);
-  if (found == tags_of_.end()) return;
+  const auto found = tags_by_key_.find(key);
+  if (found == tags_by_key_.end()) return;
   for (const std::string& tag : found->second) {
-    const auto holders = by_tag_.find(tag);
-    holders->second.erase(key);
-    if (holders->second.empty()) by_tag_.erase(holders);
+    const auto tagged = keys_by_tag_.find(tag);
+    tagged->second.erase(key);
+    if (tagged->second.empty()) keys_by_tag_.erase(tagged);
   }
-  tags_of_.erase(found);
+  tags_by_key_.erase(found);
   keys_.erase(key);
 }
 
 std::vector<std::string> KeyIndex::match(const Selector& selector) const {
-  std::vector<std::string> out;
   switch (selector.kind) {
     case SelectorKind::key:
-      if (keys_.count(selector.text) != 0) out.push_back(selector.text);
-      break;
-    case SelectorKind::tag:
-      if (const auto found = by_tag_.find(selector.text); found != by_tag_.end())
-        out.assign(found->second.begin(), found->second.end());
-      break;
-    case SelectorKind::prefix:
-    case SelectorKind::glob: {
-      const bool glob = selector.kind == SelectorKind::glob;
-      const std::string_view front = glob ? literal_prefix(selector.text) : std::string_view(selector.text);
-      for (auto it = keys_.lower_bound(front); it != keys_.end() && it->starts_with(front); ++it)
-        if (!glob || glob_matches(selector.text, *it)) out.push_back(*it);
-      break;
+      if (keys_.contains(selector.text)) return {selector.text};
+      return {};
+    case SelectorKind::tag: {
+      const auto found = keys_by_tag_.find(selector.text);
+      if (found == keys_by_tag_.end()) return {};
+      return {found->second.begin(), found->second.end()};
     }
+    case SelectorKind::prefix:
+      return match_prefix(selector.text);
+    case SelectorKind::glob:
+      return match_glob(selector.text);
+  }
+  return {};
+}
+
+std::vector<std::string> KeyIndex::match_prefix(std::string_view prefix) const {
+  std::vector<std::string> matches;
+  for (auto key = keys_.lower_bound(prefix); key != keys_.end() && key->starts_with(prefix); ++key)
+    matches.push_back(*key);
+  return matches;
+}
+
+std::vector<std::string> KeyIndex::match_glob(std::string_view glob) const {
+  const std::string_view prefix = literal_prefix(glob);
+  std::vector<std::string> matches;
+  for (auto key = keys_.lower_bound(prefix); key != keys_.end() && key->starts_with(prefix); ++key) {
+    if (glob_matches(glob, *key)) matches.push_back(*key);
   }
-  return out;
+  return matches;
 }
 
 std::vector<std::string> KeyIndex::match_by_scan(const Selector& selector) const {
-  std::vector<std::string> out;
-  for (const auto& [key, tags] : tags_of_)
-    if (names(selector, key, tags)) out.push_back(key);
-  std::sort(out.begin(), out.end());
-  return out;
+  std::vector<std::string> matches;
+  for (const auto& [key, tags] : tags_by_key_) {
+    if (selects(selector, key, tags)) matches.push_back(key);
+  }
+  std::sort(matches.begin(), matches.end());
+  return matches;
 }
 
 }  // namespace edge_proxy::invalidation
--- a/src/invalidation/key_index.h
+++ b/src/invalidation/key_index.h
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The keys a cache holds and the tags each carries, indexed so that a purge finds its keys without a walk
-/// over all of them: tag -> keys in a hash map, and the keys in order, so that a prefix, and the literal
-/// front of a glob, are one range. Source: issue 9; measured against `match_by_scan` in
+/// The keys that a cache holds with their tags, indexed so that an invalidation finds its keys without a scan
+/// of all of them: a hash map from tags to keys, and the keys in order, where a prefix, and the literal
+/// prefix of a glob, are one range. Source: issue 9; measured against `match_by_scan` in
 /// bench/invalidation_index_bench.cpp.
 #pragma once
 
 #include <cstddef>
 #include <set>
 #include <string>
+#include <string_view>
 #include <unordered_map>
 #include <vector>
 
@@ -16,26 +17,32 @@
 
 namespace edge_proxy::invalidation {
 
+/// An index of keys by key, tag and prefix.
 class KeyIndex {
  public:
-  /// Holds the key with these tags (duplicates are folded); a key held already has its tags replaced.
+  /// Adds the key with these tags, of which duplicates count once; replaces the tags of a known key.
   void put(const std::string& key, const std::vector<std::string>& tags);
-  /// Forgets the key and its tags; a tag that no key carries any more is forgotten too. No-op if unknown.
+  /// Removes the key, and each tag that no other key carries. Does nothing for an unknown key.
   void erase(const std::string& key);
 
-  /// The keys the selector names, in byte order. O(k log n) for a tag or prefix with k keys; a glob scans
-  /// the range of its literal front.
+  /// The selected keys, in byte order. O(log n + k) for a tag or prefix of k keys; a glob scans the range of
+  /// its literal prefix.
   [[nodiscard]] std::vector<std::string> match(const Selector& selector) const;
-  /// The same answer by a walk over every key: the plain way, kept as the baseline and for tests.
+  /// The same by a scan of every key: the baseline of the benchmark and of tests.
   [[nodiscard]] std::vector<std::string> match_by_scan(const Selector& selector) const;
 
-  [[nodiscard]] std::size_t keys() const { return keys_.size(); }
-  [[nodiscard]] std::size_t tags() const { return by_tag_.size(); }
+  [[nodiscard]] std::size_t key_count() const { return keys_.size(); }
+  [[nodiscard]] std::size_t tag_count() const { return keys_by_tag_.size(); }
 
  private:
-  std::set<std::string, std::less<>> keys_;
-  std::unordered_map<std::string, std::vector<std::string>> tags_of_;
-  std::unordered_map<std::string, std::set<std::string, std::less<>>> by_tag_;
+  using KeySet = std::set<std::string, std::less<>>;
+
+  [[nodiscard]] std::vector<std::string> match_prefix(std::string_view prefix) const;
+  [[nodiscard]] std::vector<std::string> match_glob(std::string_view glob) const;
+
+  KeySet keys_;
+  std::unordered_map<std::string, std::vector<std::string>> tags_by_key_;
+  std::unordered_map<std::string, KeySet> keys_by_tag_;
 };
 
 }  // namespace edge_proxy::invalidation
--- a/src/invalidation/selector.cpp
+++ b/src/invalidation/selector.cpp
@@ -3,68 +3,84 @@
 
 #include <algorithm>
 #include <array>
-#include <utility>
+#include <optional>
 
 namespace edge_proxy::invalidation {
 namespace {
 
-constexpr std::size_t kLongest = 512;
+constexpr std::size_t kMaxTextBytes = 512;
+constexpr char kLastPrintable = '~';
 
-bool printable(char c) { return c > ' ' && c < 127; }
-bool wildcard(char c) { return c == '*' || c == '?'; }
+/// In the order of SelectorKind.
+constexpr std::array<std::string_view, 4> kKindWords{"key", "tag", "prefix", "glob"};
+
+bool is_printable(char byte) { return byte > ' ' && byte <= kLastPrintable; }
+bool is_wildcard(char byte) { return byte == '*' || byte == '?'; }
+
+std::optional<SelectorKind> kind_of(std::string_view word) {
+  const auto found = std::find(kKindWords.begin(), kKindWords.end(), word);
+  if (found == kKindWords.end()) return std::nullopt;
+  return static_cast<SelectorKind>(found - kKindWords.begin());
+}
+
+/// An error whose message quotes the selector.
+SelectorError error_in(std::string_view selector, SelectorFault fault, const std::string& problem) {
+  return {fault, "purge selector '" + std::string(selector) + "': " + problem};
+}
 
 }  // namespace
 
+std::string_view name_of(SelectorKind kind) { return kKindWords[static_cast<std::size_t>(kind)]; }
+
 std::variant<Selector, SelectorError> parse_selector(std::string_view text) {
-  static constexpr std::array<std::pair<std::string_view, SelectorKind>, 4> kinds{
-      {{"key", SelectorKind::key},
-       {"tag", SelectorKind::tag},
-       {"prefix", SelectorKind::prefix},
-       {"glob", SelectorKind::glob}}};
-  const auto colon = text.find(':');
+  const std::size_t colon = text.find(':');
   if (colon == std::string_view::npos)
-    return SelectorError{"purge selector '" + std::string(text) +
-                         "': want KIND:TEXT (key, tag, prefix, glob)"};
-  const std::string_view kind = text.substr(0, colon);
+    return error_in(text, SelectorFault::no_kind, "want KIND:TEXT (key, tag, prefix, glob)");
+  const std::string word(text.substr(0, colon));
   const std::string_view rest = text.substr(colon + 1);
-  const auto found = std::find_if(kinds.begin(), kinds.end(), [&](const auto& k) { return k.first == kind; });
-  if (found == kinds.end())
-    return SelectorError{"purge selector '" + std::string(text) + "': unknown kind '" + std::string(kind) +
-                         "' (key, tag, prefix, glob)"};
-  const SelectorKind chosen = found->second;
-  if (rest.size() > kLongest)
-    return SelectorError{"purge selector of kind " + std::string(kind) + ": longer than 512 bytes"};
-  if (rest.empty() && chosen != SelectorKind::prefix)
-    return SelectorError{"purge selector '" + std::string(text) + "': empty " + std::string(kind)};
-  if (!std::all_of(rest.begin(), rest.end(), printable))
-    return SelectorError{"purge selector '" + std::string(text) + "': space or unprintable byte"};
-  if (chosen != SelectorKind::glob && std::any_of(rest.begin(), rest.end(), wildcard))
-    return SelectorError{"purge selector '" + std::string(text) + "': '*' and '?' belong to glob only"};
-  return Selector{chosen, std::string(rest)};
+  const std::optional<SelectorKind> kind = kind_of(word);
+  if (!kind) {
+    const std::string problem = "unknown kind '" + word + "' (key, tag, prefix, glob)";
+    return error_in(text, SelectorFault::unknown_kind, problem);
+  }
+  if (rest.size() > kMaxTextBytes)  // too long to be quoted
+    return SelectorError{SelectorFault::too_long,
+                         "purge selector of kind " + word + ": longer than 512 bytes"};
+  if (rest.empty() && kind != SelectorKind::prefix)
+    return error_in(text, SelectorFault::empty_text, "empty " + word);
+  if (!std::all_of(rest.begin(), rest.end(), is_printable))
+    return error_in(text, SelectorFault::unprintable, "space or unprintable byte");
+  if (kind != SelectorKind::glob && std::any_of(rest.begin(), rest.end(), is_wildcard))
+    return error_in(text, SelectorFault::misplaced_wildcard, "'*' and '?' belong to glob only");
+  return Selector{*kind, std::string(rest)};
 }
 
 bool glob_matches(std::string_view glob, std::string_view key) {
-  std::size_t g = 0, k = 0;
-  std::size_t star = std::string_view::npos, resume = 0;
-  while (k < key.size()) {
-    if (g < glob.size() && (glob[g] == '?' || glob[g] == key[k])) {
-      ++g;
-      ++k;
-    } else if (g < glob.size() && glob[g] == '*') {
-      star = g++;
-      resume = k;
+  std::size_t glob_at = 0;
+  std::size_t key_at = 0;
+  // The last star seen, and where the key goes on after the bytes that the star stands for. A mismatch lets
+  // that star stand for one byte more; earlier stars need no second look.
+  std::size_t star = std::string_view::npos;
+  std::size_t resume_at = 0;
+  while (key_at < key.size()) {
+    if (glob_at < glob.size() && (glob[glob_at] == '?' || glob[glob_at] == key[key_at])) {
+      ++glob_at;
+      ++key_at;
+    } else if (glob_at < glob.size() && glob[glob_at] == '*') {
+      star = glob_at++;
+      resume_at = key_at;
     } else if (star != std::string_view::npos) {
-      g = star + 1;
-      k = ++resume;
+      glob_at = star + 1;
+      key_at = ++resume_at;
     } else {
       return false;
     }
   }
-  while (g < glob.size() && glob[g] == '*') ++g;
-  return g == glob.size();
+  while (glob_at < glob.size() && glob[glob_at] == '*') ++glob_at;
+  return glob_at == glob.size();
 }
 
-bool names(const Selector& selector, std::string_view key, const std::vector<std::string>& tags) {
+bool selects(const Selector& selector, std::string_view key, const std::vector<std::string>& tags) {
   switch (selector.kind) {
     case SelectorKind::key:
       return key == selector.text;
@@ -78,9 +94,6 @@
   return false;
 }
 
-std::string_view literal_prefix(std::string_view glob) {
-  const auto first = std::find_if(glob.begin(), glob.end(), wildcard);
-  return glob.substr(0, static_cast<std::size_t>(first - glob.begin()));
-}
+std::string_view literal_prefix(std::string_view glob) { return glob.substr(0, glob.find_first_of("*?")); }
 
 }  // namespace edge_proxy::invalidation
--- a/src/invalidation/sequencer.cpp
+++ b/src/invalidation/sequencer.cpp
@@ -6,60 +6,95 @@
 namespace edge_proxy::invalidation {
 namespace {
 
-void on(SequencerState& state, const CommandArrived& in, std::vector<SequencerEffect>& out) {
-  const InvalidationCommand& c = in.command;
-  state.highest_seen = std::max(state.highest_seen, c.number);
-  if (c.number <= state.applied) {
-    out.emplace_back(CommandDropped{c.number, "duplicate"});
-    return;
+using Effects = std::vector<SequencerEffect>;
+
+/// Keeps one request out at a time: the feed answers it with everything from that number on.
+void request_gap(SequencerState& state, Effects& effects) {
+  if (state.gap_requested) return;
+  state.gap_requested = true;
+  effects.emplace_back(RequestFrom{state.applied + 1});
+}
+
+/// Guards memory against a feed that runs far ahead or numbers wildly.
+bool is_too_far_ahead(const SequencerState& state, Sequence number) {
+  return state.out_of_order.size() >= state.max_out_of_order ||
+         number - state.applied > state.max_out_of_order;
+}
+
+void buffer(SequencerState& state, const InvalidationCommand& command, Effects& effects) {
+  if (is_too_far_ahead(state, command.number)) {
+    effects.emplace_back(CommandDropped{command.number, DropReason::too_far_ahead});
+  } else {
+    state.out_of_order.emplace(command.number, command);
+  }
+  request_gap(state, effects);
+}
+
+void apply(SequencerState& state, const InvalidationCommand& command, Effects& effects) {
+  effects.emplace_back(ApplyInvalidation{command});
+  state.applied = command.number;
+}
+
+/// Applies the buffered commands that follow the last one applied without a gap.
+void apply_buffered(SequencerState& state, Effects& effects) {
+  auto next = state.out_of_order.begin();
+  while (next != state.out_of_order.end() && next->first == state.applied + 1) {
+    apply(state, next->second, effects);
+    next = state.out_of_order.erase(next);
   }
-  if (const auto found = state.out_of_order.find(c.number); found != state.out_of_order.end()) {
-    out.emplace_back(CommandDropped{c.number, found->second == c ? "duplicate" : "conflict"});
+}
+
+void handle(SequencerState& state, const CommandArrived& input, Effects& effects) {
+  const InvalidationCommand& command = input.command;
+  state.highest_seen = std::max(state.highest_seen, command.number);
+  if (command.number <= state.applied) {
+    effects.emplace_back(CommandDropped{command.number, DropReason::duplicate});
     return;
   }
-  if (c.number > state.applied + 1) {
-    // Guards memory against a feed that runs far ahead or numbers wildly: what is dropped is asked again.
-    if (state.out_of_order.size() >= state.max_out_of_order ||
-        c.number - state.applied > state.max_out_of_order) {
-      out.emplace_back(CommandDropped{c.number, "too_far_ahead"});
-    } else {
-      state.out_of_order.emplace(c.number, c);
-    }
-    if (!state.gap_requested) {
-      state.gap_requested = true;
-      out.emplace_back(RequestFrom{state.applied + 1});
-    }
+  if (const auto found = state.out_of_order.find(command.number); found != state.out_of_order.end()) {
+    const bool is_same = found->second == command;
+    effects.emplace_back(
+        CommandDropped{command.number, is_same ? DropReason::duplicate : DropReason::conflict});
     return;
   }
-  out.emplace_back(ApplyInvalidation{c});
-  state.applied = c.number;
-  for (auto next = state.out_of_order.begin();
-       next != state.out_of_order.end() && next->first == state.applied + 1;
-       next = state.out_of_order.erase(next)) {
-    out.emplace_back(ApplyInvalidation{next->second});
-    state.applied = next->first;
+  if (command.number > state.applied + 1) {
+    buffer(state, command, effects);
+    return;
   }
-  // Guards against losing what was dropped for the bound, and against asking again for each number that a
-  // stream sent on asking brings: one ask is out until the gap up to the highest number seen is closed.
+  apply(state, command, effects);
+  apply_buffered(state, effects);
+  // Guards against losing commands that were dropped for the bound: a gap up to the highest number seen is
+  // requested.
   if (state.highest_seen <= state.applied) {
     state.gap_requested = false;
-  } else if (!state.gap_requested) {
-    state.gap_requested = true;
-    out.emplace_back(RequestFrom{state.applied + 1});
+  } else {
+    request_gap(state, effects);
   }
 }
 
-void on(SequencerState& state, const FeedConnected&, std::vector<SequencerEffect>& out) {
+void handle(SequencerState& state, const FeedConnected&, Effects& effects) {
   state.gap_requested = true;
-  out.emplace_back(RequestFrom{state.applied + 1});
+  effects.emplace_back(RequestFrom{state.applied + 1});
 }
 
 }  // namespace
 
+std::string_view name_of(DropReason reason) {
+  switch (reason) {
+    case DropReason::duplicate:
+      return "duplicate";
+    case DropReason::conflict:
+      return "conflict";
+    case DropReason::too_far_ahead:
+      return "too_far_ahead";
+  }
+  return "unknown";
+}
+
 std::vector<SequencerEffect> reduce(SequencerState& state, const SequencerInput& input) {
-  std::vector<SequencerEffect> out;
-  std::visit([&](const auto& in) { on(state, in, out); }, input);
-  return out;
+  Effects effects;
+  std::visit([&](const auto& event) { handle(state, event, effects); }, input);
+  return effects;
 }
 
 }  // namespace edge_proxy::invalidation
--- a/src/invalidation/sequencer.h
+++ b/src/invalidation/sequencer.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Purges in the order of their numbers, over a fleet: a reducer `(SequencerState, Input) -> effects` with
-/// no I/O and no clock. Every proxy and cache box applies purge N only after N-1; one that restarts resumes
-/// from the last number it applied (its snapshot, where there is a disk; else from 0 and the feed's replay).
-/// Source: issue 9, docs/invalidation.md.
+/// Applies invalidations in the order of their numbers on every node of a fleet: a reducer
+/// `(SequencerState, SequencerInput) -> effects` with no I/O and no clock. A node applies command N only
+/// after N-1. After a restart it resumes from the last number applied: that of its snapshot where there is a
+/// disk, else 0 and the feed's replay. Source: issue 9, docs/invalidation.md.
 #pragma once
 
 #include <chrono>
 #include <cstdint>
 #include <map>
-#include <string>
+#include <string_view>
 #include <variant>
 #include <vector>
 
@@ -17,53 +17,65 @@
 
 namespace edge_proxy::invalidation {
 
+/// The number of a command in the feed.
 using Sequence = std::uint64_t;
+/// Unix time in milliseconds.
 using UnixMs = std::chrono::milliseconds;
 
-/// One purge as the feed numbers it: from 1 upward without gaps.
+/// One invalidation of the feed, which numbers them from 1 upward without gaps.
 struct InvalidationCommand {
   Sequence number = 0;
   Selector selector;
-  UnixMs issued_at{0};  ///< when it was ordered, Unix milliseconds
+  UnixMs issued_at{0};  ///< when an operator ordered it
   bool operator==(const InvalidationCommand&) const = default;
 };
 
 // ---- Inputs ----
+/// A command came from the feed, in any order and perhaps again.
 struct CommandArrived {
   InvalidationCommand command;
 };
-/// The feed connection came (back) up: what is missing is asked for again.
+/// The connection to the feed is up (again): missing commands are requested.
 struct FeedConnected {};
 
 using SequencerInput = std::variant<CommandArrived, FeedConnected>;
 
 // ---- Effects ----
-/// Apply this purge now: every earlier number has been applied.
+/// Apply this invalidation now: every earlier number has been applied.
 struct ApplyInvalidation {
   InvalidationCommand command;
 };
-/// Ask the feed for everything from this number on (a gap, or a restart).
+/// Request every command from this number on from the feed.
 struct RequestFrom {
   Sequence number = 0;
 };
-/// This command is not used: `reason` is `duplicate` (applied or held already), `conflict` (the same number
-/// with another selector: the feed is faulty), or `too_far_ahead` (beyond the bound on held commands).
+enum class DropReason {
+  duplicate,     ///< applied or buffered already
+  conflict,      ///< another command has the same number: the feed is faulty
+  too_far_ahead  ///< beyond the bound on buffered commands; it is requested again
+};
+
+/// The reason's name, for log lines.
+[[nodiscard]] std::string_view name_of(DropReason reason);
+
+/// This command is not used.
 struct CommandDropped {
   Sequence number = 0;
-  std::string reason;
+  DropReason reason = DropReason::duplicate;
 };
 
 using SequencerEffect = std::variant<ApplyInvalidation, RequestFrom, CommandDropped>;
 
+/// What a node knows of the feed.
 struct SequencerState {
-  Sequence applied = 0;       ///< the highest number applied; all below it are applied too
-  Sequence highest_seen = 0;  ///< the highest number that arrived, held or dropped
-  std::map<Sequence, InvalidationCommand> out_of_order;  ///< arrived early, waiting for a gap to fill
-  std::size_t max_out_of_order = 1024;                   ///< bound on `held`, from configuration
-  bool gap_requested = false;                            ///< a gap has been asked for and not filled yet
+  Sequence applied = 0;       ///< the last number applied; all below it are applied too
+  Sequence highest_seen = 0;  ///< the highest number that arrived
+  std::map<Sequence, InvalidationCommand> out_of_order;  ///< arrived early; wait for the gap to close
+  std::size_t max_out_of_order = 1024;                   ///< bound on `out_of_order`
+  bool gap_requested = false;                            ///< a request is out until the gap is closed
 };
 
-/// The one place where the order of purges changes. Effects come in the order they are to be carried out.
+/// Handles one input. The effects are in the order in which they are to be carried out.
 std::vector<SequencerEffect> reduce(SequencerState& state, const SequencerInput& input);
 
 }  // namespace edge_proxy::invalidation
--- a/src/invalidation/snapshot.cpp
+++ b/src/invalidation/snapshot.cpp
@@ -5,39 +5,48 @@
 
 #include <array>
 #include <charconv>
+#include <cstdint>
 #include <cstdio>
 #include <optional>
+#include <utility>
 #include <vector>
 
 namespace edge_proxy::invalidation {
 namespace {
 
 constexpr std::string_view kHeader = "dahliahall-purge-snapshot 1";
-constexpr std::array<std::string_view, 4> kKinds{"key", "tag", "prefix", "glob"};
+constexpr std::string_view kChecksumWord = "checksum ";
+constexpr std::size_t kChecksumDigits = 16;
+constexpr std::size_t kHeaderLines = 4;   // before the lines of the buffered commands
+constexpr std::size_t kCommandWords = 4;  // NUMBER ISSUED_MS KIND TEXT
+constexpr int kDecimal = 10;
+constexpr int kHexadecimal = 16;
 
 std::string hex_of(std::uint64_t value) {
-  std::array<char, 17> text{};
+  std::array<char, kChecksumDigits + 1> text{};
   std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(value));
-  return {text.data(), 16};
+  return {text.data(), kChecksumDigits};
 }
 
 std::uint64_t checksum(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
 
+/// The number that the whole text is.
 template <typename Number>
-std::optional<Number> number_of(std::string_view text, int base = 10) {
+std::optional<Number> number_of(std::string_view text, int base = kDecimal) {
+  const char* const text_end = text.data() + text.size();
   Number value{};
-  const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), value, base);
-  if (text.empty() || problem != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+  const auto [end, error] = std::from_chars(text.data(), text_end, value, base);
+  if (text.empty() || error != std::errc{} || end != text_end) return std::nullopt;
   return value;
 }
 
-/// The words of a line split at single spaces; with `most`, the last word is the rest of the line, which may
-/// be empty (the text of `prefix:`).
-std::vector<std::string_view> words_of(std::string_view line, std::size_t most = 0) {
+/// The words of a line, split at single spaces. The last of `max_words` is the rest of the line, which may be
+/// empty (the text of `prefix:`).
+std::vector<std::string_view> split_words(std::string_view line, std::size_t max_words) {
   std::vector<std::string_view> words;
-  for (;;) {
-    const auto space = line.find(' ');
-    if (space == std::string_view::npos || words.size() + 1 == most) {
+  while (true) {
+    const std::size_t space = line.find(' ');
+    if (space == std::string_view::npos || words.size() + 1 == max_words) {
       words.push_back(line);
       return words;
     }
@@ -46,70 +55,123 @@
   }
 }
 
-SnapshotError error(std::size_t line, const std::string& what) {
-  return {"purge snapshot, line " + std::to_string(line) + ": " + what};
+/// The lines of a text that ends in a newline.
+std::vector<std::string_view> split_lines(std::string_view text) {
+  std::vector<std::string_view> lines;
+  while (!text.empty()) {
+    const std::size_t end = text.find('\n');
+    lines.push_back(text.substr(0, end));
+    text.remove_prefix(end + 1);
+  }
+  return lines;
+}
+
+/// `line`: from 1.
+SnapshotError error_in_line(std::size_t line, const std::string& problem) {
+  return {"purge snapshot, line " + std::to_string(line) + ": " + problem};
 }
 
+/// The text before the checksum line, where the checksum is right.
+std::variant<std::string_view, SnapshotError> verify_checksum(std::string_view text) {
+  const std::size_t checksum_line = text.rfind(kChecksumWord);
+  if (checksum_line == std::string_view::npos || (checksum_line != 0 && text[checksum_line - 1] != '\n'))
+    return SnapshotError{"purge snapshot: no checksum line (torn?)"};
+  const std::string_view body = text.substr(0, checksum_line);
+  const std::string_view digits = text.substr(checksum_line + kChecksumWord.size());
+  if (digits.size() != kChecksumDigits + 1 || digits.back() != '\n')
+    return SnapshotError{"purge snapshot: checksum line is torn"};
+  const auto written = number_of<std::uint64_t>(digits.substr(0, kChecksumDigits), kHexadecimal);
+  if (!written || *written != checksum(body))
+    return SnapshotError{"purge snapshot: checksum does not match (torn or changed)"};
+  return body;
+}
+
+/// Reads the lines of a snapshot into a state. Each reader returns an error, or none.
+class SnapshotReader {
+ public:
+  SnapshotReader(std::vector<std::string_view> lines, SequencerState& state)
+      : lines_(std::move(lines)), state_(state) {}
+
+  std::optional<SnapshotError> read() {
+    if (auto error = read_header()) return error;
+    for (std::size_t index = kHeaderLines; index < lines_.size(); ++index) {
+      if (auto error = read_command(index)) return error;
+    }
+    return std::nullopt;
+  }
+
+ private:
+  std::optional<SnapshotError> read_header() {
+    if (lines_.empty() || lines_[0] != kHeader)
+      return error_in_line(1, "want '" + std::string(kHeader) + "'");
+    const auto applied = header_number(1, "applied");
+    if (!applied) return error_in_line(2, "want 'applied N'");
+    const auto seen = header_number(2, "seen");
+    if (!seen || *seen < *applied) return error_in_line(3, "want 'seen N', N at least the applied number");
+    const auto held = header_number(3, "held");
+    if (!held || *held != lines_.size() - kHeaderLines)
+      return error_in_line(4, "want 'held N', N the number of lines that follow");
+    if (*held > state_.max_out_of_order)
+      return error_in_line(4, "holds more than the bound of " + std::to_string(state_.max_out_of_order));
+    state_.applied = *applied;
+    state_.highest_seen = *seen;
+    return std::nullopt;
+  }
+
+  /// The number of the line `NAME NUMBER`.
+  [[nodiscard]] std::optional<std::uint64_t> header_number(std::size_t index, std::string_view name) const {
+    if (index >= lines_.size()) return std::nullopt;
+    const std::string_view line = lines_[index];
+    const std::size_t space = line.find(' ');
+    if (space == std::string_view::npos || line.substr(0, space) != name) return std::nullopt;
+    return number_of<std::uint64_t>(line.substr(space + 1));
+  }
+
+  std::optional<SnapshotError> read_command(std::size_t index) {
+    const std::size_t line = index + 1;
+    const std::vector<std::string_view> words = split_words(lines_[index], kCommandWords);
+    if (words.size() != kCommandWords) return error_in_line(line, kWantCommand);
+    const auto number = number_of<Sequence>(words[0]);
+    const auto issued_ms = number_of<std::int64_t>(words[1]);
+    if (!number || !issued_ms) return error_in_line(line, kWantCommand);
+    if (*number <= state_.applied || *number > state_.highest_seen || state_.out_of_order.contains(*number))
+      return error_in_line(line, "number " + std::to_string(*number) + " is applied, unseen or twice");
+    const auto selector = parse_selector(std::string(words[2]) + ":" + std::string(words[3]));
+    if (const auto* error = std::get_if<SelectorError>(&selector)) return error_in_line(line, error->message);
+    const InvalidationCommand command{*number, std::get<Selector>(selector), UnixMs{*issued_ms}};
+    state_.out_of_order.emplace(*number, command);
+    return std::nullopt;
+  }
+
+  static constexpr const char* kWantCommand = "want 'NUMBER ISSUED_MS KIND TEXT'";
+
+  std::vector<std::string_view> lines_;
+  SequencerState& state_;
+};
+
 }  // namespace
 
 std::string write_snapshot(const SequencerState& state) {
   std::string text(kHeader);
-  text += "\napplied " + std::to_string(state.applied) + "\nseen " + std::to_string(state.highest_seen) +
-          "\nheld " + std::to_string(state.out_of_order.size()) + "\n";
-  for (const auto& [number, c] : state.out_of_order) {
-    text += std::to_string(number) + " " + std::to_string(c.issued_at.count()) + " " +
-            std::string(kKinds[static_cast<std::size_t>(c.selector.kind)]) + " " + c.selector.text + "\n";
+  text += "\napplied " + std::to_string(state.applied);
+  text += "\nseen " + std::to_string(state.highest_seen);
+  text += "\nheld " + std::to_string(state.out_of_order.size()) + "\n";
+  for (const auto& [number, command] : state.out_of_order) {
+    text += std::to_string(number) + " " + std::to_string(command.issued_at.count()) + " ";
+    text.append(name_of(command.selector.kind)).append(" ").append(command.selector.text).append("\n");
   }
-  return text + "checksum " + hex_of(checksum(text)) + "\n";
+  const std::string digits = hex_of(checksum(text));
+  return text.append(kChecksumWord).append(digits).append("\n");
 }
 
 std::variant<SequencerState, SnapshotError> read_snapshot(std::string_view text,
                                                           std::size_t max_out_of_order) {
-  const auto mark = text.rfind("checksum ");
-  if (mark == std::string_view::npos || (mark != 0 && text[mark - 1] != '\n'))
-    return SnapshotError{"purge snapshot: no checksum line (torn?)"};
-  const std::string_view body = text.substr(0, mark);
-  const std::string_view tail = text.substr(mark + 9);
-  if (tail.size() != 17 || tail.back() != '\n') return SnapshotError{"purge snapshot: checksum line is torn"};
-  const auto told = number_of<std::uint64_t>(tail.substr(0, 16), 16);
-  if (!told || *told != checksum(body))
-    return SnapshotError{"purge snapshot: checksum does not match (torn or changed)"};
-
-  std::vector<std::string_view> lines;
-  for (std::string_view rest = body; !rest.empty();) {
-    const auto end = rest.find('\n');
-    lines.push_back(rest.substr(0, end));
-    rest.remove_prefix(end + 1);  // the body ends in a newline: the checksum line starts after one
-  }
-  if (lines.empty() || lines[0] != kHeader) return error(1, "want '" + std::string(kHeader) + "'");
+  const auto verified = verify_checksum(text);
+  if (const auto* error = std::get_if<SnapshotError>(&verified)) return *error;
   SequencerState state;
   state.max_out_of_order = max_out_of_order;
-  auto field = [&](std::size_t at, std::string_view name) -> std::optional<std::uint64_t> {
-    if (at >= lines.size()) return std::nullopt;
-    const auto words = words_of(lines[at]);
-    if (words.size() != 2 || words[0] != name) return std::nullopt;
-    return number_of<std::uint64_t>(words[1]);
-  };
-  const auto applied = field(1, "applied"), seen = field(2, "seen"), held = field(3, "held");
-  if (!applied) return error(2, "want 'applied N'");
-  if (!seen || *seen < *applied) return error(3, "want 'seen N', N at least the applied number");
-  if (!held || *held != lines.size() - 4) return error(4, "want 'held N', N the number of lines that follow");
-  if (*held > max_out_of_order)
-    return error(4, "holds more than the bound of " + std::to_string(max_out_of_order));
-  state.applied = *applied;
-  state.highest_seen = *seen;
-  for (std::size_t i = 4; i < lines.size(); ++i) {
-    const auto words = words_of(lines[i], 4);
-    const auto number = words.size() == 4 ? number_of<Sequence>(words[0]) : std::nullopt;
-    const auto issued = words.size() == 4 ? number_of<long long>(words[1]) : std::nullopt;
-    if (!number || !issued) return error(i + 1, "want 'NUMBER ISSUED_MS KIND TEXT'");
-    if (*number <= state.applied || *number > state.highest_seen || state.out_of_order.count(*number) != 0)
-      return error(i + 1, "number " + std::to_string(*number) + " is applied, unseen or twice");
-    auto selector = parse_selector(std::string(words[2]) + ":" + std::string(words[3]));
-    if (const auto* bad = std::get_if<SelectorError>(&selector)) return error(i + 1, bad->message);
-    state.out_of_order.emplace(*number,
-                               InvalidationCommand{*number, std::get<Selector>(selector), UnixMs{*issued}});
-  }
+  SnapshotReader reader(split_lines(std::get<std::string_view>(verified)), state);
+  if (const auto error = reader.read()) return *error;
   return state;
 }
 
--- a/tests/invalidation/invalidation_test.cpp
+++ b/tests/invalidation/invalidation_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Purges by tag and pattern: selectors, the index against a plain scan, the order over a feed, the ledger.
+// Invalidations by tag and pattern: selectors, the index against a scan, the sequencer, the log, the
+// snapshot.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -15,7 +16,7 @@
 namespace edge_proxy::invalidation {
 namespace {
 
-Selector sel(const std::string& text) {
+Selector selector_of(const std::string& text) {
   auto parsed = parse_selector(text);
   EXPECT_TRUE(std::holds_alternative<Selector>(parsed)) << text;
   return std::get<Selector>(parsed);
@@ -27,7 +28,7 @@
 }
 
 InvalidationCommand command(Sequence n, const std::string& selector, long long issued = 0) {
-  return {n, sel(selector), UnixMs{issued}};
+  return {n, selector_of(selector), UnixMs{issued}};
 }
 
 std::vector<Sequence> applied_numbers(const std::vector<SequencerEffect>& effects) {
@@ -37,15 +38,15 @@
   return out;
 }
 
-TEST(PurgeSelector, ParsesEachKind) {
-  EXPECT_EQ(sel("key:7f3a9c21e0b4d655"), (Selector{SelectorKind::key, "7f3a9c21e0b4d655"}));
-  EXPECT_EQ(sel("tag:class-4b"), (Selector{SelectorKind::tag, "class-4b"}));
-  EXPECT_EQ(sel("prefix:school/12/"), (Selector{SelectorKind::prefix, "school/12/"}));
-  EXPECT_EQ(sel("prefix:"), (Selector{SelectorKind::prefix, ""}));
-  EXPECT_EQ(sel("glob:school/*/proof-?.jpg"), (Selector{SelectorKind::glob, "school/*/proof-?.jpg"}));
+TEST(InvalidationSelector, ParsesEachKind) {
+  EXPECT_EQ(selector_of("key:7f3a9c21e0b4d655"), (Selector{SelectorKind::key, "7f3a9c21e0b4d655"}));
+  EXPECT_EQ(selector_of("tag:class-4b"), (Selector{SelectorKind::tag, "class-4b"}));
+  EXPECT_EQ(selector_of("prefix:school/12/"), (Selector{SelectorKind::prefix, "school/12/"}));
+  EXPECT_EQ(selector_of("prefix:"), (Selector{SelectorKind::prefix, ""}));
+  EXPECT_EQ(selector_of("glob:school/*/proof-?.jpg"), (Selector{SelectorKind::glob, "school/*/proof-?.jpg"}));
 }
 
-TEST(PurgeSelector, MalformedOnesNameTheirFault) {
+TEST(InvalidationSelector, MalformedOnesNameTheirFault) {
   EXPECT_NE(error_of("school/12").find("want KIND:TEXT"), std::string::npos);
   EXPECT_NE(error_of("regex:a.*").find("unknown kind 'regex'"), std::string::npos);
   EXPECT_NE(error_of("tag:").find("empty tag"), std::string::npos);
@@ -54,7 +55,7 @@
   EXPECT_NE(error_of("key:" + std::string(513, 'a')).find("longer than 512"), std::string::npos);
 }
 
-TEST(PurgeSelector, GlobsMatchWholeKeys) {
+TEST(InvalidationSelector, GlobsMatchWholeKeys) {
   EXPECT_TRUE(glob_matches("a*c", "abbbc"));
   EXPECT_TRUE(glob_matches("a*c", "ac"));
   EXPECT_FALSE(glob_matches("a*c", "acb"));
@@ -67,31 +68,32 @@
   EXPECT_EQ(literal_prefix("?x"), "");
 }
 
-TEST(PurgeIndex, FindsByTagPrefixAndGlob) {
+TEST(InvalidationIndex, FindsByTagPrefixAndGlob) {
   KeyIndex index;
   index.put("s1/c4/photo-1", {"class-4", "s1"});
   index.put("s1/c4/photo-2", {"class-4", "s1", "class-4"});
   index.put("s1/c5/photo-1", {"class-5", "s1"});
   index.put("s2/c4/photo-1", {"class-4", "s2"});
-  EXPECT_EQ(index.match(sel("tag:class-4")),
+  EXPECT_EQ(index.match(selector_of("tag:class-4")),
             (std::vector<std::string>{"s1/c4/photo-1", "s1/c4/photo-2", "s2/c4/photo-1"}));
-  EXPECT_EQ(index.match(sel("prefix:s1/c4/")), (std::vector<std::string>{"s1/c4/photo-1", "s1/c4/photo-2"}));
-  EXPECT_EQ(index.match(sel("glob:*/c4/photo-1")),
+  EXPECT_EQ(index.match(selector_of("prefix:s1/c4/")),
+            (std::vector<std::string>{"s1/c4/photo-1", "s1/c4/photo-2"}));
+  EXPECT_EQ(index.match(selector_of("glob:*/c4/photo-1")),
             (std::vector<std::string>{"s1/c4/photo-1", "s2/c4/photo-1"}));
-  EXPECT_EQ(index.match(sel("key:s1/c5/photo-1")), (std::vector<std::string>{"s1/c5/photo-1"}));
+  EXPECT_EQ(index.match(selector_of("key:s1/c5/photo-1")), (std::vector<std::string>{"s1/c5/photo-1"}));
 }
 
-TEST(PurgeIndex, APatternThatMatchesNothingAndOneThatMatchesEverything) {
+TEST(InvalidationIndex, APatternThatMatchesNothingAndOneThatMatchesEverything) {
   KeyIndex index;
   for (int i = 0; i < 50; ++i) index.put("k" + std::to_string(i), {"t" + std::to_string(i % 3)});
-  EXPECT_TRUE(index.match(sel("glob:zz*")).empty());
-  EXPECT_TRUE(index.match(sel("tag:unknown")).empty());
-  EXPECT_TRUE(index.match(sel("key:k50")).empty());
-  EXPECT_EQ(index.match(sel("glob:*")).size(), 50U);
-  EXPECT_EQ(index.match(sel("prefix:")).size(), 50U);
+  EXPECT_TRUE(index.match(selector_of("glob:zz*")).empty());
+  EXPECT_TRUE(index.match(selector_of("tag:unknown")).empty());
+  EXPECT_TRUE(index.match(selector_of("key:k50")).empty());
+  EXPECT_EQ(index.match(selector_of("glob:*")).size(), 50U);
+  EXPECT_EQ(index.match(selector_of("prefix:")).size(), 50U);
 }
 
-TEST(PurgeIndex, ReplacedTagsAndErasedKeysLeaveNothingBehind) {
+TEST(InvalidationIndex, ReplacedTagsAndErasedKeysLeaveNothingBehind) {
   // Guards memory: nothing grows with keys or tags ever seen, over many generations.
   KeyIndex index;
   for (int generation = 0; generation < 200; ++generation) {
@@ -101,16 +103,16 @@
       index.put(key, {"gen-" + std::to_string(generation)});
     }
     if (generation >= 2) {
-      for (const std::string& key : index.match(sel("tag:gen-" + std::to_string(generation - 2))))
+      for (const std::string& key : index.match(selector_of("tag:gen-" + std::to_string(generation - 2))))
         index.erase(key);
     }
-    ASSERT_LE(index.keys(), 300U);
-    ASSERT_LE(index.tags(), 3U);
+    ASSERT_LE(index.key_count(), 300U);
+    ASSERT_LE(index.tag_count(), 3U);
   }
-  EXPECT_TRUE(index.match(sel("tag:i3")).empty());
+  EXPECT_TRUE(index.match(selector_of("tag:i3")).empty());
 }
 
-TEST(PurgeIndex, AgreesWithAPlainScanOnRandomKeys) {
+TEST(InvalidationIndex, AgreesWithAPlainScanOnRandomKeys) {
   std::mt19937 random(7);
   KeyIndex index;
   const std::string letters = "abc/";
@@ -133,46 +135,46 @@
     glob[random() % glob.size()] = random() % 2 == 0 ? '*' : '?';
     for (const std::string& text :
          {"tag:" + word(2), "prefix:" + word(3), "glob:" + glob, "key:" + word(10)}) {
-      const Selector s = sel(text);
+      const Selector s = selector_of(text);
       ASSERT_EQ(index.match(s), index.match_by_scan(s)) << text;
     }
   }
 }
 
-TEST(PurgeSequencer, AppliesInOrderWhatArrivesOutOfOrder) {
-  // Two overlapping purges in the wrong order: the older number goes first, whatever came first.
+TEST(InvalidationSequencer, AppliesInOrderWhatArrivesOutOfOrder) {
+  // Two overlapping invalidations in the wrong order: the older number goes first, whatever came first.
   SequencerState state;
   auto effects = reduce(state, CommandArrived{command(2, "prefix:s1/", 2000)});
   EXPECT_TRUE(applied_numbers(effects).empty());
   ASSERT_EQ(effects.size(), 1U);
   EXPECT_EQ(std::get<RequestFrom>(effects[0]).number, 1U);
   effects = reduce(state, CommandArrived{command(3, "tag:class-4", 3000)});
-  EXPECT_TRUE(effects.empty()) << "the gap is asked for once";
+  EXPECT_TRUE(effects.empty()) << "the gap is requested once";
   effects = reduce(state, CommandArrived{command(1, "glob:s1/*", 1000)});
   EXPECT_EQ(applied_numbers(effects), (std::vector<Sequence>{1, 2, 3}));
   EXPECT_EQ(state.applied, 3U);
   EXPECT_TRUE(state.out_of_order.empty());
 }
 
-TEST(PurgeSequencer, DuplicatesAndConflictsAreDroppedAndNamed) {
+TEST(InvalidationSequencer, DuplicatesAndConflictsAreDroppedAndNamed) {
   SequencerState state;
   reduce(state, CommandArrived{command(1, "tag:a")});
   auto effects = reduce(state, CommandArrived{command(1, "tag:a")});
   ASSERT_EQ(effects.size(), 1U);
-  EXPECT_EQ(std::get<CommandDropped>(effects[0]).reason, "duplicate");
+  EXPECT_EQ(std::get<CommandDropped>(effects[0]).reason, DropReason::duplicate);
   reduce(state, CommandArrived{command(3, "tag:c")});
   effects = reduce(state, CommandArrived{command(3, "tag:other")});
   ASSERT_EQ(effects.size(), 1U);
-  EXPECT_EQ(std::get<CommandDropped>(effects[0]).reason, "conflict");
+  EXPECT_EQ(std::get<CommandDropped>(effects[0]).reason, DropReason::conflict);
   EXPECT_EQ(state.out_of_order.at(3).selector.text, "c");
 }
 
-TEST(PurgeSequencer, ARestartMidPurgeResumesFromTheLastApplied) {
+TEST(InvalidationSequencer, ARestartResumesFromTheLastApplied) {
   SequencerState before;
   for (Sequence n = 1; n <= 4; ++n) reduce(before, CommandArrived{command(n, "key:k" + std::to_string(n))});
   reduce(before, CommandArrived{command(6, "key:k6")});  // 5 never came before the crash
   SequencerState after;
-  after.applied = before.applied;  // what a snapshot keeps; held commands are asked again
+  after.applied = before.applied;  // what a snapshot keeps; buffered commands are requested again
   auto effects = reduce(after, FeedConnected{});
   ASSERT_EQ(effects.size(), 1U);
   EXPECT_EQ(std::get<RequestFrom>(effects[0]).number, 5U);
@@ -184,37 +186,32 @@
   EXPECT_EQ(applied, (std::vector<Sequence>{5, 6, 7}));
 }
 
-TEST(PurgeSequencer, HeldCommandsAreBounded) {
+TEST(InvalidationSequencer, BufferedCommandsAreBounded) {
   SequencerState state;
   state.max_out_of_order = 8;
   for (Sequence n = 2; n < 40; ++n) reduce(state, CommandArrived{command(n, "tag:t")});
   EXPECT_LE(state.out_of_order.size(), 8U);
   const auto effects = reduce(state, CommandArrived{command(1, "tag:t")});
   EXPECT_EQ(applied_numbers(effects), (std::vector<Sequence>{1, 2, 3, 4, 5, 6, 7, 8}));
-  EXPECT_EQ(effects.size(), 8U) << "the ask for 1 on is still out: it brings 9 on as well";
+  EXPECT_EQ(effects.size(), 8U) << "the request from 1 on is still out: it brings 9 on as well";
   EXPECT_EQ(std::get<RequestFrom>(reduce(state, FeedConnected{}).front()).number, 9U)
-      << "asked again when the feed is back";
+      << "requested again when the feed is back";
 }
 
-TEST(PurgeLedger, ACopyFromBeforeAPurgeThatNamesItIsNotServed) {
-  InvalidationLog ledger;
-  ledger.record(command(1, "tag:class-4", 1000));
-  ledger.record(command(2, "glob:s2/*", 2000));
-  EXPECT_FALSE(ledger.can_serve("s1/a", {"class-4"}, UnixMs{999}));
-  EXPECT_TRUE(ledger.can_serve("s1/a", {"class-4"}, UnixMs{1000})) << "born with the purge: new enough";
-  EXPECT_TRUE(ledger.can_serve("s1/a", {"class-5"}, UnixMs{10}));
-  EXPECT_FALSE(ledger.can_serve("s2/x", {}, UnixMs{1500}));
-  ledger.forget_before(UnixMs{1500});
-  EXPECT_EQ(ledger.size(), 1U);
-  EXPECT_FALSE(ledger.can_serve("s2/x", {}, UnixMs{1999}));
+TEST(InvalidationLog, ACopyFromBeforeAnInvalidationOfItIsNotServed) {
+  InvalidationLog log;
+  log.record(command(1, "tag:class-4", 1000));
+  log.record(command(2, "glob:s2/*", 2000));
+  EXPECT_FALSE(log.can_serve("s1/a", {"class-4"}, UnixMs{999}));
+  EXPECT_TRUE(log.can_serve("s1/a", {"class-4"}, UnixMs{1000}))
+      << "made at the time of the invalidation: new enough";
+  EXPECT_TRUE(log.can_serve("s1/a", {"class-5"}, UnixMs{10}));
+  EXPECT_FALSE(log.can_serve("s2/x", {}, UnixMs{1500}));
+  log.prune_before(UnixMs{1500});
+  EXPECT_EQ(log.size(), 1U);
+  EXPECT_FALSE(log.can_serve("s2/x", {}, UnixMs{1999}));
 }
 
-}  // namespace
-}  // namespace edge_proxy::invalidation
-
-namespace edge_proxy::invalidation {
-namespace {
-
 SequencerState sample_state() {
   SequencerState state;
   for (Sequence n : {1, 2, 3, 5, 6})
@@ -224,7 +221,7 @@
   return state;
 }
 
-TEST(PurgeSnapshot, ReadsBackWhatWasWritten) {
+TEST(InvalidationSnapshot, ReadsBackWhatWasWritten) {
   const SequencerState state = sample_state();
   const auto back = read_snapshot(write_snapshot(state), 1024);
   ASSERT_TRUE(std::holds_alternative<SequencerState>(back)) << std::get<SnapshotError>(back).message;
@@ -232,14 +229,14 @@
   EXPECT_EQ(read.applied, 3U);
   EXPECT_EQ(read.highest_seen, 9U);
   EXPECT_EQ(read.out_of_order, state.out_of_order);
-  // Resumed, it asks for the gap and applies what it held once that comes.
+  // Resumed, it asks for the gap and applies what it buffered once that comes.
   SequencerState resumed = read;
   EXPECT_EQ(std::get<RequestFrom>(reduce(resumed, FeedConnected{}).front()).number, 4U);
   EXPECT_EQ(applied_numbers(reduce(resumed, CommandArrived{command(4, "key:k4", 1004)})),
             (std::vector<Sequence>{4, 5, 6}));
 }
 
-TEST(PurgeSnapshot, ATornOrChangedSnapshotIsRefused) {
+TEST(InvalidationSnapshot, ATornOrChangedSnapshotIsRejected) {
   const std::string text = write_snapshot(sample_state());
   for (std::size_t cut = 0; cut < text.size(); ++cut) {
     const auto torn = read_snapshot(text.substr(0, cut), 1024);
--- a/tests/invalidation/property_test.cpp
+++ b/tests/invalidation/property_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Properties of the purge subsystem, on rapidcheck: whatever order, duplicates and bound, the sequencer
+// Properties of invalidation, on rapidcheck: whatever order, duplicates and bound, the sequencer
 // applies each number once and in order; globs match as a table over all prefixes does.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -21,7 +21,7 @@
   return {n, Selector{SelectorKind::tag, "t" + std::to_string(n)}, UnixMs{static_cast<long long>(n)}};
 }
 
-RC_GTEST_PROP(PurgeSequencerProperty, AppliesEachNumberOnceAndInOrder, ()) {
+RC_GTEST_PROP(InvalidationSequencerProperty, AppliesEachNumberOnceAndInOrder, ()) {
   const auto last = *rc::gen::inRange<Sequence>(1, 40);
   std::vector<Sequence> arrivals(last);
   std::iota(arrivals.begin(), arrivals.end(), Sequence{1});
@@ -48,7 +48,7 @@
       if (const auto* ask = std::get_if<RequestFrom>(&effect))
         for (Sequence again = ask->number; again <= last; ++again) feed.push_back(again);
       const auto* dropped = std::get_if<CommandDropped>(&effect);
-      const bool no_conflict = dropped == nullptr || dropped->reason != "conflict";
+      const bool no_conflict = dropped == nullptr || dropped->reason != DropReason::conflict;
       RC_ASSERT(no_conflict);
     }
     RC_ASSERT(state.out_of_order.size() <= state.max_out_of_order);
@@ -75,7 +75,7 @@
   return fits[glob.size()][key.size()];
 }
 
-RC_GTEST_PROP(PurgeGlobProperty, MatchesAsTheTableDoes, ()) {
+RC_GTEST_PROP(InvalidationGlobProperty, MatchesAsTheTableDoes, ()) {
   const auto glob = *rc::gen::container<std::string>(rc::gen::element('a', 'b', '*', '?'));
   const auto key = *rc::gen::container<std::string>(rc::gen::element('a', 'b'));
   RC_ASSERT(glob_matches(glob, key) == reference_match(glob, key));
