--- a/src/codec/cache_lines.cpp
+++ b/src/codec/cache_lines.cpp
@@ -17,7 +17,7 @@
                                                        "FAULT", "LATE",  "PONG", "SICK"};
 
 std::optional<CacheResponseStatus> status_of(std::string_view word) {
-  const auto found = std::find(kStatusWords.begin(), kStatusWords.end(), word);
+  const auto* const found = std::find(kStatusWords.begin(), kStatusWords.end(), word);
   if (found == kStatusWords.end()) return std::nullopt;
   return static_cast<CacheResponseStatus>(found - kStatusWords.begin());
 }
@@ -50,8 +50,9 @@
   while (!list.empty()) {
     const std::string_view field = list.substr(0, list.find(','));
     list.remove_prefix(std::min(field.size() + 1, list.size()));
-    if (field.size() > name.size() && field.substr(0, name.size()) == name && field[name.size()] == '=')
+    if (field.size() > name.size() && field.substr(0, name.size()) == name && field[name.size()] == '=') {
       return field.substr(name.size() + 1);
+    }
   }
   return std::nullopt;
 }
--- a/src/codec/discovery_events.cpp
+++ b/src/codec/discovery_events.cpp
@@ -49,8 +49,9 @@
 EndpointUpdate read_endpoint_update(const Fields& fields, const DiscoveryNames& names) {
   EndpointUpdate update;
   update.is_complete = fields.boolean("complete", false);
-  for (const Fields& entry : fields.objects("members"))
+  for (const Fields& entry : fields.objects("members")) {
     update.endpoints.push_back(read_endpoint(entry, names));
+  }
   return update;
 }
 
@@ -67,8 +68,9 @@
 DiscoveryEvent read_discovery_event(const Fields& fields, const DiscoveryNames& names) {
   DiscoveryEvent event;
   event.number = fields.integer("no");
-  if (fields.find("roster") != nullptr)
+  if (fields.find("roster") != nullptr) {
     event.endpoints = read_endpoint_update(fields.object("roster"), names);
+  }
   if (fields.find("recall") != nullptr) event.invalidation = read_invalidation(fields.object("recall"));
   return event;
 }
--- a/src/codec/http_call.cpp
+++ b/src/codec/http_call.cpp
@@ -13,6 +13,16 @@
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kVersion = "HTTP/1.";
+// Statuses that the admin address replies with.
+constexpr int kStatusOk = 200;
+constexpr int kStatusAccepted = 202;
+constexpr int kStatusBadRequest = 400;
+constexpr int kStatusNotFound = 404;
+constexpr int kStatusMethodNotAllowed = 405;
+constexpr int kStatusConflict = 409;
+constexpr int kStatusContentTooLarge = 413;
+constexpr int kStatusUnprocessableContent = 422;
+
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kEscapeDigits = 2;
 
@@ -58,23 +68,24 @@
   return length;
 }
 
+/// The reason phrase of a status.
 std::string_view reason_of(int status) {
   switch (status) {
-    case 200:
+    case kStatusOk:
       return "OK";
-    case 202:
+    case kStatusAccepted:
       return "Accepted";
-    case 400:
+    case kStatusBadRequest:
       return "Bad Request";
-    case 404:
+    case kStatusNotFound:
       return "Not Found";
-    case 405:
+    case kStatusMethodNotAllowed:
       return "Method Not Allowed";
-    case 409:
+    case kStatusConflict:
       return "Conflict";
-    case 413:
+    case kStatusContentTooLarge:
       return "Content Too Large";
-    case 422:
+    case kStatusUnprocessableContent:
       return "Unprocessable Content";
     default:
       return "Service Unavailable";
--- a/src/codec/thrift.cpp
+++ b/src/codec/thrift.cpp
@@ -25,6 +25,8 @@
 constexpr std::uint32_t kStrictVersion = 0x80010000U;
 constexpr std::uint32_t kVersionMask = 0xffff0000U;
 constexpr std::uint32_t kMessageTypeMask = 0xffU;
+constexpr int kByteBits = 8;
+constexpr int kTopByteShift = 24;  // of 32 bits
 constexpr std::size_t kFrameLengthBytes = 4;
 constexpr int kMaxDepth = 16;                     // of nested containers
 constexpr std::size_t kMaxIdleBuffer = 4 * 1024;  // bytes of capacity that an idle connection keeps
@@ -231,7 +233,9 @@
   void type(TypeByte value) { byte(static_cast<std::uint8_t>(value)); }
   void byte(std::uint8_t value) { out_.push_back(static_cast<char>(value)); }
   void u32(std::uint32_t value) {
-    for (int shift = 24; shift >= 0; shift -= 8) byte(static_cast<std::uint8_t>(value >> shift));
+    for (int shift = kTopByteShift; shift >= 0; shift -= kByteBits) {
+      byte(static_cast<std::uint8_t>(value >> shift));
+    }
   }
   void text(std::string_view value) {
     u32(static_cast<std::uint32_t>(value.size()));
@@ -250,8 +254,8 @@
   std::string finish() {
     const auto length = static_cast<std::uint32_t>(out_.size() - kFrameLengthBytes);
     for (std::size_t i = 0; i < kFrameLengthBytes; ++i) {
-      const auto shift = 8 * (kFrameLengthBytes - 1 - i);
-      out_[i] = static_cast<char>(length >> shift & 0xffU);
+      const auto shift = kByteBits * (kFrameLengthBytes - 1 - i);
+      out_[i] = static_cast<char>(length >> shift);
     }
     return std::move(out_);
   }
@@ -273,8 +277,9 @@
   const std::string_view rest = std::string_view(buffer_).substr(consumed_);
   if (error_ != FrameError::none || rest.size() < kFrameLengthBytes) return wait_for_bytes();
   std::size_t length = 0;
-  for (std::size_t i = 0; i < kFrameLengthBytes; ++i)
+  for (std::size_t i = 0; i < kFrameLengthBytes; ++i) {
     length = length << 8U | static_cast<unsigned char>(rest[i]);
+  }
   // Guards against a client that announces more than is ever sent: nothing of that size is waited for.
   if (length > kMaxFrame) {
     error_ = FrameError::too_large;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -91,11 +91,13 @@
 
 void read_resource_limits(const Fields& limits, Config& config) {
   config.max_descriptors = limits.small("sockets", config.max_descriptors);
-  if (config.max_descriptors < kMinSockets)
+  if (config.max_descriptors < kMinSockets) {
     limits.fail("sockets", "should be " + std::to_string(kMinSockets) + " or more");
+  }
   const int memory_mb = limits.small("memory_mb", static_cast<int>(config.memory_bytes >> kMbShift));
-  if (memory_mb < kMinMemoryMb)
+  if (memory_mb < kMinMemoryMb) {
     limits.fail("memory_mb", "should be " + std::to_string(kMinMemoryMb) + " or more");
+  }
   config.memory_bytes = static_cast<std::size_t>(memory_mb) << kMbShift;
 }
 
@@ -146,8 +148,9 @@
 void read_known_events(const Fields& known, Config& config) {
   config.last_known_event = known.integer("no", 0);
   if (known.find("items") == nullptr) return;
-  for (const Fields& item : known.objects("items"))
+  for (const Fields& item : known.objects("items")) {
     config.known_events.push_back(codec::read_discovery_event(item, config.discovery_names));
+  }
 }
 
 rapidjson::Document parse_json(const std::string& json) {
--- a/src/config/fields.cpp
+++ b/src/config/fields.cpp
@@ -137,8 +137,9 @@
 }
 
 int Fields::to_small(const char* name, std::int64_t value) const {
-  if (value < std::numeric_limits<int>::min() || value > std::numeric_limits<int>::max())
+  if (value < std::numeric_limits<int>::min() || value > std::numeric_limits<int>::max()) {
     fail(name, "is out of range");
+  }
   return static_cast<int>(value);
 }
 
--- a/src/config/membership_config.cpp
+++ b/src/config/membership_config.cpp
@@ -21,8 +21,9 @@
 constexpr Time kMinQuotaLease = std::chrono::seconds(2);
 
 std::string checked_address(const Fields& fields, const char* name, const std::string& value) {
-  if (!membership::is_valid_address(value))
+  if (!membership::is_valid_address(value)) {
     fields.fail(name, "should be an IPv4 address and a port, not '" + value + "'");
+  }
   return value;
 }
 
@@ -33,8 +34,9 @@
 
 int read_in_range(const Fields& fields, const char* name, int absent, Range range) {
   const int value = fields.small(name, absent);
-  if (value < range.min || value > range.max)
+  if (value < range.min || value > range.max) {
     fields.fail(name, "should be " + std::to_string(range.min) + " to " + std::to_string(range.max));
+  }
   return value;
 }
 
@@ -45,19 +47,22 @@
 
 Time read_interval(const Fields& fields, const char* name, Time absent) {
   const Time value = fields.time(name, absent);
-  if (value < kMinInterval || value > kMaxInterval)
+  if (value < kMinInterval || value > kMaxInterval) {
     fields.fail(name, "should be 1000 to 3600000000 microseconds");
+  }
   return value;
 }
 
 void read_identity(const Fields& section, const ProxyFacts& proxy, MembershipConfig& config) {
   membership::Settings& settings = config.settings;
   settings.cluster = section.text("cluster");
-  if (!membership::is_valid_name(settings.cluster))
+  if (!membership::is_valid_name(settings.cluster)) {
     section.fail("cluster", "should be 1 to 64 of letters, digits, '-', '_', '.'");
+  }
   settings.name = proxy.name;
-  if (!membership::is_valid_name(proxy.name))
+  if (!membership::is_valid_name(proxy.name)) {
     section.fail("", "the proxy's name should be 1 to 64 of letters, digits, '-', '_', '.'");
+  }
   settings.zone = proxy.zone;
   config.listen_address = checked_address(section, "listen", section.text("listen"));
   const std::string advertised = section.text("address", config.listen_address.c_str());
@@ -97,8 +102,9 @@
   settings.probe_interval = read_interval(section, "probe_every", settings.probe_interval);
   settings.probe_timeout = read_interval(section, "probe_timeout", settings.probe_timeout);
   // Guards against indirect probes that start when the probe's interval is over already.
-  if (settings.probe_timeout * 2 > settings.probe_interval)
+  if (settings.probe_timeout * 2 > settings.probe_interval) {
     section.fail("probe_timeout", "should be half of probe_every at most");
+  }
   settings.min_suspicion_timeout = read_interval(section, "suspicion_least", settings.min_suspicion_timeout);
   settings.full_sync_interval = read_interval(section, "exchange_every", settings.full_sync_interval);
   settings.reconnect_interval = read_interval(section, "seek_every", settings.reconnect_interval);
@@ -106,8 +112,9 @@
   const Time rounds =
       kProbeRoundsPerQuotaLease * settings.probe_interval * static_cast<int>(settings.max_members);
   settings.quota_lease = read_interval(section, "share_lease", std::max(settings.quota_lease, rounds));
-  if (settings.quota_lease < kMinQuotaLease)
+  if (settings.quota_lease < kMinQuotaLease) {
     section.fail("share_lease", "should be 2000000 microseconds or more");
+  }
 }
 
 }  // namespace
--- a/src/config/policy_config.cpp
+++ b/src/config/policy_config.cpp
@@ -23,22 +23,25 @@
   if (!list.IsArray()) section.fail("voters", "should be a list");
   std::vector<std::string> voters;
   for (const auto& voter : list.GetArray()) {
-    if (!voter.IsString() || !membership::is_valid_name({voter.GetString(), voter.GetStringLength()}))
+    if (!voter.IsString() || !membership::is_valid_name({voter.GetString(), voter.GetStringLength()})) {
       section.fail("voters", "should hold names of edge proxies");
+    }
     voters.emplace_back(voter.GetString(), voter.GetStringLength());
   }
   const std::set<std::string> distinct(voters.begin(), voters.end());
   const bool is_valid_count =
       std::find(kVoterCounts.begin(), kVoterCounts.end(), voters.size()) != kVoterCounts.end();
-  if (distinct.size() != voters.size() || !is_valid_count)
+  if (distinct.size() != voters.size() || !is_valid_count) {
     section.fail("voters", "should hold 3, 5 or 7 names, each once");
+  }
   return voters;
 }
 
 Time read_lease(const Fields& section, Time absent) {
   const Time lease = section.time("lease", absent);
-  if (lease < kMinLease || lease > kMaxLease)
+  if (lease < kMinLease || lease > kMaxLease) {
     section.fail("lease", "should be 1000000 to 300000000 microseconds");
+  }
   return lease;
 }
 
--- a/src/config/settings_check.cpp
+++ b/src/config/settings_check.cpp
@@ -59,8 +59,9 @@
 void check_kinds(const Fields& specifics, const Settings& settings, int kinds) {
   if (settings.parent_kind >= kinds) specifics.fail("upper_kind", "is no place in kinds");
   if (settings.origin_kind >= kinds) specifics.fail("origin_kind", "is no place in kinds");
-  if (settings.parent_kind >= 0 && settings.parent_kind == settings.origin_kind)
+  if (settings.parent_kind >= 0 && settings.parent_kind == settings.origin_kind) {
     specifics.fail("upper_kind", "is the same as origin_kind");
+  }
 }
 
 }  // namespace
--- a/src/invalidation/key_index.cpp
+++ b/src/invalidation/key_index.cpp
@@ -47,8 +47,9 @@
 
 std::vector<std::string> KeyIndex::match_prefix(std::string_view prefix) const {
   std::vector<std::string> matches;
-  for (auto key = keys_.lower_bound(prefix); key != keys_.end() && key->starts_with(prefix); ++key)
+  for (auto key = keys_.lower_bound(prefix); key != keys_.end() && key->starts_with(prefix); ++key) {
     matches.push_back(*key);
+  }
   return matches;
 }
 
--- a/src/invalidation/selector.cpp
+++ b/src/invalidation/selector.cpp
@@ -18,7 +18,7 @@
 bool is_wildcard(char byte) { return byte == '*' || byte == '?'; }
 
 std::optional<SelectorKind> kind_of(std::string_view word) {
-  const auto found = std::find(kKindWords.begin(), kKindWords.end(), word);
+  const auto* const found = std::find(kKindWords.begin(), kKindWords.end(), word);
   if (found == kKindWords.end()) return std::nullopt;
   return static_cast<SelectorKind>(found - kKindWords.begin());
 }
@@ -34,8 +34,9 @@
 
 std::variant<Selector, SelectorError> parse_selector(std::string_view text) {
   const std::size_t colon = text.find(':');
-  if (colon == std::string_view::npos)
+  if (colon == std::string_view::npos) {
     return error_in(text, SelectorFault::no_kind, "want KIND:TEXT (key, tag, prefix, glob)");
+  }
   const std::string word(text.substr(0, colon));
   const std::string_view rest = text.substr(colon + 1);
   const std::optional<SelectorKind> kind = kind_of(word);
@@ -43,15 +44,19 @@
     const std::string problem = "unknown kind '" + word + "' (key, tag, prefix, glob)";
     return error_in(text, SelectorFault::unknown_kind, problem);
   }
-  if (rest.size() > kMaxTextBytes)  // too long to be quoted
+  if (rest.size() > kMaxTextBytes) {  // too long to be quoted
     return SelectorError{SelectorFault::too_long,
                          "purge selector of kind " + word + ": longer than 512 bytes"};
-  if (rest.empty() && kind != SelectorKind::prefix)
+  }
+  if (rest.empty() && kind != SelectorKind::prefix) {
     return error_in(text, SelectorFault::empty_text, "empty " + word);
-  if (!std::all_of(rest.begin(), rest.end(), is_printable))
+  }
+  if (!std::all_of(rest.begin(), rest.end(), is_printable)) {
     return error_in(text, SelectorFault::unprintable, "space or unprintable byte");
-  if (kind != SelectorKind::glob && std::any_of(rest.begin(), rest.end(), is_wildcard))
+  }
+  if (kind != SelectorKind::glob && std::any_of(rest.begin(), rest.end(), is_wildcard)) {
     return error_in(text, SelectorFault::misplaced_wildcard, "'*' and '?' belong to glob only");
+  }
   return Selector{*kind, std::string(rest)};
 }
 
--- a/src/invalidation/snapshot.cpp
+++ b/src/invalidation/snapshot.cpp
@@ -74,15 +74,18 @@
 /// The text before the checksum line, where the checksum is right.
 std::variant<std::string_view, SnapshotError> verify_checksum(std::string_view text) {
   const std::size_t checksum_line = text.rfind(kChecksumWord);
-  if (checksum_line == std::string_view::npos || (checksum_line != 0 && text[checksum_line - 1] != '\n'))
+  if (checksum_line == std::string_view::npos || (checksum_line != 0 && text[checksum_line - 1] != '\n')) {
     return SnapshotError{"purge snapshot: no checksum line (torn?)"};
+  }
   const std::string_view body = text.substr(0, checksum_line);
   const std::string_view digits = text.substr(checksum_line + kChecksumWord.size());
-  if (digits.size() != kChecksumDigits + 1 || digits.back() != '\n')
+  if (digits.size() != kChecksumDigits + 1 || digits.back() != '\n') {
     return SnapshotError{"purge snapshot: checksum line is torn"};
+  }
   const auto written = number_of<std::uint64_t>(digits.substr(0, kChecksumDigits), kHexadecimal);
-  if (!written || *written != checksum(body))
+  if (!written || *written != checksum(body)) {
     return SnapshotError{"purge snapshot: checksum does not match (torn or changed)"};
+  }
   return body;
 }
 
@@ -102,17 +105,20 @@
 
  private:
   std::optional<SnapshotError> read_header() {
-    if (lines_.empty() || lines_[0] != kHeader)
+    if (lines_.empty() || lines_[0] != kHeader) {
       return error_in_line(1, "want '" + std::string(kHeader) + "'");
+    }
     const auto applied = header_number(1, "applied");
     if (!applied) return error_in_line(2, "want 'applied N'");
     const auto seen = header_number(2, "seen");
     if (!seen || *seen < *applied) return error_in_line(3, "want 'seen N', N at least the applied number");
     const auto held = header_number(3, "held");
-    if (!held || *held != lines_.size() - kHeaderLines)
+    if (!held || *held != lines_.size() - kHeaderLines) {
       return error_in_line(4, "want 'held N', N the number of lines that follow");
-    if (*held > state_.max_out_of_order)
+    }
+    if (*held > state_.max_out_of_order) {
       return error_in_line(4, "holds more than the bound of " + std::to_string(state_.max_out_of_order));
+    }
     state_.applied = *applied;
     state_.highest_seen = *seen;
     return std::nullopt;
@@ -134,8 +140,9 @@
     const auto number = number_of<Sequence>(words[0]);
     const auto issued_ms = number_of<std::int64_t>(words[1]);
     if (!number || !issued_ms) return error_in_line(line, kWantCommand);
-    if (*number <= state_.applied || *number > state_.highest_seen || state_.out_of_order.contains(*number))
+    if (*number <= state_.applied || *number > state_.highest_seen || state_.out_of_order.contains(*number)) {
       return error_in_line(line, "number " + std::to_string(*number) + " is applied, unseen or twice");
+    }
     const auto selector = parse_selector(std::string(words[2]) + ":" + std::string(words[3]));
     if (const auto* error = std::get_if<SelectorError>(&selector)) return error_in_line(line, error->message);
     const InvalidationCommand command{*number, std::get<Selector>(selector), UnixMs{*issued_ms}};
