--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -57,7 +57,7 @@
 /// The listen address of the clients' side: GW_LISTEN, where set, else the key `listen`.
 std::string read_listen_address(const Fields& root, const Environment& environment) {
   const std::string from_variable = from_environment(environment, "GW_LISTEN");
-  const std::string address = from_variable.empty() ? root.text("listen") : from_variable;
+  std::string address = from_variable.empty() ? root.text("listen") : from_variable;
   check_address(from_variable.empty() ? "listen" : "GW_LISTEN", address);
   return address;
 }
@@ -65,7 +65,7 @@
 /// The admin address: GW_ADMIN_ADDR, where set, else the key `admin_addr`; empty: there is none.
 std::string read_admin_address(const Fields& root, const Environment& environment) {
   const std::string from_variable = from_environment(environment, "GW_ADMIN_ADDR");
-  const std::string address = from_variable.empty() ? root.text("admin_addr", "") : from_variable;
+  std::string address = from_variable.empty() ? root.text("admin_addr", "") : from_variable;
   if (!address.empty()) check_address(from_variable.empty() ? "admin_addr" : "GW_ADMIN_ADDR", address);
   return address;
 }
--- a/tests/simulator/session_test.cpp
+++ b/tests/simulator/session_test.cpp
@@ -42,7 +42,9 @@
   return "none";
 }
 
-TEST(SimulatorSession, AnEmptyBatchGetsAnEmptyReply) { EXPECT_EQ(reply({kClock, kEnd}), "{\"what\":\"done\"}\n"); }
+TEST(SimulatorSession, AnEmptyBatchGetsAnEmptyReply) {
+  EXPECT_EQ(reply({kClock, kEnd}), "{\"what\":\"done\"}\n");
+}
 
 TEST(SimulatorSession, ARequestIsSentToTheCacheWithTheOriginAsSource) {
   const std::string out = reply({kClock, kEnlist, kRegister, kRegistry, kRequest, kEnd});
