--- a/src/app/edge_proxy_main.cpp
+++ b/src/app/edge_proxy_main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The edge proxy: configuration, reducer and sockets wired together.
+// The edge proxy: configuration, reducer and event loop wired together.
 #include <csignal>
 #include <cstdio>
 #include <exception>
@@ -10,17 +10,27 @@
 
 extern char** environ;
 
+namespace {
+
+std::map<std::string, std::string> read_environment() {
+  std::map<std::string, std::string> variables;
+  for (char** entry = environ; *entry != nullptr; ++entry) {
+    const std::string text = *entry;
+    const std::size_t separator = text.find('=');
+    variables[text.substr(0, separator)] = separator == std::string::npos ? text : text.substr(separator + 1);
+  }
+  return variables;
+}
+
+}  // namespace
+
 int main() {
-  std::signal(SIGPIPE,
-              SIG_IGN);  // a peer that leaves while it is written to ends its connection, not the program
+  // A peer that leaves while it is written to ends its connection, not the program.
+  std::signal(SIGPIPE, SIG_IGN);
   try {
-    std::map<std::string, std::string> environment;
-    for (char** entry = environ; *entry != nullptr; ++entry) {
-      const std::string text = *entry;
-      environment[text.substr(0, text.find('='))] = text.substr(std::min(text.find('=') + 1, text.size()));
-    }
-    const auto load = [&environment] { return edge_proxy::config::load(environment); };
-    edge_proxy::event_loop::Server server(load(), load);
+    const std::map<std::string, std::string> environment = read_environment();
+    const auto load_config = [&environment] { return edge_proxy::config::load(environment); };
+    edge_proxy::event_loop::Server server(load_config(), load_config);
     server.run();
   } catch (const std::exception& problem) {
     std::fprintf(stderr, "edge-proxy: %s\n", problem.what());
--- a/src/event_loop/consensus_thread.h
+++ b/src/event_loop/consensus_thread.h
@@ -1,16 +1,17 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The policy's log on a thread of its own: it waits for the disk, the loop does not. Only where it is
-/// configured.
+/// The thread of the policy's Raft log: it waits for the disk so that the main loop does not. It runs only
+/// where a policy is configured.
 #pragma once
 
+#include <chrono>
 #include <condition_variable>
 #include <cstdint>
 #include <deque>
 #include <functional>
 #include <memory>
 #include <mutex>
-#include <string>
+#include <optional>
 #include <thread>
 
 #include "config/policy_config.h"
@@ -19,34 +20,37 @@
 
 namespace edge_proxy::event_loop {
 
+/// Queues consensus effects for the thread and brings its output back to the main loop.
 class ConsensusThread {
  public:
-  /// `told` is called on the main loop.
+  /// `on_output` is called on the main loop. `seed` goes into the random election timeouts.
   ConsensusThread(const config::PolicyConfig& config, std::uint64_t seed,
-                  std::function<void(proxy::ConsensusOutput)> told);
+                  std::function<void(proxy::ConsensusOutput)> on_output);
+  /// Waits for the thread to end.
   ~ConsensusThread();
   ConsensusThread(const ConsensusThread&) = delete;
   ConsensusThread& operator=(const ConsensusThread&) = delete;
 
+  /// Queues the effect; drops it where too many wait.
   void perform(const proxy::ConsensusEffect& effect);
 
  private:
-  using Task = std::function<void(consensus::RaftLog&, consensus::Time, proxy::ConsensusOutput&,
-                                  consensus::RaftLog::Output&)>;
-
   void run();
-  void deliver(proxy::ConsensusOutput out);
-  void push(Task work);
+  bool lock_folder(storage::SystemFolder& folder);
+  bool sleep_unless_stopping(std::chrono::milliseconds duration);
+  [[nodiscard]] consensus::RaftLog::Settings raft_settings() const;
+  std::optional<std::deque<proxy::ConsensusEffect>> wait_for_effects();
+  void deliver(proxy::ConsensusOutput output);
 
   const config::PolicyConfig config_;
   const std::uint64_t seed_;
   std::function<void(proxy::ConsensusOutput)> on_output_;
   std::mutex mutex_;
   std::condition_variable wake_;
-  std::deque<Task> tasks_;
-  bool stopping_ = false;
-  std::shared_ptr<ConsensusThread*>
-      is_alive_;  // what is on its way to the loop finds nothing once this has gone
+  std::deque<proxy::ConsensusEffect> queued_effects_;  ///< guarded by mutex_
+  bool stopping_ = false;                              ///< guarded by mutex_
+  /// Null once this object has gone; output that is on its way to the main loop is dropped then.
+  std::shared_ptr<ConsensusThread*> owner_;
   std::thread thread_;
 };
 
