--- a/src/event_loop/glib_ptr.h
+++ b/src/event_loop/glib_ptr.h
@@ -25,6 +25,13 @@
 /// Owns one reference to a main loop.
 using LoopPtr = std::unique_ptr<GMainLoop, LoopUnref>;
 
+/// Drops one reference to a GBytes.
+struct BytesUnref {
+  void operator()(GBytes* bytes) const { g_bytes_unref(bytes); }
+};
+/// Owns one reference to a GBytes.
+using BytesPtr = std::unique_ptr<GBytes, BytesUnref>;
+
 /// Owns the GError of the latest call that it was passed to.
 class Error {
  public:
--- a/src/event_loop/membership_store.cpp
+++ b/src/event_loop/membership_store.cpp
@@ -18,21 +18,34 @@
 namespace edge_proxy::event_loop {
 namespace {
 
-constexpr std::size_t kMostKept = 16 * 1024 * 1024;
-constexpr std::size_t kSumBytes = 8;
+constexpr std::size_t kMaxStoredBytes = 16 * 1024 * 1024;
+constexpr std::size_t kChecksumBytes = 8;
 
-std::string sum_of(std::string_view bytes) {
+std::string checksum_of(std::string_view bytes) {
   const XXH64_hash_t sum = XXH3_64bits(bytes.data(), bytes.size());
-  std::string out(kSumBytes, '\0');
-  std::memcpy(out.data(), &sum, kSumBytes);
+  std::string out(kChecksumBytes, '\0');
+  std::memcpy(out.data(), &sum, kChecksumBytes);
   return out;
 }
 
-std::uint64_t new_mark() {
+std::uint64_t new_disk_id() {
   std::random_device random;
   return (std::uint64_t{random()} << 32U | random()) | 1U;
 }
 
+/// False, with errno: the file is not on the disk.
+bool write_and_sync(const std::string& path, std::string_view bytes) {
+  const storage::FileDescriptor file(
+      ::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, storage::kFileMode));
+  if (!file.is_open()) return false;
+  while (!bytes.empty()) {
+    const ssize_t size = ::write(file.get(), bytes.data(), bytes.size());
+    if (size <= 0) return false;
+    bytes.remove_prefix(static_cast<std::size_t>(size));
+  }
+  return fsync(file.get()) == 0;
+}
+
 }  // namespace
 
 MembershipStore::MembershipStore(const std::string& folder, const std::string& name, std::string cluster,
@@ -43,24 +56,20 @@
       log_(std::move(log)),
       file_(path_, [this](const char* why) { log_(std::string("peers keep failed: ") + why); }) {}
 
-MembershipStore::~MembershipStore() {
-  if (locked_ >= 0) close(locked_);
-}
-
 bool MembershipStore::lock(std::string& why) {
-  if (locked_ >= 0) return true;
-  const int file = ::open((path_ + ".lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
-  if (file < 0) {
+  if (lock_.is_open()) return true;
+  storage::FileDescriptor file(
+      ::open((path_ + ".lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, storage::kFileMode));
+  if (!file.is_open()) {
     why = "can't open the folder: " + std::string(std::strerror(errno));
     return false;
   }
   // Guards against two processes that would be one member: the second waits until the first has gone.
-  if (flock(file, LOCK_EX | LOCK_NB) != 0) {
-    close(file);
+  if (flock(file.get(), LOCK_EX | LOCK_NB) != 0) {
     why = "another process uses the folder";
     return false;
   }
-  locked_ = file;
+  lock_ = std::move(file);
   return true;
 }
 
@@ -69,69 +78,64 @@
   if (!file) return std::nullopt;
   const std::string all(std::istreambuf_iterator<char>(file), {});
   if (all.empty()) return std::nullopt;
-  // Guards against a torn file and flipped bits: what is not whole is not used at all.
-  if (all.size() > kSumBytes && sum_of(std::string_view(all).substr(kSumBytes)) == all.substr(0, kSumBytes)) {
-    auto decoded = membership::decode(std::string_view(all).substr(kSumBytes), cluster_, kMostKept);
+  // Guards against a torn file and flipped bits: a file with a wrong checksum is not used at all.
+  if (all.size() > kChecksumBytes &&
+      checksum_of(std::string_view(all).substr(kChecksumBytes)) == all.substr(0, kChecksumBytes)) {
+    auto decoded =
+        membership::decode(std::string_view(all).substr(kChecksumBytes), cluster_, kMaxStoredBytes);
     if (auto* message = std::get_if<membership::Message>(&decoded)) return std::move(*message);
   }
   log_("peers kept file unreadable: starts as another member under its name");
   return std::nullopt;
 }
 
-std::string MembershipStore::text(const membership::MemberUpdate& self,
-                                  std::vector<membership::MemberUpdate> members) const {
-  membership::Message kept;
-  kept.kind = membership::MessageKind::full_sync;
-  kept.from = self;
-  kept.updates = std::move(members);
-  const std::string bytes = membership::encode(kept, cluster_);
-  return sum_of(bytes) + bytes;
+std::string MembershipStore::file_content(const membership::MemberUpdate& self,
+                                          std::vector<membership::MemberUpdate> members) const {
+  membership::Message stored;
+  stored.kind = membership::MessageKind::full_sync;
+  stored.from = self;
+  stored.updates = std::move(members);
+  const std::string bytes = membership::encode(stored, cluster_);
+  return checksum_of(bytes) + bytes;
 }
 
 std::optional<membership::Identity> MembershipStore::open(const membership::MemberUpdate& self,
                                                           std::string& why) {
   membership::Identity identity;
-  membership::MemberUpdate mine = self;
-  if (auto kept = read()) {
-    identity.disk_id = kept->from.disk_id;
-    identity.incarnation = ((kept->from.incarnation >> membership::kRefutationBits) + 1)
-                           << membership::kRefutationBits;
+  membership::MemberUpdate updated_self = self;
+  if (auto stored = read()) {
+    identity.disk_id = stored->from.disk_id;
+    const std::uint64_t epoch = stored->from.incarnation >> membership::kRefutationBits;
+    identity.incarnation = (epoch + 1) << membership::kRefutationBits;
     identity.is_new_disk = false;
-    identity.known_members = std::move(kept->updates);
+    identity.known_members = std::move(stored->updates);
   } else {
-    identity.disk_id = new_mark();
+    identity.disk_id = new_disk_id();
     identity.incarnation = membership::kEpochStep;
   }
-  mine.disk_id = identity.disk_id;
-  mine.incarnation = identity.incarnation;
-  if (!write_durably(text(mine, identity.known_members), why)) return std::nullopt;
+  updated_self.disk_id = identity.disk_id;
+  updated_self.incarnation = identity.incarnation;
+  if (!write_durably(file_content(updated_self, identity.known_members), why)) return std::nullopt;
   return identity;
 }
 
 bool MembershipStore::write_durably(const std::string& bytes, std::string& why) const {
-  const std::string beside = path_ + ".new";
-  const int file = ::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
-  bool good = file >= 0;
-  std::size_t written = 0;
-  while (good && written < bytes.size()) {
-    const ssize_t size = ::write(file, bytes.data() + written, bytes.size() - written);
-    good = size > 0;
-    if (good) written += static_cast<std::size_t>(size);
+  const std::string new_path = path_ + ".new";
+  if (!write_and_sync(new_path, bytes)) {
+    why = std::strerror(errno);
+    return false;
+  }
+  const storage::FileDescriptor folder(::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  if (std::rename(new_path.c_str(), path_.c_str()) != 0 || !folder.is_open() || fsync(folder.get()) != 0) {
+    why = std::strerror(errno);
+    return false;
   }
-  good = good && fsync(file) == 0;
-  if (!good) why = std::strerror(errno);
-  if (file >= 0) close(file);
-  if (!good) return false;
-  const int folder = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  good = std::rename(beside.c_str(), path_.c_str()) == 0 && folder >= 0 && fsync(folder) == 0;
-  if (!good) why = std::strerror(errno);
-  if (folder >= 0) close(folder);
-  return good;
+  return true;
 }
 
 void MembershipStore::persist(const membership::MemberUpdate& self,
                               std::vector<membership::MemberUpdate> members) {
-  file_.write(text(self, std::move(members)));
+  file_.write(file_content(self, std::move(members)));
 }
 
 }  // namespace edge_proxy::event_loop
--- a/src/event_loop/overrides_file.cpp
+++ b/src/event_loop/overrides_file.cpp
@@ -9,53 +9,65 @@
 
 namespace edge_proxy::event_loop {
 
-std::optional<OverridesFile::FileVersion> OverridesFile::version_of() const {
+namespace {
+
+constexpr std::int64_t kNanosecondsPerSecond = 1'000'000'000;
+
+}  // namespace
+
+std::optional<OverridesFile::FileVersion> OverridesFile::current_version() const {
   struct stat found {};
   if (path_.empty() || ::stat(path_.c_str(), &found) != 0 || !S_ISREG(found.st_mode)) return std::nullopt;
   return FileVersion{found.st_ino, found.st_size,
-                     std::int64_t{found.st_mtim.tv_sec} * 1'000'000'000 + found.st_mtim.tv_nsec};
+                     std::int64_t{found.st_mtim.tv_sec} * kNanosecondsPerSecond + found.st_mtim.tv_nsec};
 }
 
-OverridesFile::OverridesFile(const std::string& path, std::function<void(const char*)> failed)
-    : path_(path), on_failure_(std::move(failed)), file_(g_file_new_for_path(path.c_str())) {}
+OverridesFile::OverridesFile(const std::string& path, std::function<void(const char*)> on_failure)
+    : path_(path),
+      on_failure_(std::move(on_failure)),
+      file_(g_file_new_for_path(path.c_str())),
+      owner_(std::make_shared<OverridesFile*>(this)) {}
+
+OverridesFile::~OverridesFile() { *owner_ = nullptr; }
 
 std::optional<std::string> OverridesFile::read_if_new() {
-  // Guards what this process was told last, and has not written yet, against what the file still holds.
-  if (in_progress_) return std::nullopt;
-  const auto now = version_of();
-  if (!now || now == seen_version_) return std::nullopt;
+  // Guards overrides that were received last and are not written yet against what the file still holds.
+  if (write_in_progress_) return std::nullopt;
+  const auto version = current_version();
+  if (!version || version == seen_version_) return std::nullopt;
   std::ifstream file(path_, std::ios::binary);
   if (!file) return std::nullopt;
-  seen_version_ = now;
+  seen_version_ = version;
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
 void OverridesFile::write(std::string text) {
-  queued_ = std::move(text);
-  if (!in_progress_) start_write();
+  queued_text_ = std::move(text);
+  if (!write_in_progress_) start_write();
 }
 
 void OverridesFile::start_write() {
-  in_progress_ = true;
-  GBytes* bytes = g_bytes_new(queued_->data(), queued_->size());
-  queued_.reset();
-  // Replaced as a whole: guards whoever reads it meanwhile against half a file.
+  using Owner = std::shared_ptr<OverridesFile*>;
+  write_in_progress_ = true;
+  const BytesPtr bytes(g_bytes_new(queued_text_->data(), queued_text_->size()));
+  queued_text_.reset();
+  // Replaced atomically: guards concurrent readers against half a file.
   g_file_replace_contents_bytes_async(
-      file_.get(), bytes, nullptr, FALSE, G_FILE_CREATE_REPLACE_DESTINATION, nullptr,
-      [](GObject*, GAsyncResult* result, gpointer file) {
-        static_cast<OverridesFile*>(file)->on_written(result);
+      file_.get(), bytes.get(), nullptr, FALSE, G_FILE_CREATE_REPLACE_DESTINATION, nullptr,
+      [](GObject*, GAsyncResult* result, gpointer data) {
+        const std::unique_ptr<Owner> owner(static_cast<Owner*>(data));
+        if (**owner != nullptr) (**owner)->on_written(result);
       },
-      this);
-  g_bytes_unref(bytes);
+      new Owner(owner_));
 }
 
 void OverridesFile::on_written(GAsyncResult* result) {
   Error error;
   if (!g_file_replace_contents_finish(file_.get(), result, nullptr, error.out_ptr()))
     on_failure_(error.text());
-  in_progress_ = false;
-  seen_version_ = version_of();
-  if (queued_) start_write();
+  write_in_progress_ = false;
+  seen_version_ = current_version();
+  if (queued_text_) start_write();
 }
 
 }  // namespace edge_proxy::event_loop
--- a/src/event_loop/server.cpp
+++ b/src/event_loop/server.cpp
@@ -23,7 +23,7 @@
                          .on_accepted = [this](AcceptedSocket accepted) { on_accepted(std::move(accepted)); },
                          .on_descriptors_exhausted = [this] { handle(proxy::DescriptorsExhausted{}); },
                          .log = [this](const std::string& line) { perform(proxy::LogLine{line}); }}) {
-  if (overrides_file_.temporary_path())
+  if (overrides_file_.is_enabled())
     overrides_poll_source_ = call_every<&Server::load_overrides>(
         std::chrono::duration_cast<std::chrono::milliseconds>(proxy::kOverridesPollInterval), this);
   poll_source_ = watch_readable<&Server::poll>(poller_.descriptor(), this);
@@ -316,7 +316,7 @@
 void Server::perform(const proxy::StopAccepting&) { acceptor_.prefer_next_process(); }
 
 void Server::perform(const proxy::PersistOverrides& persist) {
-  if (overrides_file_.temporary_path()) overrides_file_.write(persist.overrides);
+  if (overrides_file_.is_enabled()) overrides_file_.write(persist.overrides);
 }
 
 void Server::perform(const proxy::MembershipEffect& effect) {
--- /dev/null
+++ b/src/storage/file_descriptor.h
@@ -0,0 +1,45 @@
+// SPDX-License-Identifier: MIT
+/// @file
+/// Ownership of file descriptors.
+#pragma once
+
+#include <sys/types.h>
+#include <unistd.h>
+
+#include <cerrno>
+#include <utility>
+
+namespace edge_proxy::storage {
+
+/// Of files that are created: the owner writes, all may read.
+constexpr mode_t kFileMode = 0644;
+
+/// Owns a file descriptor; errno survives its closing.
+class FileDescriptor {
+ public:
+  FileDescriptor() = default;
+  /// Takes over what open() has returned, an error (-1) too.
+  explicit FileDescriptor(int number) : number_(number) {}
+  FileDescriptor(const FileDescriptor&) = delete;
+  FileDescriptor& operator=(const FileDescriptor&) = delete;
+  FileDescriptor(FileDescriptor&& other) noexcept : number_(std::exchange(other.number_, kClosed)) {}
+  FileDescriptor& operator=(FileDescriptor&& other) noexcept {
+    std::swap(number_, other.number_);
+    return *this;
+  }
+  ~FileDescriptor() {
+    if (!is_open()) return;
+    const int saved_errno = errno;
+    close(number_);
+    errno = saved_errno;
+  }
+
+  [[nodiscard]] bool is_open() const { return number_ >= 0; }
+  [[nodiscard]] int get() const { return number_; }
+
+ private:
+  static constexpr int kClosed = -1;
+  int number_ = kClosed;
+};
+
+}  // namespace edge_proxy::storage
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -3,75 +3,128 @@
 
 #include <xxhash.h>
 
-#include <array>
+#include <algorithm>
 #include <cstring>
-#include <optional>
 
 namespace edge_proxy::storage {
 namespace {
 
-// A copy: length (4 bytes), number of the record (8), checksum of these two and of the bytes (8), the bytes.
-// Least significant byte first.
-constexpr std::size_t kHead = 20;
-
-void put(std::string& to, std::uint64_t value, int bytes) {
-  for (int i = 0; i < bytes; ++i) to.push_back(static_cast<char>(value >> (8 * i)));
+// One copy of a record: length, sequence number, checksum of these two and of the bytes, the bytes. Numbers
+// are stored least significant byte first.
+constexpr std::size_t kLengthBytes = 4;
+constexpr std::size_t kSequenceBytes = 8;
+constexpr std::size_t kChecksumBytes = 8;
+constexpr std::size_t kSequenceOffset = kLengthBytes;
+constexpr std::size_t kChecksumOffset = kSequenceOffset + kSequenceBytes;
+constexpr std::size_t kHeaderBytes = kChecksumOffset + kChecksumBytes;
+/// Sequence numbers this far ahead are taken for those of later records.
+constexpr std::uint64_t kMaxSequenceGap = std::uint64_t{1} << 20U;
+constexpr unsigned kBitsPerByte = 8;
+
+void append_number(std::string& bytes, std::uint64_t value, std::size_t width) {
+  for (std::size_t i = 0; i < width; ++i) bytes.push_back(static_cast<char>(value >> (kBitsPerByte * i)));
 }
-std::uint64_t get(std::string_view from, std::size_t at, int bytes) {
+
+std::uint64_t read_number(std::string_view bytes, std::size_t offset, std::size_t width) {
   std::uint64_t value = 0;
-  for (int i = bytes - 1; i >= 0; --i)
-    value = value << 8U | static_cast<unsigned char>(from[at + static_cast<std::size_t>(i)]);
+  for (std::size_t i = width; i > 0; --i)
+    value = value << kBitsPerByte | static_cast<unsigned char>(bytes[offset + i - 1]);
   return value;
 }
-std::uint64_t checksum(std::string_view head, std::string_view record) {
-  return XXH3_64bits_withSeed(record.data(), record.size(), XXH3_64bits(head.data(), 12));
+
+std::uint64_t checksum_of(std::string_view length_and_sequence, std::string_view record) {
+  const std::uint64_t seed = XXH3_64bits(length_and_sequence.data(), length_and_sequence.size());
+  return XXH3_64bits_withSeed(record.data(), record.size(), seed);
 }
 
-std::string copy_of(std::string_view record, std::uint64_t number) {
+std::string encode_copy(std::string_view record, std::uint64_t sequence) {
   std::string bytes;
-  put(bytes, record.size(), 4);
-  put(bytes, number, 8);
-  put(bytes, checksum(bytes, record), 8);
+  append_number(bytes, record.size(), kLengthBytes);
+  append_number(bytes, sequence, kSequenceBytes);
+  append_number(bytes, checksum_of(bytes, record), kChecksumBytes);
   return bytes.append(record);
 }
 
-/// The record of that number at that place; none where it is not whole, or not it.
-std::optional<std::string_view> read_copy(std::string_view text, std::size_t at, std::uint64_t number,
-                                          std::size_t most) {
-  if (at > text.size() || text.size() - at < kHead) return std::nullopt;
-  const std::size_t length = get(text, at, 4);
-  if (length > most || text.size() - at - kHead < length || get(text, at + 4, 8) != number)
+/// Reads copies of records out of the whole file.
+class CopyReader {
+ public:
+  CopyReader(std::string_view file, std::size_t max_record_bytes)
+      : file_(file), max_record_bytes_(max_record_bytes) {}
+
+  [[nodiscard]] std::size_t file_size() const { return file_.size(); }
+
+  /// The record of that sequence number whose copy begins at `offset`; none where there is no intact one.
+  [[nodiscard]] std::optional<std::string_view> copy_at(std::size_t offset, std::uint64_t sequence) const {
+    if (offset > file_.size() || file_.size() - offset < kHeaderBytes) return std::nullopt;
+    const std::string_view copy = file_.substr(offset);
+    const std::size_t length = read_number(copy, 0, kLengthBytes);
+    if (length > max_record_bytes_ || copy.size() - kHeaderBytes < length) return std::nullopt;
+    if (read_number(copy, kSequenceOffset, kSequenceBytes) != sequence) return std::nullopt;
+    const std::string_view record = copy.substr(kHeaderBytes, length);
+    const std::uint64_t checksum = checksum_of(copy.substr(0, kChecksumOffset), record);
+    if (read_number(copy, kChecksumOffset, kChecksumBytes) != checksum) return std::nullopt;
+    return record;
+  }
+
+  /// The record of which the first copy at `offset` is damaged, by its second copy. That one tells by itself
+  /// where it begins: as far behind the first as that is long.
+  [[nodiscard]] std::optional<std::string_view> intact_copy_behind(std::size_t offset,
+                                                                   std::uint64_t sequence) const {
+    for (std::size_t length = 0;
+         length <= max_record_bytes_ && offset + 2 * (kHeaderBytes + length) <= file_.size(); ++length) {
+      const auto record = copy_at(offset + kHeaderBytes + length, sequence);
+      if (record && record->size() == length) return record;
+    }
     return std::nullopt;
-  const std::string_view record = text.substr(at + kHead, length);
-  if (get(text, at + 12, 8) != checksum(text.substr(at, 12), record)) return std::nullopt;
-  return record;
-}
+  }
 
-/// Whether a whole copy of a later record stands anywhere behind that place.
-bool goes_on(std::string_view text, std::size_t from, std::uint64_t number, std::size_t most) {
-  for (std::size_t at = from; at + kHead <= text.size(); ++at) {
-    const std::uint64_t found = get(text, at + 4, 8);
-    if (found > number && found < number + (1U << 20U) && read_copy(text, at, found, most)) return true;
+  /// Whether an intact copy of a later record begins anywhere from `offset` on.
+  [[nodiscard]] bool has_later_record(std::size_t offset, std::uint64_t sequence) const {
+    for (std::size_t at = offset; at + kHeaderBytes <= file_.size(); ++at) {
+      const std::uint64_t found = read_number(file_, at + kSequenceOffset, kSequenceBytes);
+      if (found > sequence && found < sequence + kMaxSequenceGap && copy_at(at, found)) return true;
+    }
+    return false;
   }
-  return false;
+
+ private:
+  std::string_view file_;
+  std::size_t max_record_bytes_;
+};
+
+struct RecoveredRecord {
+  std::string_view record;
+  bool one_copy_damaged = false;
+};
+
+/// The record at `offset` by whichever copy is intact; none where neither is.
+std::optional<RecoveredRecord> recover_record(const CopyReader& reader, std::size_t offset,
+                                              std::uint64_t sequence) {
+  if (const auto first = reader.copy_at(offset, sequence)) {
+    const auto second = reader.copy_at(offset + kHeaderBytes + first->size(), sequence);
+    return RecoveredRecord{*first, !second.has_value()};
+  }
+  if (const auto second = reader.intact_copy_behind(offset, sequence)) return RecoveredRecord{*second, true};
+  return std::nullopt;
 }
 
 }  // namespace
 
-/// Each record twice, as it goes to the disk; none where one is too long.
-std::optional<std::string> Journal::framed(const std::vector<std::string>& records) {
+/// Both copies of each record, as they go to the disk; none where one is too long.
+std::optional<std::string> Journal::encode(const std::vector<std::string>& records) {
   std::string bytes;
   for (const std::string& record : records) {
-    if (record.size() > max_bytes_) {
-      fail("a record is too long", 0);
+    if (record.size() > max_record_bytes_) {
+      fail("a record is too long");
       return std::nullopt;
     }
-    const std::string copy = copy_of(record, next_sequence_++);
+    const std::string copy = encode_copy(record, next_sequence_++);
     bytes.append(copy).append(copy);
   }
   return bytes;
 }
 
+/// Always false. `error`: an errno, 0 for none.
 bool Journal::fail(const std::string& what, int error) {
   failed_ = true;
   file_.reset();
@@ -81,45 +134,32 @@
 
 bool Journal::open(std::vector<std::string>& records) {
   records.clear();
-  std::optional<std::string> text;
-  if (const int error = folder_.read(name_, text)) return fail("can't be read", error);
-  if (!text) return true;
-  const std::string_view all = *text;
-  std::size_t at = 0;
-  while (at < all.size()) {
-    std::optional<std::string_view> first = read_copy(all, at, next_sequence_, max_bytes_), second;
-    if (first) {
-      second = read_copy(all, at + kHead + first->size(), next_sequence_, max_bytes_);
-    } else {
-      // The second copy tells by itself where it begins: as far behind as the first is long.
-      for (std::size_t length = 0; !second && at + 2 * (kHead + length) <= all.size() && length <= max_bytes_;
-           ++length) {
-        second = read_copy(all, at + kHead + length, next_sequence_, max_bytes_);
-        if (second && second->size() != length) second.reset();
-      }
-    }
-    if (!first && !second) {
-      // Being written when all ended; unless there is more behind it: then it was durable and has been
-      // damaged.
-      if (goes_on(all, at + 1, next_sequence_, max_bytes_))
-        return fail("record " + std::to_string(next_sequence_) + " at byte " + std::to_string(at) +
-                        " is damaged in both copies",
-                    0);
-      break;
+  std::optional<std::string> content;
+  if (const int error = folder_.read(name_, content)) return fail("can't be read", error);
+  if (!content) return true;
+  const CopyReader reader(*content, max_record_bytes_);
+  std::size_t offset = 0;
+  while (offset < reader.file_size()) {
+    const auto recovered = recover_record(reader, offset, next_sequence_);
+    if (!recovered) {
+      // It was being written when the process or the machine ended; unless there is more behind it: then it
+      // was durable and has been damaged.
+      if (!reader.has_later_record(offset + 1, next_sequence_)) break;
+      return fail("record " + std::to_string(next_sequence_) + " at byte " + std::to_string(offset) +
+                  " is damaged in both copies");
     }
-    const std::size_t length = (first ? first : second)->size();
-    if (!first || !second) ++was_repaired_;
-    records.emplace_back(first ? *first : *second);
+    if (recovered->one_copy_damaged) ++repaired_records_;
+    records.emplace_back(recovered->record);
     ++next_sequence_;
-    at = std::min(all.size(), at + 2 * (kHead + length));
+    offset = std::min(reader.file_size(), offset + 2 * (kHeaderBytes + recovered->record.size()));
   }
-  // Written anew, whole: guards against the other copy's going bad as well.
-  if (was_repaired_ > 0) return replace(records);
-  if (const int error = folder_.extend(name_, at, file_)) return fail("can't be opened", error);
+  // Rewritten as a whole: guards against damage to the other copy as well.
+  if (repaired_records_ > 0) return replace(records);
+  if (const int error = folder_.extend(name_, offset, file_)) return fail("can't be opened", error);
   return true;
 }
 
-bool Journal::write_out(File& file, std::string_view bytes) {
+bool Journal::write_and_sync(File& file, std::string_view bytes) {
   while (!bytes.empty()) {
     std::size_t written = 0;
     if (const int error = file.write(bytes, written)) return fail("can't be written", error);
@@ -132,20 +172,20 @@
 bool Journal::append(const std::vector<std::string>& records) {
   if (failed_) return false;
   if (!file_) return replace(records);
-  const auto bytes = framed(records);
-  return bytes && write_out(*file_, *bytes);
+  const auto bytes = encode(records);
+  return bytes && write_and_sync(*file_, *bytes);
 }
 
 bool Journal::replace(const std::vector<std::string>& records) {
   if (failed_) return false;
   next_sequence_ = 0;
-  const auto bytes = framed(records);
+  const auto bytes = encode(records);
   if (!bytes) return false;
-  const std::string fresh = name_ + ".new";
+  const std::string new_name = name_ + ".new";
   std::unique_ptr<File> file;
-  if (const int error = folder_.create(fresh, file)) return fail("can't be made", error);
-  if (!write_out(*file, *bytes)) return false;
-  if (const int error = folder_.rename(fresh, name_)) return fail("can't be put in place", error);
+  if (const int error = folder_.create(new_name, file)) return fail("can't be made", error);
+  if (!write_and_sync(*file, *bytes)) return false;
+  if (const int error = folder_.rename(new_name, name_)) return fail("can't be put in place", error);
   if (const int error = folder_.sync()) return fail("is not on the disk", error);
   file_ = std::move(file);
   return true;
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Records in the order in which they were written, in one file: each is on the disk before its write is told
-/// to be done, each stands there twice with a checksum. docs/consensus.md, "Storage", says what it bears and
-/// why it is not a library's.
+/// An append-only file of records. Each record is on the disk before its write is reported as done, and
+/// stands there twice with a checksum. docs/consensus.md, "Storage", says which faults it survives and why it
+/// is not a library's.
 #pragma once
 
 #include <cstdint>
@@ -16,39 +16,41 @@
 
 namespace edge_proxy::storage {
 
+/// One journal; not thread-safe. After a failure nothing more is written: guards against taking a record for
+/// durable after a sync that failed.
 class Journal {
  public:
-  /// `most`: bytes of a record, at most.
-  Journal(Folder& folder, std::string name, std::size_t max_bytes)
-      : folder_(folder), name_(std::move(name)), max_bytes_(max_bytes) {}
+  /// `name`: of the file in `folder`. `max_record_bytes`: a longer record fails the journal.
+  Journal(Folder& folder, std::string name, std::size_t max_record_bytes)
+      : folder_(folder), name_(std::move(name)), max_record_bytes_(max_record_bytes) {}
 
-  /// All records, oldest first; none where there is no file yet: then the first write makes it. False: why()
-  /// says what is wrong, and nothing of it is to be used. A record at the very end that was being written
-  /// when the process or the machine ended is dropped: nobody was told that it is there.
+  /// Reads all records, oldest first; none where there is no file yet: then the first write creates it.
+  /// False: error() says what is wrong, and no record may be used. A record at the very end that was being
+  /// written when the process or the machine ended is dropped: its write was never reported as done.
   bool open(std::vector<std::string>& records);
-  /// Durable once this is true. False is for good: nothing more is written, guards against taking a record
-  /// for durable after a sync that failed.
+  /// True: the records are durable. False: the journal has failed for good.
   bool append(const std::vector<std::string>& records);
-  /// In place of all there is, at once or not at all.
+  /// Replaces the content atomically. False: the journal has failed for good.
   bool replace(const std::vector<std::string>& records);
 
   [[nodiscard]] bool failed() const { return failed_; }
+  /// Why it failed; empty before.
   [[nodiscard]] const std::string& error() const { return error_; }
-  /// Records of which one of the two copies was bad when it was opened.
-  [[nodiscard]] std::size_t was_repaired() const { return was_repaired_; }
+  /// Number of records of which open() found one of the two copies damaged.
+  [[nodiscard]] std::size_t was_repaired() const { return repaired_records_; }
 
  private:
-  std::optional<std::string> framed(const std::vector<std::string>& records);
-  bool write_out(File& file, std::string_view bytes);
-  bool fail(const std::string& what, int error);
+  std::optional<std::string> encode(const std::vector<std::string>& records);
+  bool write_and_sync(File& file, std::string_view bytes);
+  bool fail(const std::string& what, int error = 0);
 
   Folder& folder_;
-  std::string name_, error_;
-  std::size_t max_bytes_;
+  std::string name_;
+  std::string error_;
+  std::size_t max_record_bytes_;
   std::unique_ptr<File> file_;
-  std::uint64_t next_sequence_ =
-      0;  // number of the next record: guards against one that stands in a wrong place
-  std::size_t was_repaired_ = 0;
+  std::uint64_t next_sequence_ = 0;  ///< guards against a record that stands in a wrong place
+  std::size_t repaired_records_ = 0;
   bool failed_ = false;
 };
 
