--- a/src/event_loop/membership_sockets.cpp
+++ b/src/event_loop/membership_sockets.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 #include "event_loop/membership_sockets.h"
 
+#include <algorithm>
 #include <array>
 #include <chrono>
 
@@ -10,14 +11,21 @@
 namespace edge_proxy::event_loop {
 namespace {
 
-constexpr int kDatagramsAtOnce = 32;  // before the other sockets have their turn
+/// Read before the other sockets have their turn.
+constexpr int kDatagramsPerTurn = 32;
 /// Of the start, while another process still has the folder or the address.
 constexpr std::chrono::milliseconds kStartRetryInterval{100};
 /// From the begin of a stream to its end.
 constexpr std::chrono::milliseconds kStreamTimeout{3000};
-constexpr std::size_t kBytesOfMember = 320;  // in a whole exchange, at most
-constexpr std::size_t kReadAtOnce = 64 * 1024;
+/// Of one member in a full sync.
+constexpr std::size_t kMaxMemberBytes = 320;
+constexpr std::size_t kReadChunkBytes = 64 * 1024;
+constexpr std::size_t kDatagramBufferBytes = 16 * 1024;
+constexpr std::int64_t kMicrosecondsPerSecond = 1'000'000;
+/// For messages that came by datagram, or as the reply on a stream: they get none.
+constexpr std::uint64_t kNoReplyStream = 0;
 
+/// `host:port`.
 std::string text_of(GSocketAddress* address) {
   if (address == nullptr || !G_IS_INET_SOCKET_ADDRESS(address)) return "unknown";
   auto* inet = G_INET_SOCKET_ADDRESS(address);
@@ -29,24 +37,27 @@
 
 }  // namespace
 
+/// One full sync: the initiator writes then reads, the responder reads then writes.
 struct MembershipSockets::Stream {
   std::uint64_t id = 0;
   MembershipSockets* sockets = nullptr;
   ObjectPtr<GSocket> socket;
-  std::string from;
-  Source source, timeout;
-  bool asked_here = false;
+  std::string peer;  ///< its address, for errors
+  Source source;
+  Source timeout;
+  StreamRole role = StreamRole::responder;
   bool connecting = false;
   bool writing = false;
-  std::string in, out;
-  std::size_t sent = 0;
+  std::string input;
+  std::string output;
+  std::size_t written = 0;  ///< bytes of output
 };
 
-MembershipSockets::MembershipSockets(const config::MembershipConfig& config, Callbacks told)
+MembershipSockets::MembershipSockets(const config::MembershipConfig& config, Callbacks callbacks)
     : config_(config),
-      callbacks_(std::move(told)),
+      callbacks_(std::move(callbacks)),
       store_(config.folder, config.settings.name, config.settings.cluster, callbacks_.log) {
-  start_retry_ = call_every<&MembershipSockets::retry_start>(kStartRetryInterval, this);
+  start_retry_source_ = call_every<&MembershipSockets::retry_start>(kStartRetryInterval, this);
 }
 
 MembershipSockets::~MembershipSockets() = default;
@@ -60,14 +71,15 @@
   std::string why;
   std::optional<membership::Identity> identity;
   if (store_.lock(why) && bind(why)) {
-    const membership::Settings& s = config_.settings;
-    identity = store_.open({s.name, s.address, 0, 0, s.zone, membership::MemberStatus::alive, {}}, why);
+    const membership::Settings& settings = config_.settings;
+    identity = store_.open(
+        {settings.name, settings.address, 0, 0, settings.zone, membership::MemberStatus::alive, {}}, why);
   }
   if (!identity) {
     datagram_socket_.reset();
     listener_.reset();
-    if (why != waiting_for_) callbacks_.log("peers wait: " + why);
-    waiting_for_ = why;
+    if (why != logged_wait_reason_) callbacks_.log("peers wait: " + why);
+    logged_wait_reason_ = why;
     return;
   }
   read_source_ = watch_socket<&MembershipSockets::read_datagrams>(datagram_socket_.get(), G_IO_IN, this);
@@ -76,56 +88,63 @@
 }
 
 bool MembershipSockets::bind(std::string& why) {
-  const auto where = address_of(config_.listen_address);
   Error error;
-  const auto open = [&](GSocketType type, GSocketProtocol protocol) {
-    ObjectPtr<GSocket> socket(
-        where ? g_socket_new(g_socket_address_get_family(where.get()), type, protocol, error.out_ptr())
-              : nullptr);
-    if (!socket) return socket;
-    g_socket_set_blocking(socket.get(), FALSE);
-    // Streams may follow at an address at which old ones fade; two that bind at once are refused all the
-    // same.
-    if (!g_socket_bind(socket.get(), where.get(), type == G_SOCKET_TYPE_STREAM, error.out_ptr()))
-      socket.reset();
-    return socket;
-  };
-  datagram_socket_ = open(G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP);
-  if (datagram_socket_) listener_ = open(G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP);
+  datagram_socket_ = open_socket(G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP, error);
+  if (datagram_socket_) listener_ = open_socket(G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, error);
   if (datagram_socket_ && listener_ && g_socket_listen(listener_.get(), error.out_ptr())) return true;
   why = "can't listen on " + config_.listen_address + ": " + error.text();
   return false;
 }
 
+/// A non-blocking socket bound to the configured address; none, with `error`, where that fails.
+ObjectPtr<GSocket> MembershipSockets::open_socket(GSocketType type, GSocketProtocol protocol,
+                                                  Error& error) const {
+  const auto address = address_of(config_.listen_address);
+  if (!address) return nullptr;
+  ObjectPtr<GSocket> socket(
+      g_socket_new(g_socket_address_get_family(address.get()), type, protocol, error.out_ptr()));
+  if (!socket) return nullptr;
+  g_socket_set_blocking(socket.get(), FALSE);
+  // Streams may reuse an address at which old ones are in TIME_WAIT; two processes that bind it at once are
+  // rejected all the same.
+  const bool reuse_address = type == G_SOCKET_TYPE_STREAM;
+  if (!g_socket_bind(socket.get(), address.get(), reuse_address, error.out_ptr())) return nullptr;
+  return socket;
+}
+
 // ---- Datagrams ----
 
 void MembershipSockets::read_datagrams() {
-  std::array<char, 16 * 1024> buffer;
-  for (int i = 0; i < kDatagramsAtOnce && datagram_socket_; ++i) {
+  std::array<char, kDatagramBufferBytes> buffer;
+  for (int i = 0; i < kDatagramsPerTurn && datagram_socket_; ++i) {
     GSocketAddress* sender = nullptr;
     // One byte more than is allowed tells one that is too large.
-    const std::size_t room = std::min(buffer.size(), config_.settings.max_datagram_bytes + 1);
+    const std::size_t limit = std::min(buffer.size(), config_.settings.max_datagram_bytes + 1);
     const gssize size =
-        g_socket_receive_from(datagram_socket_.get(), &sender, buffer.data(), room, nullptr, nullptr);
+        g_socket_receive_from(datagram_socket_.get(), &sender, buffer.data(), limit, nullptr, nullptr);
     const ObjectPtr<GSocketAddress> from(sender);
     if (size < 0) return;
-    const std::int64_t second = g_get_monotonic_time() / 1'000'000;
-    if (second != std::exchange(second_, second)) datagrams_in_second_ = 0;
     // Guards the clients against a flood: what comes beyond the bound costs no more than its reading.
-    if (++datagrams_in_second_ > config_.max_datagrams_per_s) {
-      if (datagrams_in_second_ == config_.max_datagrams_per_s + 1)
-        callbacks_.log("peers flooded from=" + text_of(from.get()) + " more than " +
-                       std::to_string(config_.max_datagrams_per_s) + " a second");
-      continue;
-    }
+    if (exceeds_datagram_rate(from.get())) continue;
     on_bytes({buffer.data(), static_cast<std::size_t>(size)}, config_.settings.max_datagram_bytes,
-             text_of(from.get()), 0);
+             text_of(from.get()), kNoReplyStream);
   }
 }
 
-void MembershipSockets::on_bytes(std::string_view bytes, std::size_t most, const std::string& from,
+/// Counts one datagram; the first one beyond the bound in a second is logged.
+bool MembershipSockets::exceeds_datagram_rate(GSocketAddress* sender) {
+  const std::int64_t second = g_get_monotonic_time() / kMicrosecondsPerSecond;
+  if (second != std::exchange(rate_second_, second)) datagrams_in_second_ = 0;
+  if (++datagrams_in_second_ <= config_.max_datagrams_per_s) return false;
+  if (datagrams_in_second_ == config_.max_datagrams_per_s + 1)
+    callbacks_.log("peers flooded from=" + text_of(sender) + " more than " +
+                   std::to_string(config_.max_datagrams_per_s) + " a second");
+  return true;
+}
+
+void MembershipSockets::on_bytes(std::string_view bytes, std::size_t max_bytes, const std::string& from,
                                  std::uint64_t stream) {
-  auto decoded = membership::decode(bytes, config_.settings.cluster, most);
+  auto decoded = membership::decode(bytes, config_.settings.cluster, max_bytes);
   if (const auto* reason = std::get_if<membership::DecodeError>(&decoded)) {
     callbacks_.input(membership::MessageRejected{*reason, from});
     return;
@@ -134,118 +153,143 @@
 }
 
 void MembershipSockets::perform(const membership::SendDatagram& send) {
-  const auto where = address_of(send.address);
-  if (!datagram_socket_ || !where) return;
+  const auto address = address_of(send.address);
+  if (!datagram_socket_ || !address) return;
   const std::string bytes = membership::encode(send.message, config_.settings.cluster);
   // One that the system does not take is as good as lost on the way.
-  g_socket_send_to(datagram_socket_.get(), where.get(), bytes.data(), bytes.size(), nullptr, nullptr);
+  g_socket_send_to(datagram_socket_.get(), address.get(), bytes.data(), bytes.size(), nullptr, nullptr);
 }
 
 // ---- Streams ----
 
+bool MembershipSockets::has_stream_capacity() const {
+  return streams_.size() < static_cast<std::size_t>(config_.max_streams);
+}
+
+std::size_t MembershipSockets::max_sync_bytes() const {
+  const std::size_t max_entries = 2 * config_.settings.max_members + 2;
+  return std::max(max_entries * kMaxMemberBytes, config_.max_user_message_bytes);
+}
+
 void MembershipSockets::accept() {
   while (listener_) {
     ObjectPtr<GSocket> socket(g_socket_accept(listener_.get(), nullptr, nullptr));
     if (!socket) return;
-    // Guards the descriptors that clients and caches need: who comes beyond the bound asks again later.
-    if (streams_.size() >= static_cast<std::size_t>(config_.max_streams)) continue;
-    const ObjectPtr<GSocketAddress> from(g_socket_get_remote_address(socket.get(), nullptr));
-    add_stream(std::move(socket), false).from = text_of(from.get());
+    // Guards the descriptors that clients and caches need: a member beyond the bound tries again later.
+    if (!has_stream_capacity()) continue;
+    const ObjectPtr<GSocketAddress> peer(g_socket_get_remote_address(socket.get(), nullptr));
+    Stream& stream = add_stream(std::move(socket), text_of(peer.get()), StreamRole::responder);
+    watch(stream);
   }
 }
 
-void MembershipSockets::perform(const membership::SendFullSync& exchange) {
-  const auto where = address_of(exchange.address);
-  if (!datagram_socket_ || !where || streams_.size() >= static_cast<std::size_t>(config_.max_streams)) return;
+void MembershipSockets::perform(const membership::SendFullSync& sync) {
+  const auto address = address_of(sync.address);
+  if (!datagram_socket_ || !address || !has_stream_capacity()) return;
   ObjectPtr<GSocket> socket(
       g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, nullptr));
   if (!socket) return;
   g_socket_set_blocking(socket.get(), FALSE);
   Error error;
-  if (!g_socket_connect(socket.get(), where.get(), nullptr, error.out_ptr()) &&
+  if (!g_socket_connect(socket.get(), address.get(), nullptr, error.out_ptr()) &&
       !error.matches(G_IO_ERROR_PENDING))
     return;
-  Stream& stream = add_stream(std::move(socket), true);
-  stream.from = exchange.address;
-  stream.out = membership::encode(exchange.message, config_.settings.cluster);
+  Stream& stream = add_stream(std::move(socket), sync.address, StreamRole::initiator);
+  stream.connecting = true;
+  stream.writing = true;
+  stream.output = membership::encode(sync.message, config_.settings.cluster);
   watch(stream);
 }
 
-void MembershipSockets::perform(const membership::FullSyncReply& answer) {
-  const auto found = streams_.find(answer.stream);
+void MembershipSockets::perform(const membership::FullSyncReply& reply) {
+  const auto found = streams_.find(reply.stream);
   if (found == streams_.end()) return;
   Stream& stream = *found->second;
-  stream.out = membership::encode(answer.message, config_.settings.cluster);
+  stream.output = membership::encode(reply.message, config_.settings.cluster);
   stream.writing = true;
   watch(stream);
 }
 
-MembershipSockets::Stream& MembershipSockets::add_stream(ObjectPtr<GSocket> socket, bool is_initiator) {
+MembershipSockets::Stream& MembershipSockets::add_stream(ObjectPtr<GSocket> socket, std::string peer,
+                                                         StreamRole role) {
   g_socket_set_blocking(socket.get(), FALSE);
   auto stream = std::make_unique<Stream>();
-  stream->id = ++last_stream_;
+  stream->id = ++last_stream_id_;
   stream->sockets = this;
   stream->socket = std::move(socket);
-  stream->asked_here = stream->connecting = stream->writing = is_initiator;
-  // Guards the bound on streams against those that say nothing.
+  stream->peer = std::move(peer);
+  stream->role = role;
+  // Guards the bound on streams against those that send nothing.
   stream->timeout = call_every<[](Stream* late) {
     late->sockets->close_stream(late->id);
     return SourceAction::remove;
   }>(kStreamTimeout, stream.get());
-  Stream& adopted = *stream;
-  streams_[adopted.id] = std::move(stream);
-  if (!is_initiator) watch(adopted);
-  return adopted;
+  Stream& added = *stream;
+  streams_[added.id] = std::move(stream);
+  return added;
 }
 
 void MembershipSockets::watch(Stream& stream) {
-  stream.source = watch_socket<[](Stream* ready) {
-    MembershipSockets* sockets = ready->sockets;
-    const std::uint64_t id = ready->id;
-    if (!sockets->on_stream_ready(*ready)) sockets->close_stream(id);
-  }>(stream.socket.get(), stream.writing ? G_IO_OUT : G_IO_IN, &stream);
+  stream.source = watch_socket<[](Stream* ready) { ready->sockets->on_stream_event(ready->id); }>(
+      stream.socket.get(), stream.writing ? G_IO_OUT : G_IO_IN, &stream);
+}
+
+void MembershipSockets::on_stream_event(std::uint64_t id) {
+  const auto found = streams_.find(id);
+  if (found == streams_.end()) return;
+  if (on_stream_ready(*found->second) == StreamState::finished) close_stream(id);
 }
 
-/// False: the stream is over.
-bool MembershipSockets::on_stream_ready(Stream& stream) {
+MembershipSockets::StreamState MembershipSockets::on_stream_ready(Stream& stream) {
+  if (std::exchange(stream.connecting, false)) {
+    Error error;
+    if (!g_socket_check_connect_result(stream.socket.get(), error.out_ptr())) return StreamState::finished;
+  }
+  return stream.writing ? write_stream(stream) : read_stream(stream);
+}
+
+MembershipSockets::StreamState MembershipSockets::write_stream(Stream& stream) {
   Error error;
-  if (std::exchange(stream.connecting, false) &&
-      !g_socket_check_connect_result(stream.socket.get(), error.out_ptr()))
-    return false;
-  if (stream.writing) {
-    while (stream.sent < stream.out.size()) {
-      const gssize size = g_socket_send(stream.socket.get(), stream.out.data() + stream.sent,
-                                        stream.out.size() - stream.sent, nullptr, error.out_ptr());
-      if (size < 0) return error.matches(G_IO_ERROR_WOULD_BLOCK);
-      stream.sent += static_cast<std::size_t>(size);
-    }
-    g_socket_shutdown(stream.socket.get(), FALSE, TRUE, nullptr);
-    if (!stream.asked_here) return false;
-    stream.writing = false;
-    watch(stream);
-    return true;
+  while (stream.written < stream.output.size()) {
+    const gssize size = g_socket_send(stream.socket.get(), stream.output.data() + stream.written,
+                                      stream.output.size() - stream.written, nullptr, error.out_ptr());
+    if (size < 0) return error.matches(G_IO_ERROR_WOULD_BLOCK) ? StreamState::open : StreamState::finished;
+    stream.written += static_cast<std::size_t>(size);
   }
-  const std::size_t most =
-      std::max((2 * config_.settings.max_members + 2) * kBytesOfMember, config_.max_user_message_bytes);
-  std::array<char, kReadAtOnce> buffer;
+  g_socket_shutdown(stream.socket.get(), FALSE, TRUE, nullptr);
+  if (stream.role == StreamRole::responder) return StreamState::finished;
+  stream.writing = false;
+  watch(stream);
+  return StreamState::open;
+}
+
+MembershipSockets::StreamState MembershipSockets::read_stream(Stream& stream) {
+  Error error;
+  std::array<char, kReadChunkBytes> buffer;
   while (true) {
     const gssize size =
         g_socket_receive(stream.socket.get(), buffer.data(), buffer.size(), nullptr, error.out_ptr());
-    if (size < 0) return error.matches(G_IO_ERROR_WOULD_BLOCK);
+    if (size < 0) return error.matches(G_IO_ERROR_WOULD_BLOCK) ? StreamState::open : StreamState::finished;
     if (size == 0) break;
-    stream.in.append(buffer.data(), static_cast<std::size_t>(size));
-    if (stream.in.size() > most) break;
+    stream.input.append(buffer.data(), static_cast<std::size_t>(size));
+    if (stream.input.size() > max_sync_bytes()) break;  // the codec rejects it
   }
+  return on_stream_read(stream);
+}
+
+MembershipSockets::StreamState MembershipSockets::on_stream_read(Stream& stream) {
   const std::uint64_t id = stream.id;
-  const bool asked_here = stream.asked_here;
-  // To what was carried there is no answer.
-  if (asked_here && stream.in.empty()) return false;
+  const bool is_initiator = stream.role == StreamRole::initiator;
+  // User messages get no reply.
+  if (is_initiator && stream.input.empty()) return StreamState::finished;
   stream.source.reset();
-  const std::string bytes = std::move(stream.in);
-  on_bytes(bytes, most, stream.from, asked_here ? 0 : id);
-  // An answer that is owed is being written now.
+  const std::string bytes = std::move(stream.input);
+  const std::string peer = stream.peer;  // the reducer may close the stream
+  on_bytes(bytes, max_sync_bytes(), peer, is_initiator ? kNoReplyStream : id);
+  if (is_initiator) return StreamState::finished;
   const auto found = streams_.find(id);
-  return found != streams_.end() && !asked_here && found->second->writing;
+  const bool writes_reply = found != streams_.end() && found->second->writing;
+  return writes_reply ? StreamState::open : StreamState::finished;
 }
 
 void MembershipSockets::close_stream(std::uint64_t stream) { streams_.erase(stream); }
@@ -256,7 +300,7 @@
 }
 
 void MembershipSockets::stop() {
-  start_retry_.reset();
+  start_retry_source_.reset();
   read_source_.reset();
   accept_source_.reset();
   streams_.clear();
--- a/src/event_loop/membership_sockets.h
+++ b/src/event_loop/membership_sockets.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The peers' sockets: datagrams for probes and gossip, one stream for each whole exchange. Bytes in both
-/// ways are messages of membership/codec.h; a stream carries one message each way, ended by the end of the
+/// The sockets of SWIM membership: datagrams for pings and gossip, one TCP stream for each full sync. The
+/// bytes are messages of membership/codec.h; a stream carries one message each way, ended by the end of the
 /// stream.
 #pragma once
 
@@ -12,6 +12,8 @@
 #include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
+#include <vector>
 
 #include "config/membership_config.h"
 #include "event_loop/glib_ptr.h"
@@ -21,48 +23,67 @@
 
 namespace edge_proxy::event_loop {
 
+/// Binds once the folder and the address are free, then turns received messages into inputs and performs the
+/// effects of membership. Rate, number and size of what it takes from others are bounded.
 class MembershipSockets {
  public:
   struct Callbacks {
-    std::function<void(membership::Identity)> ready;  ///< it is bound and its identity is on the disk
+    /// The sockets are bound and the new identity is on the disk.
+    std::function<void(membership::Identity)> ready;
     std::function<void(membership::Input)> input;
     std::function<void(const std::string&)> log;
   };
-  MembershipSockets(const config::MembershipConfig& config, Callbacks told);
+  MembershipSockets(const config::MembershipConfig& config, Callbacks callbacks);
   ~MembershipSockets();
   MembershipSockets(const MembershipSockets&) = delete;
   MembershipSockets& operator=(const MembershipSockets&) = delete;
 
   void perform(const membership::SendDatagram& send);
-  void perform(const membership::SendFullSync& exchange);
-  void perform(const membership::FullSyncReply& answer);
+  void perform(const membership::SendFullSync& sync);
+  void perform(const membership::FullSyncReply& reply);
+  /// Writes identity and known members in the background.
   void persist(const membership::MemberUpdate& self, std::vector<membership::MemberUpdate> members);
-  /// Nothing comes or goes any more.
+  /// Closes all sockets.
   void stop();
 
  private:
   struct Stream;
+  enum class StreamRole { initiator, responder };
+  /// Whether a stream is still needed after a callback.
+  enum class StreamState { open, finished };
 
   SourceAction retry_start();
   void try_to_start();
-  bool bind(std::string& why);
+  [[nodiscard]] bool bind(std::string& why);
+  [[nodiscard]] ObjectPtr<GSocket> open_socket(GSocketType type, GSocketProtocol protocol,
+                                               Error& error) const;
   void read_datagrams();
+  [[nodiscard]] bool exceeds_datagram_rate(GSocketAddress* sender);
   void accept();
-  Stream& add_stream(ObjectPtr<GSocket> socket, bool is_initiator);
+  [[nodiscard]] bool has_stream_capacity() const;
+  [[nodiscard]] std::size_t max_sync_bytes() const;
+  Stream& add_stream(ObjectPtr<GSocket> socket, std::string peer, StreamRole role);
   void watch(Stream& stream);
-  bool on_stream_ready(Stream& stream);
+  void on_stream_event(std::uint64_t id);
+  StreamState on_stream_ready(Stream& stream);
+  StreamState write_stream(Stream& stream);
+  StreamState read_stream(Stream& stream);
+  StreamState on_stream_read(Stream& stream);
   void close_stream(std::uint64_t stream);
-  void on_bytes(std::string_view bytes, std::size_t most, const std::string& from, std::uint64_t stream);
+  void on_bytes(std::string_view bytes, std::size_t max_bytes, const std::string& from, std::uint64_t stream);
 
   const config::MembershipConfig config_;
   Callbacks callbacks_;
   MembershipStore store_;
-  ObjectPtr<GSocket> datagram_socket_, listener_;
-  Source read_source_, accept_source_, start_retry_;
-  std::string waiting_for_;  // as it was logged last
+  ObjectPtr<GSocket> datagram_socket_;
+  ObjectPtr<GSocket> listener_;
+  Source read_source_;
+  Source accept_source_;
+  Source start_retry_source_;
+  std::string logged_wait_reason_;  ///< why it can't start yet
   std::map<std::uint64_t, std::unique_ptr<Stream>> streams_;
-  std::uint64_t last_stream_ = 0;
-  std::int64_t second_ = 0;
+  std::uint64_t last_stream_id_ = 0;
+  std::int64_t rate_second_ = 0;  ///< of the monotonic clock, in which datagrams are counted
   int datagrams_in_second_ = 0;
 };
 
