--- a/src/consensus/debug_state.cpp
+++ b/src/consensus/debug_state.cpp
@@ -41,7 +41,7 @@
   for (const auto& [number, at] : lease_.requested_at())
     text += " q" + std::to_string(lease_.newest_request() - number) + ":" + left(at + settings_.lease);
   text += " l" + leader_ + (is_voter_ ? "V" : "") + " a" + left(next_lease_request_) + " p" +
-          left(next_catch_up_) + " k" + left(next_call_) + "/" + std::to_string(pending_calls_.size());
+          left(next_catch_up_) + " k" + left(next_call_retry_) + "/" + std::to_string(pending_calls_.size());
   if (lease_manager_) text += " {" + lease_manager_->debug_state(now_, newest) + "}";
   return text;
 }
--- a/src/consensus/reducer.cpp
+++ b/src/consensus/reducer.cpp
@@ -7,24 +7,38 @@
 namespace edge_proxy::consensus {
 namespace {
 
-constexpr std::size_t kRecent = 256;       // entries kept for those who pull
-constexpr std::size_t kPulledAtOnce = 16;  // entries in one answer
-constexpr std::size_t kMostCalls = 16;     // operators' calls that wait
-constexpr std::size_t kMostKey = 64;
+constexpr std::size_t kMaxRecentEntries = 256;  // kept for members that catch up
+constexpr std::size_t kMaxEntriesPerResponse = 16;
+constexpr std::size_t kMaxPendingCalls = 16;  // of operators
+constexpr std::size_t kMaxKeyBytes = 64;
+// Without a lease, requests without an answer after which the leader is taken for unknown.
+constexpr std::uint64_t kRequestsBeforeLeaderUnknown = 4;
+// One of so many catch-up requests goes to the leader, the others to any member.
+constexpr std::uint64_t kLeaderCatchUpInterval = 3;
+
+// Statuses of HTTP, for operators.
+constexpr int kOk = 200;
+constexpr int kAccepted = 202;
+constexpr int kBadRequest = 400;
+constexpr int kNotFound = 404;
+constexpr int kConflict = 409;
+constexpr int kContentTooLarge = 413;
+constexpr int kUnprocessable = 422;
+constexpr int kUnavailable = 503;
 
 }  // namespace
 
-State::State(Settings settings, std::uint64_t first, std::uint64_t seed, Time now)
+State::State(Settings settings, std::uint64_t first_request, std::uint64_t seed, Time now)
     : settings_(std::move(settings)),
       now_(now),
-      lease_(first),
+      lease_(first_request),
       next_lease_request_(now),
       next_catch_up_(now),
       catch_up_turn_(seed) {}
 
 std::vector<Effect> State::handle(Time now, const Input& input) {
   now_ = std::max(now_, now);
-  // First of all: guards against deciding on after a standstill in which the lease ran out.
+  // First of all: guards against deciding on after a pause of the process in which the lease expired.
   report_decision();
   std::visit([this](const auto& in) { on(in); }, input);
   run_timers();
@@ -41,7 +55,7 @@
 Time State::next_due() const {
   Time due = next_lease_request_;
   if (newest_index_ > state_machine_.index()) due = std::min(due, next_catch_up_);
-  if (!pending_calls_.empty()) due = std::min(due, next_call_);
+  if (!pending_calls_.empty()) due = std::min(due, next_call_retry_);
   if (lease_.held_epoch(now_)) due = std::min(due, lease_.expires_at());
   if (lease_manager_) due = std::min(due, lease_manager_->next_due(now_));
   return due;
@@ -49,8 +63,8 @@
 
 std::optional<Epoch> State::decision_epoch(Time now) const {
   if (const auto held = lease_.held_epoch(now)) return held;
-  // Where the operators chose so: the last epoch that is known goes on, and the promise is broken.
-  if (settings_.serve_when_partitioned && ever_told_) return state_machine_.epoch();
+  // Where the operators chose so: the last known epoch goes on, and the invariant may be broken.
+  if (settings_.serve_when_partitioned && ever_reported_decision_) return state_machine_.epoch();
   return std::nullopt;
 }
 
@@ -67,10 +81,10 @@
   if (in.index <= before) return;
   if (in.entry) {
     state_machine_.apply(in.index, *in.entry);
-    recent_.emplace_back(in.index, *in.entry);
-    if (recent_.size() > kRecent) {
-      recent_from_ = recent_.front().first;
-      recent_.pop_front();
+    recent_entries_.emplace_back(in.index, *in.entry);
+    if (recent_entries_.size() > kMaxRecentEntries) {
+      recent_after_index_ = recent_entries_.front().first;
+      recent_entries_.pop_front();
     }
   } else {
     state_machine_.advance_to(in.index);
@@ -82,43 +96,56 @@
   const Index before = state_machine_.index();
   if (in.whole.index <= before) return;
   state_machine_ = PolicyStateMachine(in.whole);
-  recent_.clear();
-  recent_from_ = in.whole.index;
+  recent_entries_.clear();
+  recent_after_index_ = in.whole.index;
   on_log_advanced(before);
 }
 
 void State::on_log_advanced(Index before) {
   newest_index_ = std::max(newest_index_, state_machine_.index());
   const auto& change = state_machine_.change();
-  if (change && checked_change_ != change->id) {
-    checked_change_ = change->id;
-    unsupported_reason_ = settings_.check_policy ? settings_.check_policy(change->policy) : std::nullopt;
-    log("policy proposed key=" + change->key + " epoch=" + std::to_string(change->epoch) +
-        (unsupported_reason_ ? " unfit: " + *unsupported_reason_ : ""));
-    next_lease_request_ = now_;
-  }
+  if (change && checked_change_ != change->id) check_proposed_change(*change);
   if (change && change->committed && change->id <= before)
     log("policy committed key=" + change->key + " epoch=" + std::to_string(change->epoch));
-  if (!change && checked_change_ != 0) {
-    const Snapshot whole = state_machine_.snapshot();
-    const ChangeOutcome* last = whole.outcomes.empty() ? nullptr : &whole.outcomes.back();
-    const bool active = last == nullptr || last->result == ChangeResult::active;
-    ++(active ? counters_.epoch_changes : counters_.aborts);
-    log(active
-            ? "policy active key=" + state_machine_.key() + " epoch=" + std::to_string(state_machine_.epoch())
-            : "policy aborted key=" + last->key + ": " + last->reason);
-    checked_change_ = 0;
-    unsupported_reason_.reset();
-  }
-  // Guards against an epoch that is over, should clocks go beyond the bound on their drift.
-  if (lease_.held_epoch(now_) && lease_.epoch() != state_machine_.epoch()) {
-    log("policy lease on epoch=" + std::to_string(lease_.epoch()) +
-        " outlived it: clocks drift beyond the bound");
-    lease_.revoke();
-  }
+  if (!change && checked_change_ != 0) report_finished_change();
+  revoke_outlived_lease();
   answer_finished_calls();
 }
 
+/// Whether this proxy can run it goes with its next lease request, which is due now.
+void State::check_proposed_change(const Change& change) {
+  checked_change_ = change.id;
+  unsupported_reason_ = check_policy(change.policy);
+  log("policy proposed key=" + change.key + " epoch=" + std::to_string(change.epoch) +
+      (unsupported_reason_ ? " unfit: " + *unsupported_reason_ : ""));
+  next_lease_request_ = now_;
+}
+
+void State::report_finished_change() {
+  const std::vector<ChangeOutcome> outcomes = state_machine_.snapshot().outcomes;
+  if (outcomes.empty() || outcomes.back().result == ChangeResult::active) {
+    ++counters_.epoch_changes;
+    log("policy active key=" + state_machine_.key() + " epoch=" + std::to_string(state_machine_.epoch()));
+  } else {
+    ++counters_.aborts;
+    log("policy aborted key=" + outcomes.back().key + ": " + outcomes.back().reason);
+  }
+  checked_change_ = 0;
+  unsupported_reason_.reset();
+}
+
+/// Guards against an epoch that is over, should clocks go beyond the bound on their drift.
+void State::revoke_outlived_lease() {
+  if (!lease_.held_epoch(now_) || lease_.epoch() == state_machine_.epoch()) return;
+  log("policy lease on epoch=" + std::to_string(lease_.epoch()) +
+      " outlived it: clocks drift beyond the bound");
+  lease_.revoke();
+}
+
+std::optional<std::string> State::check_policy(const std::string& policy) const {
+  return settings_.check_policy ? settings_.check_policy(policy) : std::nullopt;
+}
+
 void State::on(const BecameLeader& in) {
   lease_manager_.emplace(settings_, in.term, in.voters, now_);
   leader_ = settings_.name;
@@ -159,7 +186,7 @@
 }
 void State::on_message(const std::string&, const ProposeRequest& message) {
   if (message.policy.size() > settings_.max_policy_bytes || message.key.empty() ||
-      message.key.size() > kMostKey)
+      message.key.size() > kMaxKeyBytes)
     return;
   with_lease_manager(
       [&](LeaderActions& actions) { lease_manager_->on_propose_request(message, state_machine_, actions); });
@@ -191,7 +218,7 @@
 void State::on_message(const std::string& from, const LeaseRevocation& message) {
   if (!lease_manager_) leader_ = from;
   if (lease_.epoch() == message.epoch || !lease_.held_epoch(now_)) lease_.revoke();
-  // Guards the promise: only what was given up for certain is said to be.
+  // Guards the invariant: only a lease that is certainly given up is acknowledged.
   if (!lease_.held_epoch(now_)) send(from, LeaseRevocationAck{message.term, message.epoch});
   next_lease_request_ = std::min(next_lease_request_, now_ + settings_.urgent_interval);
 }
@@ -206,20 +233,20 @@
 
 void State::on_message(const std::string& from, const CatchUpRequest& message) {
   if (message.after_index >= state_machine_.index()) return;
-  if (message.after_index < recent_from_) {
+  if (message.after_index < recent_after_index_) {
     send(from, state_machine_.snapshot());
     return;
   }
-  CatchUpResponse pulled{message.after_index, state_machine_.index(), {}};
-  for (const auto& [index, entry] : recent_) {
+  CatchUpResponse response{message.after_index, state_machine_.index(), {}};
+  for (const auto& [index, entry] : recent_entries_) {
     if (index <= message.after_index) continue;
-    if (pulled.entries.size() == kPulledAtOnce) {
-      pulled.up_to_index = pulled.entries.back().first;
+    if (response.entries.size() == kMaxEntriesPerResponse) {
+      response.up_to_index = response.entries.back().first;
       break;
     }
-    pulled.entries.emplace_back(index, entry);
+    response.entries.emplace_back(index, entry);
   }
-  send(from, std::move(pulled));
+  send(from, std::move(response));
 }
 
 void State::on_message(const std::string&, const CatchUpResponse& message) {
@@ -235,7 +262,7 @@
 }
 
 /// The leader, where it is known; else one of the voters after the other.
-std::string State::next_catch_up_source() {
+std::string State::leader_or_next_voter() {
   if (lease_manager_) return settings_.name;
   if (!leader_.empty()) return leader_;
   if (settings_.voters.empty()) return {};
@@ -245,9 +272,10 @@
 void State::request_lease() {
   const bool held = lease_.held_epoch(now_).has_value();
   next_lease_request_ = now_ + (is_urgent() ? settings_.urgent_interval : settings_.renew_interval);
-  // One that answers nothing may lead no more.
-  if (!held && !lease_manager_ && !is_voter_ && ++unheard_ % 4 == 0) leader_.clear();
-  const std::string to = next_catch_up_source();
+  // A leader that answers nothing may lead no more.
+  if (!held && !lease_manager_ && !is_voter_ && ++unanswered_requests_ % kRequestsBeforeLeaderUnknown == 0)
+    leader_.clear();
+  const std::string to = leader_or_next_voter();
   if (to.empty()) return;
   ++counters_.lease_requests;
   send(to, LeaseRequest{lease_.new_request(now_)});
@@ -259,13 +287,15 @@
 void State::request_catch_up() {
   next_catch_up_ = now_ + settings_.urgent_interval;
   // Mostly from any member: guards the voters against work that grows with the fleet.
-  std::vector<std::string> from;
-  for (const auto& [name, reached] : members_) {
-    if (reached && name != settings_.name) from.push_back(name);
+  std::vector<std::string> sources;
+  for (const auto& [name, is_reached] : members_) {
+    if (is_reached && name != settings_.name) sources.push_back(name);
   }
-  // All of them by turns, by a count of its own: guards against two that only ever ask each other.
+  // All of them in turn, by a counter of its own: guards against two members that only ever ask each other.
   const std::uint64_t turn = catch_up_turn_++;
-  const std::string to = from.empty() || turn % 3 == 2 ? next_catch_up_source() : from[turn % from.size()];
+  const std::string to = sources.empty() || turn % kLeaderCatchUpInterval == kLeaderCatchUpInterval - 1
+                             ? leader_or_next_voter()
+                             : sources[turn % sources.size()];
   if (!to.empty() && to != settings_.name) send(to, CatchUpRequest{state_machine_.index()});
 }
 
@@ -274,93 +304,105 @@
       [&](LeaderActions& actions) { lease_manager_->advance(state_machine_, members_, now_, actions); });
   if (next_lease_request_ <= now_) request_lease();
   if (!is_voter_ && newest_index_ > state_machine_.index() && next_catch_up_ <= now_) request_catch_up();
-  if (!pending_calls_.empty() && next_call_ <= now_) {
-    next_call_ = now_ + settings_.urgent_interval;
-    answer_finished_calls();
-    for (const auto& [id, call] : pending_calls_) {
-      if (const std::string to = next_catch_up_source(); !to.empty())
-        send(to, ProposeRequest{call.key, call.base_epoch, call.policy});
-    }
+  if (!pending_calls_.empty() && next_call_retry_ <= now_) retry_pending_calls();
+}
+
+void State::retry_pending_calls() {
+  next_call_retry_ = now_ + settings_.urgent_interval;
+  answer_finished_calls();
+  for (const auto& [id, call] : pending_calls_) {
+    if (const std::string to = leader_or_next_voter(); !to.empty())
+      send(to, ProposeRequest{call.key, call.base_epoch, call.policy});
   }
 }
 
 void State::report_decision() {
-  const auto now = decision_epoch(now_);
-  const bool broken = now && !lease_.held_epoch(now_);
-  if (broken && !lost_leases_) {
+  const auto epoch = decision_epoch(now_);
+  track_decisions_without_lease(epoch);
+  if (ever_reported_decision_ && epoch == reported_decision_) return;
+  if (!epoch && !ever_reported_decision_) return;
+  if (!epoch) ++counters_.lease_expiries;
+  reported_decision_ = epoch;
+  ever_reported_decision_ = true;
+  log(epoch ? "policy decides epoch=" + std::to_string(*epoch)
+            : "policy decides nothing: no lease on the active epoch");
+  effects_.emplace_back(EpochChanged{epoch, state_machine_.policy()});
+}
+
+void State::track_decisions_without_lease(const std::optional<Epoch>& epoch) {
+  const bool is_without_lease = epoch && !lease_.held_epoch(now_);
+  if (is_without_lease && !deciding_without_lease_) {
     ++counters_.lost_leases;
-    log("policy goes on without a lease epoch=" + std::to_string(*now) + ": the promise is broken");
+    log("policy goes on without a lease epoch=" + std::to_string(*epoch) + ": the promise is broken");
   }
-  lost_leases_ = broken;
-  if (ever_told_ && now == reported_decision_) return;
-  if (!now && !ever_told_) return;
-  if (!now) ++counters_.lease_expiries;
-  reported_decision_ = now;
-  ever_told_ = true;
-  log(now ? "policy decides epoch=" + std::to_string(*now)
-          : "policy decides nothing: no lease on the active epoch");
-  effects_.emplace_back(EpochChanged{now, state_machine_.policy()});
+  deciding_without_lease_ = is_without_lease;
 }
 
 // ---- Operators ----
 
 void State::on(const ProposeCall& in) {
-  const auto no = [&](int status, const std::string& why) {
-    effects_.emplace_back(AdminReply{in.call, status, why});
-  };
-  if (in.key.empty() || in.key.size() > kMostKey) return no(400, "the key should have 1 to 64 characters");
-  if (in.policy.size() > settings_.max_policy_bytes) return no(413, "the policy is too large");
-  // Guards against a no that is none: what has been decided under this key stands, whatever is sent with it
-  // now.
-  if (!state_machine_.knows_change(in.key)) {
-    if (const auto unfit = settings_.check_policy ? settings_.check_policy(in.policy) : std::nullopt)
-      return no(422, settings_.name + ": " + *unfit);
-    if (pending_calls_.size() >= kMostCalls) return no(503, "unknown: too many calls wait");
+  if (auto rejection = reject_proposal(in)) {
+    effects_.emplace_back(std::move(*rejection));
+    return;
   }
   pending_calls_[in.call] = {in.key, in.base_epoch, in.policy, now_ + settings_.call_timeout};
-  next_call_ = now_;
+  next_call_retry_ = now_;
   answer_finished_calls();
 }
 
-void State::on(const AbortCall& in) {
+/// The answer to a call that is not passed on to the leader.
+std::optional<AdminReply> State::reject_proposal(const ProposeCall& in) const {
+  if (in.key.empty() || in.key.size() > kMaxKeyBytes)
+    return AdminReply{in.call, kBadRequest, "the key should have 1 to 64 characters"};
+  if (in.policy.size() > settings_.max_policy_bytes)
+    return AdminReply{in.call, kContentTooLarge, "the policy is too large"};
+  // Guards against a rejection that is none: what has been decided under this key stands, whatever is sent
+  // with it now.
+  if (state_machine_.knows_change(in.key)) return std::nullopt;
+  if (const auto unsupported_reason = check_policy(in.policy))
+    return AdminReply{in.call, kUnprocessable, settings_.name + ": " + *unsupported_reason};
+  if (pending_calls_.size() >= kMaxPendingCalls)
+    return AdminReply{in.call, kUnavailable, "unknown: too many calls wait"};
+  return std::nullopt;
+}
+
+void State::on(const AbortCall& in) { effects_.emplace_back(request_abort(in)); }
+
+AdminReply State::request_abort(const AbortCall& in) {
   const auto& change = state_machine_.change();
-  int status = 202;
-  std::string body = "asked for: see GET /v1/policy";
-  if (!change) {
-    status = 404, body = "no change is under way";
-  } else if (change->committed) {
-    status = 409, body = "it is committed";
-  } else if (const std::string to = next_catch_up_source(); !to.empty()) {
-    send(to, AbortRequest{change->id});
-  } else {
-    status = 503, body = "no leader is known";
-  }
-  effects_.emplace_back(AdminReply{in.call, status, body});
+  if (!change) return {in.call, kNotFound, "no change is under way"};
+  if (change->committed) return {in.call, kConflict, "it is committed"};
+  const std::string to = leader_or_next_voter();
+  if (to.empty()) return {in.call, kUnavailable, "no leader is known"};
+  send(to, AbortRequest{change->id});
+  return {in.call, kAccepted, "asked for: see GET /v1/policy"};
 }
 
-/// A yes only once it is active, a no only where it can never be.
 void State::answer_finished_calls() {
   for (auto it = pending_calls_.begin(); it != pending_calls_.end();) {
-    const ChangeOutcome* outcome = state_machine_.outcome(it->second.key);
-    AdminReply answer{it->first, 0, {}};
-    if (outcome != nullptr && outcome->result == ChangeResult::active) {
-      answer.status = 200, answer.body = "active epoch=" + std::to_string(outcome->epoch);
-    } else if (outcome != nullptr) {
-      answer.status = 409;
-      answer.body = (outcome->result == ChangeResult::aborted ? "aborted: " : "refused: ") + outcome->reason +
-                    " epoch=" + std::to_string(outcome->epoch);
-    } else if (it->second.deadline <= now_) {
-      answer.status = 503, answer.body = "unknown: ask again with the same key";
-    }
-    if (answer.status == 0) {
+    auto reply = final_reply(it->first, it->second);
+    if (!reply) {
       ++it;
       continue;
     }
-    effects_.emplace_back(std::move(answer));
+    effects_.emplace_back(std::move(*reply));
     it = pending_calls_.erase(it);
   }
 }
 
+/// 200 only once the change is active, 409 only where it never can be. None: it is not decided yet.
+std::optional<AdminReply> State::final_reply(std::uint64_t call, const PendingCall& pending) const {
+  const ChangeOutcome* outcome = state_machine_.outcome(pending.key);
+  if (outcome == nullptr) {
+    if (pending.deadline > now_) return std::nullopt;
+    return AdminReply{call, kUnavailable, "unknown: ask again with the same key"};
+  }
+  const std::string epoch = "epoch=" + std::to_string(outcome->epoch);
+  if (outcome->result == ChangeResult::active) return AdminReply{call, kOk, "active " + epoch};
+  const std::string result = outcome->result == ChangeResult::aborted ? "aborted: " : "refused: ";
+  return AdminReply{call, kConflict, result + outcome->reason + " " + epoch};
+}
+
 void State::send(const std::string& to, Message message) {
   if (to == settings_.name) {
     self_messages_.push_back({to, std::move(message)});
--- a/src/consensus/reducer.h
+++ b/src/consensus/reducer.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Agreement on the policy, at one proxy: (state, now, input) -> effects. The log itself is elsewhere
-/// (agreed/raft_log at voters; the others pull); here is what it comes to, who may decide under which epoch,
-/// and what operators are told. docs/consensus.md says how and why. No I/O, no clock.
+/// Consensus on the policy, at one proxy: (state, now, input) -> effects. The log itself is elsewhere
+/// (consensus/raft_log at voters; other members catch up from anyone); here are the state that it leads to,
+/// which epoch this proxy may decide under, and the answers to operators. docs/consensus.md says how and why.
+/// No I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -78,7 +79,7 @@
   std::string from;
   LeadershipCheck check;
 };
-/// To this proxy's disk, where it is no voter: Applied or Restored follow once it is durable.
+/// To this proxy's disk, where it is no voter: EntryApplied or SnapshotRestored follow once it is durable.
 struct PersistLearned {
   std::variant<CatchUpResponse, Snapshot> learned;
 };
@@ -106,14 +107,14 @@
 
 class State {
  public:
-  /// `first`: as Lease says. `seed`: whom to pull from.
-  State(Settings settings, std::uint64_t first, std::uint64_t seed, Time now);
+  /// `first_request`: as EpochLease takes it. `seed`: which member is asked first to catch up.
+  State(Settings settings, std::uint64_t first_request, std::uint64_t seed, Time now);
 
   std::vector<Effect> handle(Time now, const Input& input);
-  /// When Due is wanted; the newest counts.
+  /// When TimerExpired is wanted; the newest value counts.
   [[nodiscard]] Time next_due() const;
 
-  /// What it may decide under at that time; none: refuse.
+  /// The epoch under which it may decide at that time; none: requests are rejected.
   [[nodiscard]] std::optional<Epoch> decision_epoch(Time now) const;
   [[nodiscard]] const PolicyStateMachine& policy_state() const { return state_machine_; }
   [[nodiscard]] const EpochLease& lease() const { return lease_; }
@@ -122,7 +123,7 @@
   [[nodiscard]] const Counters& counters() const { return counters_; }
   [[nodiscard]] const std::map<std::string, bool>& members() const { return members_; }
   [[nodiscard]] const Settings& settings() const { return settings_; }
-  /// As Steward::print says.
+  /// As LeaseManager::debug_state says.
   [[nodiscard]] std::string debug_state(const std::map<std::string, std::uint64_t>& newest) const;
 
  private:
@@ -164,14 +165,24 @@
 
   void run_timers();
   void on_log_advanced(Index before);
+  void check_proposed_change(const Change& change);
+  void report_finished_change();
+  void revoke_outlived_lease();
+  [[nodiscard]] std::optional<std::string> check_policy(const std::string& policy) const;
+  void retry_pending_calls();
   void answer_finished_calls();
+  [[nodiscard]] std::optional<AdminReply> final_reply(std::uint64_t call, const PendingCall& pending) const;
+  [[nodiscard]] std::optional<AdminReply> reject_proposal(const ProposeCall& in) const;
+  [[nodiscard]] AdminReply request_abort(const AbortCall& in);
   void request_lease();
   void request_catch_up();
   void report_decision();
+  void track_decisions_without_lease(const std::optional<Epoch>& epoch);
   template <typename LeaderStep>
   void with_lease_manager(LeaderStep&& step);
   void send(const std::string& to, Message message);
-  [[nodiscard]] std::string next_catch_up_source();
+  /// Empty: neither is known.
+  [[nodiscard]] std::string leader_or_next_voter();
   [[nodiscard]] bool is_urgent() const;
   void log(std::string line) { effects_.emplace_back(LogLine{std::move(line)}); }
 
@@ -184,16 +195,16 @@
   bool is_voter_ = false;
   Index newest_index_ = 0;  // the log is known to have come this far
   std::map<std::string, bool> members_;
-  std::deque<std::pair<Index, Entry>> recent_;  // for those who pull
-  Index recent_from_ = 0;                       // all entries behind it are there
-  Index checked_change_ = 0;                    // the change that `unfit_` is about
-  std::optional<std::string> unsupported_reason_;
+  std::deque<std::pair<Index, Entry>> recent_entries_;  // for members that catch up
+  Index recent_after_index_ = 0;                        // all entries after this index are in recent_entries_
+  Index checked_change_ = 0;                            // the change that unsupported_reason_ is about
+  std::optional<std::string> unsupported_reason_;       // none: this proxy can run it
   std::map<std::uint64_t, PendingCall> pending_calls_;
-  Time next_lease_request_, next_catch_up_, next_call_{0};
-  std::uint64_t catch_up_turn_, lease_request_turn_ = 0, unheard_ = 0;
+  Time next_lease_request_, next_catch_up_, next_call_retry_{0};
+  std::uint64_t catch_up_turn_, lease_request_turn_ = 0, unanswered_requests_ = 0;
   std::optional<Epoch> reported_decision_;
-  bool ever_told_ = false;
-  bool lost_leases_ = false;  // it decides without a lease
+  bool ever_reported_decision_ = false;
+  bool deciding_without_lease_ = false;
   Counters counters_;
   std::deque<MessageReceived> self_messages_;
   std::vector<Effect> effects_;
