--- a/src/proxy/client/client_call_handler.cpp
+++ b/src/proxy/client/client_call_handler.cpp
@@ -37,7 +37,7 @@
 }
 
 void ClientCallHandler::on_closed(ConnectionId client, CloseReason reason) {
-  cancel(dependencies_.connections.close(client, reason, false));
+  cancel(dependencies_.connections.close(client, reason, ClosedBy::peer));
 }
 
 void ClientCallHandler::close_expired() { cancel(dependencies_.connections.close_expired()); }
--- a/src/proxy/client/client_connections.h
+++ b/src/proxy/client/client_connections.h
@@ -1,8 +1,10 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The clients' connections: calls in, answers out.
+/// The clients' connections: bytes in, calls out; replies in, bytes out. Which connections are kept, and
+/// which end for idleness, for a backlog or to make room, is decided here.
 #pragma once
 
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <memory>
@@ -19,38 +21,40 @@
  public:
   explicit ClientConnections(Context& context) : context_(context) {}
 
-  void on_accepted(ConnectionId connection);
-  [[nodiscard]] bool owns(ConnectionId connection) const { return connections_.count(connection) != 0; }
-  /// The calls that are whole by now. A stream that broke is still owed the answers to those before.
-  std::vector<ClientCall> on_bytes(ConnectionId connection, std::string_view on_bytes);
-  [[nodiscard]] bool is_broken(ConnectionId connection) const;
+  void on_accepted(ConnectionId id);
+  [[nodiscard]] bool owns(ConnectionId id) const { return connections_.contains(id); }
+  /// The calls that are complete by now. On a malformed stream the calls before the fault are still answered.
+  std::vector<ClientCall> on_bytes(ConnectionId id, std::string_view bytes);
+  /// Whether its stream can't be read any further, and nothing has been done about it yet.
+  [[nodiscard]] bool is_broken(ConnectionId id) const;
 
-  ClientProtocol* protocol(ConnectionId connection);
-  void reply(ConnectionId connection, std::string bytes);
-  void on_write_drained(ConnectionId connection);
-  /// Whether so much waits to be sent there that nothing more should be taken on.
-  [[nodiscard]] bool is_backed_up(ConnectionId connection) const;
+  /// None where the connection has ended, or is draining.
+  ClientProtocol* protocol(ConnectionId id);
+  void reply(ConnectionId id, std::string bytes);
+  void on_write_drained(ConnectionId id);
+  /// Whether the client has so many open calls, or has left so much unread, that nothing more is accepted.
+  [[nodiscard]] bool is_backed_up(ConnectionId id) const;
 
-  void add_open_call(ConnectionId connection, CallId tag, const std::string& request);
-  /// Forgets an open call; the request it stood for, or none.
-  std::string remove_open_call(ConnectionId connection, CallId tag);
+  void add_open_call(ConnectionId id, CallId call, const std::string& request);
+  /// Forgets an open call; the id of its request, or an empty one.
+  std::string remove_open_call(ConnectionId id, CallId call);
 
-  /// Whether the client has an open call under that number.
-  [[nodiscard]] bool has_open_call(ConnectionId connection, CallId tag) const;
-  /// Ends a connection so that the client can read all that was written, a last answer included; the requests
-  /// that were open on it. Every end that is decided here goes this way. Guards answers against the reset
-  /// that follows a close over unread bytes: what still comes is thrown away until the client closes too.
-  std::vector<std::string> drain(ConnectionId connection, CloseReason reason, std::string last = {});
+  /// Whether the client has an open call of that id.
+  [[nodiscard]] bool has_open_call(ConnectionId id, CallId call) const;
+  /// Ends a connection so that the client can read all that was written, a last reply included; the requests
+  /// that were open on it. Every end that is decided here goes this way. Guards replies against the reset
+  /// that follows a close over unread bytes: what still comes is discarded until the client closes too.
+  std::vector<std::string> drain(ConnectionId id, CloseReason reason, std::string last_reply = {});
 
-  /// The connection has ended, or is cut off at once; the requests that were open on it.
-  std::vector<std::string> close(ConnectionId connection, CloseReason reason, bool close_it);
-  /// Ends what should end by now; the requests that were open there.
+  /// The client has closed the connection, or it is closed at once; the requests that were open on it.
+  std::vector<std::string> close(ConnectionId id, CloseReason reason, ClosedBy closed_by);
+  /// Ends the connections that should have ended by now; the requests that were open there.
   std::vector<std::string> close_expired();
-  /// Ends all that owe nothing more and on which nothing has happened for a moment.
+  /// Drains all that are owed no reply and on which nothing has happened for a moment.
   void drain_quiet();
-  /// Cuts off all that no answer is owed to, though not all was taken that was written.
+  /// Closes all that are owed no reply, though not all was read that was written.
   void disconnect_idle();
-  /// The system gave no descriptor for a connection: the client that can best be spared makes room at once.
+  /// The system gave no descriptor for a connection: the client that can best be spared is closed at once.
   void free_descriptor();
   [[nodiscard]] bool empty() const { return connections_.empty(); }
 
@@ -58,8 +62,8 @@
   struct ClientConnection {
     std::unique_ptr<ClientProtocol> protocol;
     Time opened_at{0}, active_at{0};
-    Time message_started_at{0};     ///< of a message that is not whole yet; 0: there is none
-    bool has_sent_message = false;  ///< a whole message has come
+    Time message_started_at{0};     ///< of a message that is not complete yet; 0: there is none
+    bool has_sent_message = false;  ///< a complete message has come
     std::optional<CloseReason> draining_for;
     std::size_t discarded_bytes = 0;
     std::uint64_t request_count = 0;
@@ -68,9 +72,20 @@
     std::map<CallId, std::string> open_calls;
   };
 
-  [[nodiscard]] static bool is_idle(const ClientConnection& front) {
-    return front.open_calls.empty() && !front.is_writing;
+  [[nodiscard]] static bool is_idle(const ClientConnection& client) {
+    return client.open_calls.empty() && !client.is_writing;
   }
+  /// Why and how a connection should end by now.
+  enum class Ending : std::uint8_t { drain, close };
+  struct Expiry {
+    CloseReason reason;
+    Ending ending;
+  };
+  [[nodiscard]] std::optional<Expiry> expiry_of(const ClientConnection& client) const;
+  [[nodiscard]] bool has_unread_replies(const ClientConnection& client, Time inactive) const;
+  [[nodiscard]] ConnectionId connection_with_most_unsent() const;
+  /// How well a connection can be spared for a new one: the lowest goes first.
+  [[nodiscard]] int sparing_rank(const ClientConnection& client) const;
   /// The one that makes room for another, if there is one.
   [[nodiscard]] std::optional<ConnectionId> idlest_connection() const;
   void close_oldest_draining();
--- a/src/proxy/client/client_protocol.h
+++ b/src/proxy/client/client_protocol.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What clients ask and are told, whatever protocol they speak. Another protocol is put before the same
-/// decisions by another FrontProtocol.
+/// What clients ask for and are replied, whatever protocol they speak. Another protocol is added by another
+/// ClientProtocol.
 #pragma once
 
 #include <cstdint>
@@ -15,23 +15,28 @@
 
 namespace edge_proxy::proxy {
 
-/// Names one call on its connection.
+/// Identifies one call on its connection.
 using CallId = std::int32_t;
 
+/// Names and values, in the order of the message.
 using ClientFields = std::vector<std::pair<std::string, std::string>>;
 
+/// A request for a part of an object.
 struct ObjectRequest {
   CallId id = 0;
   ClientFields fields;
   std::string body;
-  bool readable = true;  ///< false: a call for an object, but not in the form agreed
+  bool readable = true;  ///< false: the call is a request for an object, but malformed
 };
+/// The client waits no longer for a call's reply.
 struct CancelRequest {
-  CallId id = 0;
+  CallId id = 0;  ///< of the cancelled call
 };
+/// Asks whether the proxy is ready for traffic.
 struct ReadinessCheck {
   CallId id = 0;
 };
+/// A well-formed call of a method that the service does not have.
 struct UnknownMethod {
   CallId id = 0;
   std::string method;
@@ -39,26 +44,27 @@
 };
 using ClientCall = std::variant<ObjectRequest, CancelRequest, ReadinessCheck, UnknownMethod>;
 
-/// One connection's protocol: bytes to calls, answers to bytes. No I/O, no clock.
+/// One connection's protocol: bytes to calls, replies to bytes. No I/O, no clock.
 class ClientProtocol {
  public:
   virtual ~ClientProtocol() = default;
-  /// Takes bytes in, however split; the calls that are whole by now.
+  /// Reads bytes, however split; the calls that are complete by now.
   virtual std::vector<ClientCall> feed(std::string_view bytes) = 0;
   /// The stream can't be read any further.
   [[nodiscard]] virtual bool is_broken() const = 0;
-  /// A message has begun that is not whole yet.
+  /// A message has begun that is not complete yet.
   [[nodiscard]] virtual bool has_partial_message() const = 0;
 
-  virtual std::string served(CallId tag, std::string_view body, const ClientFields& fields) = 0;
-  virtual std::string rejected(CallId tag, const ClientFields& fields) = 0;
-  virtual std::string failed(CallId tag) = 0;
-  virtual std::string readiness_reply(CallId tag, bool good) = 0;
-  /// The last answer on a stream that broke.
+  virtual std::string served(CallId call, std::string_view body, const ClientFields& fields) = 0;
+  virtual std::string rejected(CallId call, const ClientFields& fields) = 0;
+  virtual std::string failed(CallId call) = 0;
+  virtual std::string readiness_reply(CallId call, bool is_ready) = 0;
+  /// The last reply on a malformed stream.
   virtual std::string malformed_stream_reply() = 0;
   virtual std::string unknown_method_reply(const UnknownMethod& call) = 0;
 };
 
+/// Framed Thrift in the strict binary encoding.
 std::unique_ptr<ClientProtocol> make_thrift_protocol();
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/client/pending_requests.cpp
+++ b/src/proxy/client/pending_requests.cpp
@@ -9,24 +9,30 @@
 
 using namespace std::chrono_literals;
 
-// A client counts its patience from when it sent the request, and the answer has a way to go as well.
-constexpr Time kTravel = 10ms;
-constexpr std::size_t kMaxText = 128;     // of an id, a key or a tag
-constexpr std::size_t kMaxSent = 48'000;  // bytes of a write
-constexpr std::uint64_t kMaxPiece = 1'000'000;
-constexpr int kMostDeadlines = 4;  // the sending time of the largest object, in deadlines of its class
+// The client's limit runs from when it sent the request, and the answer has to travel as well.
+constexpr Time kTravelTime = 10ms;
+constexpr std::size_t kMaxTextBytes = 128;  // of a key or an entity tag
+constexpr std::size_t kMaxBodyBytes = 48'000;
+constexpr std::uint64_t kMaxPart = 1'000'000;
+constexpr std::int64_t kMaxGroup = 255;
+// Bound of a client's limit, and of the largest object's transfer time, in deadlines of the class.
+constexpr int kMaxDeadlines = 4;
+constexpr double kMaxSizeWithoutTransferRateKb = 1e9;
+constexpr std::size_t kIdDigits = 16;
+constexpr char kDelete = 0x7f;  // ASCII; the first character behind the printable ones
 
 /// Whether a client's text can stand in a line to a cache as it is. Guards against a request whose fields
 /// would read there as other fields, or as a command of their own.
-bool plain(std::string_view text) {
-  return !text.empty() && text.size() <= kMaxText && std::all_of(text.begin(), text.end(), [](char c) {
-    return c > ' ' && c < 0x7f && c != ',' && c != '=';
-  });
+bool is_plain_text(std::string_view text) {
+  return !text.empty() && text.size() <= kMaxTextBytes &&
+         std::all_of(text.begin(), text.end(), [](char character) {
+           return character > ' ' && character < kDelete && character != ',' && character != '=';
+         });
 }
 
-bool hex16(std::string_view text) {
-  return text.size() == 16 && std::all_of(text.begin(), text.end(), [](char c) {
-           return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f');
+bool is_hexadecimal_id(std::string_view text) {
+  return text.size() == kIdDigits && std::all_of(text.begin(), text.end(), [](char character) {
+           return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'f');
          });
 }
 
@@ -38,67 +44,105 @@
   return value;
 }
 
+/// Looks a call's fields up by their names.
 class FieldReader {
  public:
   explicit FieldReader(const ClientFields& fields) : fields_(fields) {}
-  std::string_view text(std::string_view name) const {
+  /// The value of the first field of that name; empty where there is none.
+  [[nodiscard]] std::string_view text(std::string_view name) const {
     for (const auto& [key, value] : fields_) {
       if (key == name) return value;
     }
     return {};
   }
+  /// For a number that may be left out.
+  [[nodiscard]] std::string_view text_or_zero(std::string_view name) const {
+    const std::string_view value = text(name);
+    return value.empty() ? "0" : value;
+  }
 
  private:
   const ClientFields& fields_;
 };
 
+/// A request's numbers, as its fields have them.
+struct RequestNumbers {
+  std::chrono::milliseconds limit{0};  ///< how long the client waits
+  std::uint64_t part = 0;
+  std::int64_t group = 0;
+  double size_kb = 0;
+};
+
+/// None where one is malformed, or out of the bounds that hold for all classes.
+std::optional<RequestNumbers> read_numbers(const FieldReader& fields) {
+  const auto limit = number_of<std::int64_t>(fields.text("limit"));
+  const auto part = number_of<std::uint64_t>(fields.text_or_zero("piece"));
+  const auto group = number_of<std::int64_t>(fields.text_or_zero("lot"));
+  const auto size_kb = number_of<double>(fields.text_or_zero("ram"));
+  if (!limit || !part || !group || !size_kb) return std::nullopt;
+  const bool is_within_bounds =
+      *limit > 0 && *part <= kMaxPart && *group >= 0 && *group <= kMaxGroup && *size_kb >= 0;
+  if (!is_within_bounds) return std::nullopt;
+  return RequestNumbers{std::chrono::milliseconds(*limit), *part, *group, *size_kb};
+}
+
+PendingRequest read_texts(const FieldReader& fields) {
+  PendingRequest pending;
+  pending.verb = fields.text("verb");
+  pending.item = fields.text("item");
+  pending.piece = fields.text("piece");
+  pending.key = fields.text("unique");
+  pending.client_entity_tag = fields.text("ver");
+  return pending;
+}
+
 }  // namespace
 
-/// Guards the module's means of work against sizes that no object has.
+/// Guards the router's estimates against sizes that no object has.
 double PendingRequests::max_size_kb(const RequestClass& request_class) const {
-  const double most = kMostDeadlines * std::chrono::duration<double>(request_class.deadline).count();
-  return settings_.transfer_kb_per_s > 0 ? most * settings_.transfer_kb_per_s : 1e9;
+  if (settings_.transfer_kb_per_s <= 0) return kMaxSizeWithoutTransferRateKb;
+  const double longest_s = kMaxDeadlines * std::chrono::duration<double>(request_class.deadline).count();
+  return longest_s * settings_.transfer_kb_per_s;
+}
+
+/// Whether its texts are well-formed, and its size is one that an object of the class can have.
+bool PendingRequests::is_valid(const PendingRequest& pending, const RequestClass& request_class) const {
+  const bool has_valid_key =
+      pending.key.empty() ? request_class.idempotency != Idempotency::with_key : is_plain_text(pending.key);
+  const bool has_valid_tag = pending.client_entity_tag.empty() || is_plain_text(pending.client_entity_tag);
+  return has_valid_key && has_valid_tag && is_hexadecimal_id(pending.request.id) &&
+         is_hexadecimal_id(pending.item) && pending.request.size_kb <= max_size_kb(request_class);
 }
 
 std::optional<PendingRequest> PendingRequests::read(ConnectionId client, ObjectRequest& call,
                                                     std::optional<Time> answer_by) const {
   const FieldReader fields(call.fields);
-  PendingRequest taken;
-  taken.client = client;
-  taken.call_id = call.id;
-  taken.verb = fields.text("verb");
-  taken.item = fields.text("item");
-  taken.piece = fields.text("piece");
-  taken.key = fields.text("unique");
-  taken.client_entity_tag = fields.text("ver");
-  const std::string id(fields.text("txn"));
-  const auto& classes = settings_.classes;
-  const auto known = classes.begin() + static_cast<std::ptrdiff_t>(class_of(taken.verb));
-  const auto limit = number_of<std::int64_t>(fields.text("limit"));
-  const auto piece = number_of<std::uint64_t>(taken.piece.empty() ? "0" : taken.piece);
-  const auto lot = number_of<std::int64_t>(fields.text("lot").empty() ? "0" : fields.text("lot"));
-  const auto kb = number_of<double>(fields.text("ram").empty() ? "0" : fields.text("ram"));
-  const bool good =
-      call.readable && known != classes.end() && hex16(id) && hex16(taken.item) && limit && *limit > 0 &&
-      std::chrono::milliseconds(*limit) <= kMostDeadlines * known->deadline && piece && lot && *lot >= 0 &&
-      *lot <= 255 && kb && *kb >= 0 && *kb <= max_size_kb(*known) && *piece <= kMaxPiece &&
-      call.body.size() <= kMaxSent && (taken.client_entity_tag.empty() || plain(taken.client_entity_tag)) &&
-      (taken.key.empty() ? known->idempotency != edge_proxy::Idempotency::with_key : plain(taken.key));
-  if (!good) return std::nullopt;
-  Request& r = taken.request;
-  r.id = id;
-  r.request_class = static_cast<int>(known - classes.begin());
-  std::from_chars(taken.item.data(), taken.item.data() + taken.item.size(), r.object, 16);
-  r.part = *piece;
-  r.group = *lot;
-  r.size_kb = *kb;
-  const Time patience = std::chrono::milliseconds(*limit);
-  r.expires = context_.now + std::max(patience - kTravel, patience / 2);
-  if (answer_by) r.expires = std::min(r.expires, *answer_by);
-  r.write = known->uncacheable;
-  r.client_retry = fields.text("second") == "1";
-  taken.body = std::move(call.body);
-  return taken;
+  const std::size_t class_index = class_of(fields.text("verb"));
+  const std::optional<RequestNumbers> numbers = read_numbers(fields);
+  if (!call.readable || class_index >= settings_.classes.size() || !numbers) return std::nullopt;
+  const RequestClass& request_class = settings_.classes[class_index];
+  if (numbers->limit > kMaxDeadlines * request_class.deadline) return std::nullopt;
+
+  PendingRequest pending = read_texts(fields);
+  if (call.body.size() > kMaxBodyBytes) return std::nullopt;
+  Request& request = pending.request;
+  request.id = fields.text("txn");
+  request.request_class = static_cast<int>(class_index);
+  request.part = numbers->part;
+  request.group = numbers->group;
+  request.size_kb = numbers->size_kb;
+  if (!is_valid(pending, request_class)) return std::nullopt;
+
+  std::from_chars(pending.item.data(), pending.item.data() + pending.item.size(), request.object, 16);
+  const Time limit = numbers->limit;
+  request.expires = context_.now + std::max(limit - kTravelTime, limit / 2);
+  if (answer_by) request.expires = std::min(request.expires, *answer_by);
+  request.write = request_class.uncacheable;
+  request.client_retry = fields.text("second") == "1";
+  pending.client = client;
+  pending.call_id = call.id;
+  pending.body = std::move(call.body);
+  return pending;
 }
 
 void PendingRequests::add(PendingRequest request) {
@@ -120,47 +164,47 @@
   return true;
 }
 
-void PendingRequests::release(std::map<std::string, PendingRequest>::iterator taken) {
-  body_bytes_ -= taken->second.body.size();
-  pending_.erase(taken);
+void PendingRequests::release(std::map<std::string, PendingRequest>::iterator pending) {
+  body_bytes_ -= pending->second.body.size();
+  pending_.erase(pending);
 }
 
 template <typename MakeReply>
-void PendingRequests::answer(const std::string& request, FinalAnswer kind, MakeReply&& make_reply) {
+void PendingRequests::finish(const std::string& request, FinalAnswer answer, MakeReply&& make_reply) {
   const auto found = pending_.find(request);
   if (found == pending_.end()) return;
-  const ConnectionId front = found->second.client;
-  const CallId tag = found->second.call_id;
-  count(static_cast<std::size_t>(found->second.request.request_class), kind);
+  const ConnectionId client = found->second.client;
+  const CallId call = found->second.call_id;
+  count(static_cast<std::size_t>(found->second.request.request_class), answer);
   release(found);
-  clients_.remove_open_call(front, tag);
-  ClientProtocol* protocol = clients_.protocol(front);
-  if (protocol != nullptr) clients_.reply(front, make_reply(*protocol, tag));
+  clients_.remove_open_call(client, call);
+  ClientProtocol* protocol = clients_.protocol(client);
+  if (protocol != nullptr) clients_.reply(client, make_reply(*protocol, call));
 }
 
 void PendingRequests::served(const std::string& request, const codec::CacheResponse& answer) {
-  served(request, answer.body, codec::field_in(answer.fields, "ver"),
-         answer.status == codec::CacheResponseStatus::not_modified);
+  served(request, ServedResponse{answer.body, codec::field_in(answer.fields, "ver"),
+                                 answer.status == codec::CacheResponseStatus::not_modified});
 }
 
-void PendingRequests::served(const std::string& request, std::string_view body,
-                             std::optional<std::string_view> tag, bool unchanged) {
-  answer(request, FinalAnswer::served, [&](ClientProtocol& front, CallId call) {
+void PendingRequests::served(const std::string& request, const ServedResponse& response) {
+  finish(request, FinalAnswer::served, [&response](ClientProtocol& protocol, CallId call) {
     ClientFields fields;
-    if (unchanged) fields.emplace_back("unchanged", "1");
-    if (tag) fields.emplace_back("ver", *tag);
-    return front.served(call, body, fields);
+    if (response.not_modified) fields.emplace_back("unchanged", "1");
+    if (response.entity_tag) fields.emplace_back("ver", *response.entity_tag);
+    return protocol.served(call, response.body, fields);
   });
 }
 
 void PendingRequests::rejected(const std::string& request, Time retry_after) {
-  answer(request, FinalAnswer::rejected, [&](ClientProtocol& front, CallId tag) {
-    return front.rejected(tag, retry_after_fields(retry_after));
+  finish(request, FinalAnswer::rejected, [this, retry_after](ClientProtocol& protocol, CallId call) {
+    return protocol.rejected(call, retry_after_fields(retry_after));
   });
 }
 
 void PendingRequests::failed(const std::string& request) {
-  answer(request, FinalAnswer::failed, [](ClientProtocol& front, CallId tag) { return front.failed(tag); });
+  finish(request, FinalAnswer::failed,
+         [](ClientProtocol& protocol, CallId call) { return protocol.failed(call); });
 }
 
 std::size_t PendingRequests::class_of(const ObjectRequest& call) const {
@@ -185,20 +229,27 @@
   return {{"later", std::to_string(ms)}};
 }
 
-/// The place of a class in the settings; past their end where there is none of that name.
 std::size_t PendingRequests::class_of(std::string_view name) const {
   const auto& classes = settings_.classes;
-  const auto found =
-      std::find_if(classes.begin(), classes.end(), [&](const RequestClass& c) { return c.name == name; });
+  const auto found = std::find_if(classes.begin(), classes.end(),
+                                  [name](const RequestClass& one) { return one.name == name; });
   return static_cast<std::size_t>(found - classes.begin());
 }
 
-void PendingRequests::count(std::size_t request_class, FinalAnswer kind) {
+void PendingRequests::count(std::size_t request_class, FinalAnswer answer) {
   if (request_class >= answer_counts_.size()) return;
-  AnswerCounts& counted = answer_counts_[request_class];
-  ++(kind == FinalAnswer::served     ? counted.served
-     : kind == FinalAnswer::rejected ? counted.rejected
-                                     : counted.failed);
+  AnswerCounts& counts = answer_counts_[request_class];
+  switch (answer) {
+    case FinalAnswer::served:
+      ++counts.served;
+      break;
+    case FinalAnswer::rejected:
+      ++counts.rejected;
+      break;
+    case FinalAnswer::failed:
+      ++counts.failed;
+      break;
+  }
 }
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/client/thrift_protocol.cpp
+++ b/src/proxy/client/thrift_protocol.cpp
@@ -5,45 +5,44 @@
 namespace edge_proxy::proxy {
 namespace {
 
-constexpr std::int16_t kTrylater = 1, kAborted = 2;
+// Field numbers of the declared exceptions in the result of the method `process`.
+constexpr std::int16_t kTryLater = 1;
+constexpr std::int16_t kAborted = 2;
 
 class ThriftProtocol : public ClientProtocol {
  public:
   std::vector<ClientCall> feed(std::string_view bytes) override {
     std::vector<ClientCall> calls;
     frames_.feed(bytes);
-    while (!broken_) {
+    while (!is_broken_) {
       const auto frame = frames_.next();
       if (!frame) break;
-      auto message = codec::read_message(*frame);
-      if (auto* read = std::get_if<codec::Message>(&message)) {
-        calls.push_back(std::visit([read](auto& call) { return translate(*read, call); }, read->call));
+      auto read = codec::read_message(*frame);
+      if (auto* message = std::get_if<codec::Message>(&read)) {
+        const auto translated = [message](auto& call) { return translate(*message, call); };
+        calls.push_back(std::visit(translated, message->call));
       } else {
-        broken_ = true;
-        broken_call_ = codec::sequence_id_of(*frame);
+        set_broken(*frame);
       }
     }
-    if (frames_.error() != codec::FrameError::none) {
-      broken_ = true;
-      broken_call_ = codec::sequence_id_of(frames_.partial_frame());
-    }
+    if (frames_.error() != codec::FrameError::none) set_broken(frames_.partial_frame());
     return calls;
   }
-  [[nodiscard]] bool is_broken() const override { return broken_; }
+  [[nodiscard]] bool is_broken() const override { return is_broken_; }
   [[nodiscard]] bool has_partial_message() const override { return frames_.has_partial_frame(); }
 
-  std::string served(CallId tag, std::string_view body, const ClientFields& fields) override {
-    return codec::write_reply(tag, "process", body, fields, true);
+  std::string served(CallId call, std::string_view body, const ClientFields& fields) override {
+    return codec::write_reply(call, "process", body, fields, true);
   }
-  std::string rejected(CallId tag, const ClientFields& fields) override {
-    return codec::write_declared_exception(tag, kTrylater, fields);
+  std::string rejected(CallId call, const ClientFields& fields) override {
+    return codec::write_declared_exception(call, kTryLater, fields);
   }
-  std::string failed(CallId tag) override { return codec::write_declared_exception(tag, kAborted, {}); }
-  std::string readiness_reply(CallId tag, bool good) override {
-    return codec::write_reply(tag, "probe", "", {}, good);
+  std::string failed(CallId call) override { return codec::write_declared_exception(call, kAborted, {}); }
+  std::string readiness_reply(CallId call, bool is_ready) override {
+    return codec::write_reply(call, "probe", "", {}, is_ready);
   }
   std::string malformed_stream_reply() override {
-    return codec::write_application_exception(broken_call_, "process",
+    return codec::write_application_exception(malformed_call_, "process",
                                               codec::ApplicationError::protocol_error, "unreadable");
   }
   std::string unknown_method_reply(const UnknownMethod& call) override {
@@ -52,22 +51,28 @@
   }
 
  private:
-  static ClientCall translate(const codec::Message& m, codec::ProcessCall& call) {
-    return ObjectRequest{m.sequence_id, std::move(call.fields), std::move(call.body), call.is_readable};
+  static ClientCall translate(const codec::Message& message, codec::ProcessCall& call) {
+    return ObjectRequest{message.sequence_id, std::move(call.fields), std::move(call.body), call.is_readable};
   }
   static ClientCall translate(const codec::Message&, const codec::CancelCall& call) {
     return CancelRequest{call.sequence_id};
   }
-  static ClientCall translate(const codec::Message& m, const codec::PingCall&) {
-    return ReadinessCheck{m.sequence_id};
+  static ClientCall translate(const codec::Message& message, const codec::PingCall&) {
+    return ReadinessCheck{message.sequence_id};
+  }
+  static ClientCall translate(const codec::Message& message, codec::UnknownCall& call) {
+    return UnknownMethod{message.sequence_id, std::move(call.method),
+                         message.type == codec::MessageType::call};
   }
-  static ClientCall translate(const codec::Message& m, codec::UnknownCall& call) {
-    return UnknownMethod{m.sequence_id, std::move(call.method), m.type == codec::MessageType::call};
+
+  void set_broken(std::string_view frame) {
+    is_broken_ = true;
+    malformed_call_ = codec::sequence_id_of(frame);
   }
 
   codec::FrameReader frames_;
-  bool broken_ = false;
-  CallId broken_call_ = 0;
+  bool is_broken_ = false;
+  CallId malformed_call_ = 0;  // as far as it can be read
 };
 
 }  // namespace
--- a/src/proxy/context.cpp
+++ b/src/proxy/context.cpp
@@ -9,10 +9,10 @@
   effects.emplace_back(Write{connection, std::move(bytes)});
 }
 
-ConnectionId Context::connect(const std::string& address, bool high_priority) {
+ConnectionId Context::connect(const std::string& address, ReadPriority priority) {
   ++open_connections;
   last_connection_id += kConnectionIdStep;
-  effects.emplace_back(Connect{last_connection_id, address, high_priority});
+  effects.emplace_back(Connect{last_connection_id, address, priority == ReadPriority::high});
   return last_connection_id;
 }
 
@@ -22,9 +22,9 @@
 
 void Context::shutdown_write(ConnectionId connection) { effects.emplace_back(ShutdownWrite{connection}); }
 
-void Context::log_closed(const ConnectionRecord& record, CloseReason reason, bool close_it) {
+void Context::log_closed(const ConnectionRecord& record, CloseReason reason, ClosedBy closed_by) {
   --open_connections;
-  if (close_it) close(record.id);
+  if (closed_by == ClosedBy::proxy) close(record.id);
   std::string line = "closed kind=" + std::string(record.kind) + " conn=" + std::to_string(record.id) +
                      " reason=" + std::string(name_of(reason)) +
                      " requests=" + std::to_string(record.request_count) +
--- a/src/proxy/context.h
+++ b/src/proxy/context.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
 /// What the parts of the reducer share: the time of this input, the effects so far, timers and connection
-/// ids.
+/// identifiers.
 #pragma once
 
 #include <cstdint>
@@ -56,31 +56,40 @@
 
 /// What a connection leaves in the log when it ends.
 struct ConnectionRecord {
-  std::string_view kind;  ///< front, member or bulletin
+  std::string_view kind;  ///< front, admin, member or bulletin: as docs/oncall.md lists them
   ConnectionId id = 0;
   Time opened_at{0};
   std::uint64_t request_count = 0;
-  std::string endpoint;  ///< of a member's connection
+  std::string endpoint;  ///< of a connection to an endpoint
 };
 
+/// Whether a connection's bytes are read before those of all other sockets that are ready.
+enum class ReadPriority : std::uint8_t { normal, high };
+
+/// The state that all parts of the reducer share.
 struct Context {
   explicit Context(const config::Config& config) : limits(config) {}
 
   ResourceLimits limits;
-  Time now{0};
-  std::vector<Effect> effects;
+  Time now{0};                  ///< of the input that is being handled
+  std::vector<Effect> effects;  ///< of that input, so far
   TimerQueue<Timer> timers;
-  ConnectionId last_connection_id = 0;  ///< that was opened from here
+  ConnectionId last_connection_id = 0;  ///< the newest that was opened from here
   int open_connections = 0;             ///< connections open or coming up
 
+  // Each of these adds an effect.
   void log(std::string line);
   void write(ConnectionId connection, std::string bytes);
-  ConnectionId connect(const std::string& address, bool high_priority = false);
+  /// Opens a connection to an address.
+  ConnectionId connect(const std::string& address, ReadPriority priority = ReadPriority::normal);
   void close(ConnectionId connection);
   void drain_and_close(ConnectionId connection);
   void shutdown_write(ConnectionId connection);
-  /// The end of a connection: closes it, unless the other side already has, and logs why.
-  void log_closed(const ConnectionRecord& record, CloseReason reason, bool close_it);
+  /// The end of a connection: closes it, unless the peer already has, and logs why.
+  void log_closed(const ConnectionRecord& record, CloseReason reason, ClosedBy closed_by);
+  void log_closed(const ConnectionRecord& record, CloseReason reason, bool close_it) {
+    log_closed(record, reason, close_it ? ClosedBy::proxy : ClosedBy::peer);
+  }
 };
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -39,7 +39,7 @@
 
 void DiscoveryClient::open() {
   if (connection_ != 0 || stopped_) return;
-  connection_ = context_.connect(address_, true);
+  connection_ = context_.connect(address_, ReadPriority::high);
   is_connected_ = has_data_ = false;
   opened_at_ = last_heard_ = last_line_ = context_.now;
   events_ = 0;
@@ -69,7 +69,7 @@
       if (event.number != last_event_ + 1 && std::exchange(gap_after_, last_event_) != last_event_) {
         context_.log("bulletin gap last=" + std::to_string(last_event_) +
                      " got=" + std::to_string(event.number));
-        end(CloseReason::bad_stream, true);
+        end(CloseReason::bad_stream, ClosedBy::proxy);
         return events;
       }
       last_event_ = event.number;
@@ -85,7 +85,7 @@
     }
   }
   if (reader_.lines() != lines) last_line_ = context_.now;
-  if (reader_.error() != codec::StreamError::none) end(CloseReason::bad_stream, true);
+  if (reader_.error() != codec::StreamError::none) end(CloseReason::bad_stream, ClosedBy::proxy);
   return events;
 }
 
@@ -94,29 +94,29 @@
   address_ = address;
   backoff_ = kFirstWait;
   timeout_ = initial_timeout_;
-  if (connection_ != 0) end(CloseReason::discovery_moved, true);
+  if (connection_ != 0) end(CloseReason::discovery_moved, ClosedBy::proxy);
   open();
 }
 
 void DiscoveryClient::on_loop_stall() { opened_at_ = last_heard_ = last_line_ = context_.now; }
 
-void DiscoveryClient::on_closed(CloseReason reason) { end(reason, false); }
+void DiscoveryClient::on_closed(CloseReason reason) { end(reason, ClosedBy::peer); }
 
 void DiscoveryClient::close_if_silent() {
   if (connection_ == 0) return;
   const Time unheard = context_.now - (is_connected_ ? last_heard_ : opened_at_);
   if (unheard < (has_data_ ? kSilence : timeout_) && context_.now - last_line_ < kLineWithin) return;
   timeout_ = std::min(timeout_ * 2, kSilence);
-  end(is_connected_ ? CloseReason::silent : CloseReason::connect_timeout, true);
+  end(is_connected_ ? CloseReason::silent : CloseReason::connect_timeout, ClosedBy::proxy);
 }
 
 void DiscoveryClient::stop() {
   stopped_ = true;
-  if (connection_ != 0) end(CloseReason::stopping, true);
+  if (connection_ != 0) end(CloseReason::stopping, ClosedBy::proxy);
 }
 
-void DiscoveryClient::end(CloseReason reason, bool close_it) {
-  context_.log_closed({"bulletin", connection_, opened_at_, events_, {}}, reason, close_it);
+void DiscoveryClient::end(CloseReason reason, ClosedBy closed_by) {
+  context_.log_closed({"bulletin", connection_, opened_at_, events_, {}}, reason, closed_by);
   connection_ = 0;
   if (stopped_) return;
   // What a bulletin that broke off has to tell counts as told soon: one that spoke is asked again at once.
--- a/src/proxy/discovery/discovery_client.h
+++ b/src/proxy/discovery/discovery_client.h
@@ -37,7 +37,7 @@
   void stop();
 
  private:
-  void end(CloseReason reason, bool close_it);
+  void end(CloseReason reason, ClosedBy closed_by);
   /// A part of `span`, drawn anew each time.
   Time jittered(Time span);
 
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -195,9 +195,9 @@
   local_cache.record_sent(not_modified ? copy->body.size() / kNotModifiedCostDivisor : copy->body.size(),
                           now);
   ++dependencies_.stats.counters.served_locally;
-  dependencies_.pending_requests.served(serve.request,
-                                        not_modified ? std::string_view() : std::string_view(copy->body),
-                                        copy->entity_tag, not_modified);
+  const ServedResponse response{not_modified ? std::string_view() : std::string_view(copy->body),
+                                copy->entity_tag, not_modified};
+  dependencies_.pending_requests.served(serve.request, response);
 }
 
 void RequestDispatcher::perform(const SetTimer& timer) {
