--- a/src/proxy/discovery/discovery_client.h
+++ b/src/proxy/discovery/discovery_client.h
@@ -1,9 +1,13 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The connection to the bulletin: kept up, read without gaps or repeats.
+/// The connection to the discovery service: kept up, and its event stream read without gaps or repeats.
 #pragma once
 
+#include <cstdint>
+#include <optional>
 #include <random>
+#include <string>
+#include <string_view>
 #include <vector>
 
 #include "codec/event_stream.h"
@@ -15,18 +19,20 @@
  public:
   DiscoveryClient(Context& context, const config::Config& config);
 
-  /// Opens the connection; called at the start and when Due::bulletin_connect is.
+  /// Opens the connection; called at the start and when a timer discovery_connect expires.
   void open();
   [[nodiscard]] bool owns(ConnectionId connection) const {
     return connection != 0 && connection == connection_;
   }
   void on_connected();
-  std::vector<codec::DiscoveryEvent> on_bytes(std::string_view on_bytes);
-  /// The bulletin is elsewhere now: its numbers go on, so what is missing is asked for there at once.
+  /// The events that are complete by now, each once and in their order.
+  std::vector<codec::DiscoveryEvent> on_bytes(std::string_view bytes);
+  /// The discovery service is at another address now: event numbers go on, so the events that are missing
+  /// are asked for there at once.
   void set_address(const std::string& address);
-  /// This program stood still: what has come meanwhile is still to be read.
+  /// The event loop stalled: what has come meanwhile is still to be read.
   void on_loop_stall();
-  /// Whether its news reach this side, as far as can be told.
+  /// Whether events arrive in time, as far as can be seen from here.
   [[nodiscard]] bool is_current() const {
     return is_connected_ && has_data_ && context_.now - last_line_ < kDiscoverySilenceLimit;
   }
@@ -38,7 +44,9 @@
 
  private:
   void end(CloseReason reason, ClosedBy closed_by);
-  /// A part of `span`, drawn anew each time.
+  std::optional<codec::DiscoveryEvent> parse(const codec::StreamEvent& frame);
+  bool is_gap_before(const codec::DiscoveryEvent& event);
+  /// A random part of `span`.
   Time jittered(Time span);
 
   Context& context_;
@@ -50,14 +58,15 @@
   bool is_connected_ = false;
   bool has_data_ = false;  ///< on this connection
   bool stopped_ = false;
-  Time opened_at_{0}, last_heard_{0};
-  Time last_line_{0};  ///< a line to its end, or the connection was opened
+  Time opened_at_{0};
+  Time last_heard_{0};
+  Time last_line_{0};  ///< a complete line, or the connection was opened
   Time backoff_;
   Time initial_timeout_;
   Time timeout_;  ///< with a connection that does not come up, or says nothing yet
   /// Knuth's generator of 64 bits.
   std::linear_congruential_engine<std::uint64_t, 6364136223846793005U, 1442695040888963407U, 0> random_;
-  std::uint64_t events_ = 0;
+  std::uint64_t event_count_ = 0;  ///< on this connection
   codec::EventStreamReader reader_;
 };
 
--- a/src/proxy/local_cache.cpp
+++ b/src/proxy/local_cache.cpp
@@ -4,30 +4,54 @@
 #include <algorithm>
 #include <charconv>
 #include <functional>
+#include <iterator>
+#include <optional>
 
 #include "proxy/resource_limits.h"
 
 namespace edge_proxy::proxy {
 namespace {
 
-std::uint64_t fingerprint(std::string_view tag, std::string_view body) {
+constexpr double kMaxTransferSlots = 64;
+constexpr std::uint64_t kFingerprintMultiplier = 0x9e3779b97f4a7c15;  // 2^64 / the golden ratio
+/// How far a cache's clock may be ahead of this one's.
+constexpr std::int64_t kMaxClockSkewMs = 1000;
+constexpr int kInvalidationRetentionFactor = 2;
+
+std::uint64_t fingerprint_of(std::string_view entity_tag, std::string_view body) {
   const std::hash<std::string_view> hash;
-  return hash(body) * 0x9e3779b97f4a7c15U + hash(tag);
+  return hash(body) * kFingerprintMultiplier + hash(entity_tag);
+}
+
+/// How many transfers the link carries at once.
+std::size_t transfer_slot_count(const config::Config& config) {
+  if (config.flow_bytes_per_s <= 0) return 0;
+  const double slots = config.link_bytes_per_s / config.flow_bytes_per_s;
+  return static_cast<std::size_t>(std::clamp(slots, 0.0, kMaxTransferSlots));
+}
+
+/// When a response says that its copy was created; none where it doesn't say, or names an impossible time.
+std::optional<Time> creation_time_of(const codec::CacheResponse& response, Time now) {
+  const auto field = codec::field_in(response.fields, "born");
+  if (!field) return std::nullopt;
+  std::int64_t milliseconds = 0;
+  const auto read = std::from_chars(field->data(), field->data() + field->size(), milliseconds);
+  if (read.ec != std::errc{} || milliseconds <= 0) return std::nullopt;
+  const std::int64_t now_ms = std::chrono::floor<std::chrono::milliseconds>(now).count();
+  if (milliseconds > now_ms + kMaxClockSkewMs) return std::nullopt;
+  return std::chrono::milliseconds(milliseconds);
 }
 
 }  // namespace
 
 LocalCache::LocalCache(const config::Config& config)
     : flow_bytes_per_s_(config.flow_bytes_per_s),
-      transfer_slots_free_at_(
-          flow_bytes_per_s_ > 0
-              ? static_cast<std::size_t>(std::clamp(config.link_bytes_per_s / flow_bytes_per_s_, 0.0, 64.0))
-              : 0),
+      transfer_slots_free_at_(transfer_slot_count(config)),
       max_bytes_(config.memory_bytes / kLocalCacheMemoryDivisor),
-      invalidation_retention_(2 * config.settings.invalidation_settled_after) {}
+      invalidation_retention_(kInvalidationRetentionFactor * config.settings.invalidation_settled_after) {}
 
-void LocalCache::resize(std::size_t memory) {
-  max_bytes_ = memory / kLocalCacheMemoryDivisor;
+void LocalCache::resize(std::size_t memory_bytes) {
+  max_bytes_ = memory_bytes / kLocalCacheMemoryDivisor;
   evict();
 }
 
@@ -35,7 +59,7 @@
   const auto found = by_key_.find(key);
   if (found == by_key_.end()) return nullptr;
   const CachedCopy& copy = *found->second;
-  // Guards against an answer that is just too old by the time it counts as written.
+  // Guards against a reply that is just too old by the time it counts as written.
   if (max_age.count() > 0 && now - copy.created_at >= max_age - kLocalCopyAgeMargin) {
     erase(found->second);
     return nullptr;
@@ -52,65 +76,68 @@
 
 void LocalCache::record_sent(std::size_t bytes, Time now) {
   if (transfer_slots_free_at_.empty()) return;
-  Time& lane = *std::min_element(transfer_slots_free_at_.begin(), transfer_slots_free_at_.end());
-  lane = std::max(lane, now) +
+  Time& slot = *std::min_element(transfer_slots_free_at_.begin(), transfer_slots_free_at_.end());
+  slot = std::max(slot, now) +
          Time{static_cast<std::int64_t>(static_cast<double>(bytes) / flow_bytes_per_s_ * 1e6)};
 }
 
-bool LocalCache::is_invalidated_since(Time born, const Key& key, std::int64_t group) const {
-  for (const InvalidationKey& what :
-       {InvalidationKey{true, key.object}, InvalidationKey{false, static_cast<std::uint64_t>(group)}}) {
-    const auto found = invalidations_.find(what);
-    if (found != invalidations_.end() && born <= found->second) return true;
+bool LocalCache::is_invalidated_since(Time created_at, const Key& key, std::int64_t group) const {
+  const InvalidationKey by_object{Scope::object, key.object};
+  const InvalidationKey by_group{Scope::group, static_cast<std::uint64_t>(group)};
+  for (const InvalidationKey& scope : {by_object, by_group}) {
+    const auto found = invalidations_.find(scope);
+    if (found != invalidations_.end() && created_at <= found->second) return true;
   }
   return false;
 }
 
-void LocalCache::insert(const Key& key, std::int64_t group, const codec::CacheResponse& answer, Time now) {
-  if (transfer_slots_free_at_.empty() || answer.body.empty() ||
-      answer.status != codec::CacheResponseStatus::hit)
-    return;
-  const auto tag = codec::field_in(answer.fields, "ver"), born = codec::field_in(answer.fields, "born");
-  std::int64_t ms = 0;
-  if (!tag || !born || std::from_chars(born->data(), born->data() + born->size(), ms).ec != std::errc{} ||
-      ms <= 0 || ms > std::chrono::floor<std::chrono::milliseconds>(now).count() + 1000)
-    return;
-  const Time at = std::chrono::milliseconds(ms);
-  const auto kept = by_key_.find(key);
-  // Guards the rule on purges: the answer may have been under way when the purge was told.
-  if (is_invalidated_since(at, key, group) || (kept != by_key_.end() && kept->second->created_at >= at))
-    return;
-  // Guards against serving noise again: what a peer spoilt on the way can't be told from an object, but does
-  // not come twice alike.
-  const std::uint64_t print = fingerprint(*tag, answer.body);
+void LocalCache::insert(const Key& key, std::int64_t group, const codec::CacheResponse& response, Time now) {
+  if (transfer_slots_free_at_.empty() || response.body.empty()) return;
+  if (response.status != codec::CacheResponseStatus::hit) return;
+  const auto entity_tag = codec::field_in(response.fields, "ver");
+  const auto created_at = creation_time_of(response, now);
+  if (!entity_tag || !created_at) return;
+  // Guards the rule on invalidations: the response may have been under way when one was announced.
+  if (is_invalidated_since(*created_at, key, group)) return;
+  const auto cached = by_key_.find(key);
+  if (cached != by_key_.end() && cached->second->created_at >= *created_at) return;
+  if (!has_come_before(key, fingerprint_of(*entity_tag, response.body))) return;
+  if (cached != by_key_.end()) erase(cached->second);
+  lru_.push_front({key, group, response.body, std::string(*entity_tag), *created_at});
+  by_key_[key] = lru_.begin();
+  bytes_ += response.body.size();
+  evict();
+}
+
+/// Guards against serving a corrupted body again and again: one that was corrupted on the way can't be told
+/// from an object, but does not come twice alike.
+bool LocalCache::has_come_before(const Key& key, std::uint64_t fingerprint) {
   const auto seen = seen_once_.find(key);
-  if (seen == seen_once_.end() || seen->second.first != print) {
-    if (seen != seen_once_.end()) seen_once_order_.erase(seen->second.second);
-    seen_once_[key] = {print, seen_once_order_.insert(seen_once_order_.end(), key)};
-    if (seen_once_.size() <= kLocalCacheSeenEntries) return;
+  if (seen != seen_once_.end()) {
+    if (seen->second.fingerprint == fingerprint) return true;
+    seen_once_order_.erase(seen->second.position);
+  }
+  seen_once_[key] = {fingerprint, seen_once_order_.insert(seen_once_order_.end(), key)};
+  if (seen_once_.size() > kLocalCacheSeenEntries) {
     seen_once_.erase(seen_once_order_.front());
     seen_once_order_.pop_front();
-    return;
   }
-  if (kept != by_key_.end()) erase(kept->second);
-  lru_.push_front({key, group, answer.body, std::string(*tag), at});
-  by_key_[key] = lru_.begin();
-  bytes_ += answer.body.size();
-  evict();
+  return false;
 }
 
-void LocalCache::invalidate(const codec::Invalidation& recall, Time now) {
-  const InvalidationKey what = recall.object
-                                   ? InvalidationKey{true, *recall.object}
-                                   : InvalidationKey{false, static_cast<std::uint64_t>(recall.group)};
-  Time& issued = invalidations_[what];
-  issued = std::max(issued, recall.issued_at);
+void LocalCache::invalidate(const codec::Invalidation& invalidation, Time now) {
+  const InvalidationKey scope =
+      invalidation.object ? InvalidationKey{Scope::object, *invalidation.object}
+                          : InvalidationKey{Scope::group, static_cast<std::uint64_t>(invalidation.group)};
+  Time& issued_at = invalidations_[scope];
+  issued_at = std::max(issued_at, invalidation.issued_at);
   for (auto copy = lru_.begin(); copy != lru_.end();) {
     const auto next = std::next(copy);
     if (is_invalidated_since(copy->created_at, copy->key, copy->group)) erase(copy);
     copy = next;
   }
-  std::erase_if(invalidations_, [&](const auto& e) { return now - e.second > invalidation_retention_; });
+  std::erase_if(invalidations_,
+                [&](const auto& entry) { return now - entry.second > invalidation_retention_; });
 }
 
 void LocalCache::erase(LruList::iterator copy) {
--- a/src/proxy/resource_limits.h
+++ b/src/proxy/resource_limits.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// All bounds of the socket side: what one connection, one client and all together may hold or take up.
+/// All bounds of the socket side: what one connection, one client and all together may hold or take up. Sizes
+/// are in bytes.
 #pragma once
 
 #include <algorithm>
@@ -10,30 +11,31 @@
 
 namespace edge_proxy::proxy {
 
-/// Of all classes of the settings.
+/// The longest deadline of all classes of the settings.
 inline Time longest_deadline(const Settings& settings) {
   Time longest{0};
-  for (const RequestClass& c : settings.classes) longest = std::max(longest, c.deadline);
+  for (const RequestClass& request_class : settings.classes)
+    longest = std::max(longest, request_class.deadline);
   return longest;
 }
 
 // ---- Time ----
 
-/// From connecting to the first whole message, and from a message's first byte to its last.
+/// From connecting to the first complete message, and from a message's first byte to its last.
 constexpr Time kMessageTimeout = std::chrono::milliseconds(2500);
-/// A client that has said nothing for this long makes room before those that have.
+/// A client that has sent nothing for this long makes room before those that have.
 constexpr Time kFirstByteTimeout = std::chrono::milliseconds(500);
-/// Without any input for this long, timers included, the program itself stood still.
+/// Without any input for this long, timers included, the event loop itself has stalled.
 constexpr Time kLoopStallThreshold = std::chrono::milliseconds(500);
 /// Clients close idle connections after 4 s; this is for those that keep one for good.
 constexpr Time kClientIdle = std::chrono::seconds(6);
-/// How long a client that is turned away may take to read why; likewise an operator his answer.
+/// How long a client whose connection drains may take to read the last reply; likewise an operator.
 constexpr Time kDrainTimeout = std::chrono::milliseconds(500);
-/// From connecting at the second address to the whole call.
+/// From connecting at the admin address to the complete call.
 constexpr Time kAdminCallTimeout = std::chrono::seconds(10);
-/// How often what another process of this edge proxy keeps is looked at.
+/// How often the overrides that another process of this edge proxy has stored are read.
 constexpr Time kOverridesPollInterval = std::chrono::milliseconds(100);
-/// For how long it is known that operators put a member back: longer than any takes to get warm.
+/// How long a resumed endpoint's override is remembered: longer than any slow start takes.
 constexpr Time kOverrideRetention = std::chrono::seconds(60);
 
 // After SIGTERM new connections and requests keep coming for some time. Then each connection ends at the
@@ -48,21 +50,22 @@
 /// A connection on which nothing has happened for this long has no request on its way; a new one may have.
 constexpr Time kQuietPeriod = std::chrono::milliseconds(2);
 constexpr Time kInitialQuietPeriod = std::chrono::milliseconds(100);
-/// Answers that clients have not taken this long after the last one was due are cut off: nobody waits for
+/// Replies that clients have not read this long after the last one was due are dropped: nobody waits for
 /// them, and the process has to be gone before it may be killed.
 constexpr Time kFlushAfterShutdown = std::chrono::milliseconds(200);
 
 // ---- One connection ----
 
-/// Read at most from a connection that ends with the news that its cache has gone: what its buffers hold.
+/// Read at most from a connection that ends since its cache was removed from the list: what its buffers hold.
 constexpr std::size_t kMaxDrainBytes = 8 * 1024 * 1024;
 
-/// What it may send after it was turned away, which is thrown away.
+/// What a client may send while its connection drains; it is discarded.
 constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
 constexpr std::size_t kMaxOpenCalls = 32;
-/// Connections at the second address.
+/// Connections at the admin address.
 constexpr int kMaxAdminConnections = 32;
-/// Members that operators may take out, and members that left of which it is known that they were listed.
+/// Endpoints that operators may suspend, and removed endpoints of which it is remembered that they were
+/// listed.
 constexpr std::size_t kMaxOverrides = 1024;
 constexpr std::size_t kMaxRemovedEndpoints = 256;
 /// Read from a client, and from another peer, before the other sockets have their turn; likewise accepted.
@@ -70,50 +73,51 @@
 constexpr std::size_t kReadChunkBytes = 64 * 1024;
 constexpr int kReadsPerTurn = 4;
 constexpr int kAcceptsPerTurn = 16;
-/// After the system gave no descriptor for a client, the next is asked for this much later.
+/// After the system gave no descriptor for a client, the next accept is tried this much later.
 constexpr Time kAcceptRetryDelay = std::chrono::milliseconds(100);
 /// Ready sockets taken from the system at once.
 constexpr int kMaxReadyEvents = 1024;
 constexpr int kListenBacklog = 512;
-/// Room for what is to be sent that a connection keeps once all is sent.
+/// Capacity of the write buffer that a connection keeps once all is sent.
 constexpr std::size_t kRetainedWriteBufferBytes = 16 * 1024;
-/// Lines a second on attempts that ended wrong.
+/// Log lines a second on attempts that failed.
 constexpr int kMaxFailedAttemptLines = 16;
 /// Of log lines that standard output does not take at the moment.
 constexpr std::size_t kMaxBufferedLogBytes = 64 * 1024;
 
-// ---- Copies of its own ----
+// ---- The local cache ----
 
-/// The part of the memory that they may take: 1 / this.
+/// The part of the memory that its copies may take: 1 / this.
 constexpr std::size_t kLocalCacheMemoryDivisor = 7;
-/// Parts of objects of which it is known what came last.
+/// Responses that came once and are remembered until they come again.
 constexpr std::size_t kLocalCacheSeenEntries = 4096;
 /// A copy is not served any more this long before it is too old.
 constexpr Time kLocalCopyAgeMargin = std::chrono::milliseconds(100);
-/// Without a word from the bulletin for this long, none is: purges may have been told in vain.
+/// Without a line from the discovery service for this long none is served: invalidations may have been
+/// missed.
 constexpr Time kDiscoverySilenceLimit = std::chrono::milliseconds(1500);
 
-// ---- All together, by the limits that the configuration tells ----
+// ---- All together, by the limits of the configuration ----
 
 /// Descriptors that are no connections of the kinds below: standard streams, the loop's own, listeners, the
-/// file that is kept, the bulletin, one client that is accepted before another one makes room for it.
+/// overrides file, the discovery service, one client that is accepted before another makes room for it.
 constexpr int kOtherDescriptors = 16;
-/// The peers' own, beside their exchanges: datagrams, a listener, the file that is kept.
+/// Those of the membership, beside its full syncs: datagrams, a listener, the file that is stored.
 constexpr int kMembershipDescriptors = 4;
 
 /// The kinds of connections have parts of the descriptors of their own, so that none can take what another
 /// needs, and all together stay within the limit.
 struct ResourceLimits {
-  int descriptors = 0;           ///< descriptors
-  int client_connections = 0;    ///< clients' connections: half of them
+  int descriptors = 0;           ///< all together
+  int client_connections = 0;    ///< connections of clients: half of them
   int draining_connections = 0;  ///< and so many more that end, so that what was written can still be read
-  int admin_connections = 0;     ///< connections at the second address
+  int admin_connections = 0;     ///< connections at the admin address
   int upstream_connections = 0;  ///< connections to caches: a third, or what is left
   Time unread_timeout{0};        ///< nobody waits longer for an answer
-  std::size_t body_bytes = 0;    ///< bytes of open requests' bodies
-  std::size_t unsent_bytes = 0;  ///< answers that wait to be read, of all clients
-  std::size_t reject_unsent_bytes = 0;  ///< of one client: new requests are refused at once
-  std::size_t disconnect_unsent_bytes = 0;
+  std::size_t body_bytes = 0;    ///< bodies of pending requests
+  std::size_t unsent_bytes = 0;  ///< replies that wait to be read, of all clients
+  std::size_t reject_unsent_bytes = 0;      ///< of one client: new requests are rejected at once
+  std::size_t disconnect_unsent_bytes = 0;  ///< of one client: it is disconnected
 
   explicit ResourceLimits(const config::Config& config)
       : descriptors(config.max_descriptors),
