--- a/src/proxy/client/client_connections.cpp
+++ b/src/proxy/client/client_connections.cpp
@@ -26,9 +26,9 @@
   const std::optional<ConnectionId> other = full ? idlest_connection() : std::nullopt;
   connections_.emplace(id, std::move(client));
   if (full) drain(other.value_or(id), CloseReason::too_many);
-  while (connections_.size() >
-         static_cast<std::size_t>(context_.limits.client_connections + context_.limits.draining_connections))
-    close_oldest_draining();
+  const auto max_connections =
+      static_cast<std::size_t>(context_.limits.client_connections + context_.limits.draining_connections);
+  while (connections_.size() > max_connections) close_oldest_draining();
 }
 
 /// Guards the clients that send requests against those that open connections by the hundred and say nothing:
@@ -118,7 +118,7 @@
 
 bool ClientConnections::has_open_call(ConnectionId id, CallId call) const {
   const auto found = connections_.find(id);
-  return found != connections_.end() && found->second.open_calls.count(call) != 0;
+  return found != connections_.end() && found->second.open_calls.contains(call);
 }
 
 std::vector<std::string> ClientConnections::drain(ConnectionId id, CloseReason reason,
@@ -176,13 +176,15 @@
     auto& due = expiry->ending == Ending::drain ? to_drain : to_close;
     due.emplace_back(id, expiry->reason);
   }
-  if (to_close.empty() && unsent_bytes_ > context_.limits.unsent_bytes)
+  if (to_close.empty() && unsent_bytes_ > context_.limits.unsent_bytes) {
     to_close.emplace_back(connection_with_most_unsent(), CloseReason::backlog);
+  }
   for (const auto& [id, reason] : to_drain) drain(id, reason);
   std::vector<std::string> open_requests;
   for (const auto& [id, reason] : to_close) {
-    for (std::string& request : close(id, reason, ClosedBy::proxy))
+    for (std::string& request : close(id, reason, ClosedBy::proxy)) {
       open_requests.push_back(std::move(request));
+    }
   }
   return open_requests;
 }
@@ -196,8 +198,9 @@
   if (has_unread_replies(client, inactive)) return Expiry{CloseReason::backlog, Ending::close};
   // Guards the descriptors against clients that send nothing, or half a message, and stay.
   const bool awaits_message = client.message_started_at.count() != 0 && client.open_calls.empty();
-  if (awaits_message && context_.now - client.message_started_at >= kMessageTimeout)
+  if (awaits_message && context_.now - client.message_started_at >= kMessageTimeout) {
     return Expiry{CloseReason::no_message, Ending::drain};
+  }
   if (is_idle(client) && inactive >= kClientIdle) return Expiry{CloseReason::idle, Ending::drain};
   return std::nullopt;
 }
@@ -218,8 +221,9 @@
 void ClientConnections::drain_quiet() {
   for (const auto& [id, client] : connections_) {
     if (!client.draining_for && is_idle(client) &&
-        context_.now - client.active_at >= (client.has_sent_message ? kQuietPeriod : kInitialQuietPeriod))
+        context_.now - client.active_at >= (client.has_sent_message ? kQuietPeriod : kInitialQuietPeriod)) {
       drain(id, CloseReason::stopping);
+    }
   }
 }
 
--- a/src/proxy/reducer.cpp
+++ b/src/proxy/reducer.cpp
@@ -212,8 +212,9 @@
       const auto call = admin_connections_.on_bytes(input.connection, input.bytes);
       if (call) execute_admin_call(input.connection, *call);
     } else if (discovery_client_.owns(input.connection)) {
-      for (const codec::DiscoveryEvent& event : discovery_client_.on_bytes(input.bytes))
+      for (const codec::DiscoveryEvent& event : discovery_client_.on_bytes(input.bytes)) {
         discovery_handler_.apply(event, DiscoveryHandler::EventSource::discovery_service);
+      }
     }
   }
 
@@ -260,8 +261,9 @@
   /// Applies what can change while the proxy runs. Requests, connections and the place in the event stream
   /// are kept.
   void on(const Reloaded& input) {
-    for (const std::string& key : config::restart_only_keys(config_, input.config))
+    for (const std::string& key : config::restart_only_keys(config_, input.config)) {
       context_.log("reload kept key=" + key + " until the next start");
+    }
     config_.discovery_address = input.config.discovery_address;
     config_.max_descriptors = input.config.max_descriptors;
     config_.memory_bytes = input.config.memory_bytes;
@@ -298,8 +300,9 @@
   /// and answers what comes of it.
   void run_policy() {
     if (!policy_.is_enabled()) return;
-    for (const membership::UserMessageReceived& message : membership_.take_user_messages())
+    for (const membership::UserMessageReceived& message : membership_.take_user_messages()) {
       policy_.on_user_message(message);
+    }
     policy_.update_members();
     policy_.run_timers();
     apply_changed_policy();
@@ -325,8 +328,9 @@
     const auto zone = static_cast<std::size_t>(settings_.zone);
     const auto& routers_by_zone = settings_.routers_by_zone;
     const int zone_size = zone < routers_by_zone.size() ? routers_by_zone[zone] : settings_.router_count;
-    if (const auto quota = membership_.take_changed_quota(settings_.router_count, zone_size))
+    if (const auto quota = membership_.take_changed_quota(settings_.router_count, zone_size)) {
       dispatcher_.notify_router(*quota);
+    }
   }
 
   config::Config config_;  // as reloaded; its settings are those of the start or of the policy in force
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -27,8 +27,9 @@
   Request request = pending.request;
   pending.accepted_epoch = dependencies_.policy.epoch().value_or(0);
   if (dependencies_.policy.is_tracing()) trace("taken", request.id, pending.accepted_epoch);
-  if (has_usable_local_copy(pending))
+  if (has_usable_local_copy(pending)) {
     request.local_copy_wait = dependencies_.local_cache.transfer_wait(context.now);
+  }
   dependencies_.pending_requests.add(std::move(pending));
   context.timers.add(request.expires, Timer::request_expired(request.id));
   notify_router(request);
@@ -59,8 +60,9 @@
   const PendingRequest* pending = dependencies_.pending_requests.find(request);
   if (pending == nullptr) return;
   const int attempt_count = pending->attempt_count;
-  for (int attempt = 0; attempt < attempt_count; ++attempt)
+  for (int attempt = 0; attempt < attempt_count; ++attempt) {
     dependencies_.upstream.time_out_attempt(request, attempt);
+  }
   dependencies_.pending_requests.failed(request);
   notify_router(RequestCancelled{request});
 }
@@ -143,8 +145,9 @@
   upstream_request.decided_at = now;
   upstream_request.expires_at = now;  // not sent, unless somebody waits for it
   upstream_request.max_copy_age = attempt.max_copy_age;
-  if (PendingRequest* pending = dependencies_.pending_requests.find(attempt.request))
+  if (PendingRequest* pending = dependencies_.pending_requests.find(attempt.request)) {
     fill_from_pending(upstream_request, attempt, *pending);
+  }
   dependencies_.upstream.start_attempt(std::move(upstream_request));
 }
 
@@ -157,8 +160,9 @@
   upstream_request.group = pending.request.group;
   upstream_request.expires_at = pending.request.expires;
   if (attempt.send_within > Time{0}) upstream_request.send_before = now + attempt.send_within;
-  if (attempt.timeout > Time{0})
+  if (attempt.timeout > Time{0}) {
     upstream_request.expires_at = std::min(upstream_request.expires_at, now + attempt.timeout);
+  }
   // Guards the next epoch against attempts under the one before: they are not sent.
   if (!dependencies_.policy.can_attempt(pending.accepted_epoch)) upstream_request.expires_at = now;
   if (dependencies_.policy.is_tracing()) {
