--- a/src/proxy/request_dispatcher.h
+++ b/src/proxy/request_dispatcher.h
@@ -65,8 +65,8 @@
   void perform(const CheckHealth& check);
   void perform(const LogMessage& message);
   // The discovery service reports each change of the endpoint list by itself.
-  static void perform(const FetchEndpointList&) {}
-  static void perform(const SubscribeEndpointList&) {}
+  void perform(const FetchEndpointList&) {}
+  void perform(const SubscribeEndpointList&) {}
 
   Dependencies dependencies_;
 };
