--- a/src/consensus/codec.h
+++ b/src/consensus/codec.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Messages and entries of agreement as bytes, through Protocol Buffers. Every field is checked.
+/// Messages and entries of consensus as bytes, through Protocol Buffers. Every field is checked.
 #pragma once
 
 #include <optional>
@@ -18,7 +18,7 @@
 class RaftMessage;
 }  // namespace pb
 
-/// What the log's own servers tell each other goes on as the bytes that came.
+/// Raft's own messages are passed on as the bytes that came.
 struct RaftMessage {
   std::string bytes;  ///< of a pb::RaftMessage
 };
@@ -33,7 +33,7 @@
 std::string encode(const pb::BootstrapMessage& message, Time lease);
 /// None where it is malformed, holds a value out of its range, or comes from one whose leases are other than
 /// `lease`
-/// (`unlike` tells that).
+/// (`unlike` is set to true then).
 std::optional<UserMessage> decode(std::string_view bytes, Time lease, bool* unlike = nullptr);
 
 std::string encode(const Entry& entry);
--- a/src/consensus/epoch_lease.h
+++ b/src/consensus/epoch_lease.h
@@ -12,19 +12,19 @@
 
 class EpochLease {
  public:
-  /// `first`: greater than any number that an earlier process of this member has used. Guards against a
-  /// Grant for an earlier process that comes late.
+  /// `first_request`: greater than any number that an earlier process of this member has used. Guards
+  /// against a late LeaseGrant for an earlier process.
   explicit EpochLease(std::uint64_t first_request) : last_request_(first_request) {}
 
-  /// The number of a new Ask, counted from `now`.
+  /// The number of a new LeaseRequest; a lease granted on it is counted from `now`.
   std::uint64_t new_request(Time now) {
-    // Only the newest few count: an answer to an older one would be worth little.
+    // Only the newest few count: little would be left of a lease granted on an older one.
     if (requested_at_.size() >= kMaxOutstandingRequests) requested_at_.erase(requested_at_.begin());
     requested_at_[++last_request_] = now;
     return last_request_;
   }
-  /// Whether that changed which epoch is held. `active`: what its own register has come to: it holds no
-  /// other.
+  /// Whether that changed which epoch is held. `active`: the epoch of its own state machine: no other is
+  /// held.
   bool on_grant(const LeaseGrant& grant, Epoch active, Time now) {
     const auto found = requested_at_.find(grant.request_number);
     if (found == requested_at_.end() || grant.epoch != active) return false;
@@ -36,7 +36,7 @@
     epoch_ = grant.epoch;
     return !before;
   }
-  /// Decides nothing under it any more, nor by what was asked for so far. Guards against a Grant on its way.
+  /// Ends the lease and forgets all requests so far. Guards against a LeaseGrant that is on its way.
   void revoke() {
     requested_at_.clear();
     expires_at_ = Time{0};
@@ -53,7 +53,7 @@
   static constexpr std::size_t kMaxOutstandingRequests = 4;
 
   std::uint64_t last_request_;
-  std::map<std::uint64_t, Time> requested_at_;  // when
+  std::map<std::uint64_t, Time> requested_at_;  // by number
   Epoch epoch_ = 0;
   Time expires_at_{0};
 };
--- a/src/consensus/policy_state_machine.cpp
+++ b/src/consensus/policy_state_machine.cpp
@@ -6,17 +6,17 @@
 namespace edge_proxy::consensus {
 namespace {
 
-constexpr std::size_t kOutcomes = 64;
+constexpr std::size_t kMaxOutcomes = 64;
 
 }  // namespace
 
-PolicyStateMachine::PolicyStateMachine(Snapshot whole)
-    : index_(whole.index),
-      epoch_(whole.epoch),
-      key_(std::move(whole.key)),
-      policy_(std::move(whole.policy)),
-      outcomes_(whole.outcomes.begin(), whole.outcomes.end()) {
-  if (!whole.change.empty()) change_ = std::move(whole.change.front());
+PolicyStateMachine::PolicyStateMachine(Snapshot snapshot)
+    : index_(snapshot.index),
+      epoch_(snapshot.epoch),
+      key_(std::move(snapshot.key)),
+      policy_(std::move(snapshot.policy)),
+      outcomes_(snapshot.outcomes.begin(), snapshot.outcomes.end()) {
+  if (!snapshot.change.empty()) change_ = std::move(snapshot.change.front());
 }
 
 Snapshot PolicyStateMachine::snapshot() const {
@@ -28,7 +28,7 @@
 void PolicyStateMachine::apply(Index index, const Entry& entry) {
   if (index <= index_) return;
   index_ = index;
-  const bool its = change_ && change_->id == entry.change;
+  const bool is_current = change_ && change_->id == entry.change;
   switch (entry.step) {
     case Step::propose:
       // Guards against a call that was repeated, or forwarded twice: one key is one change.
@@ -42,10 +42,10 @@
       change_ = Change{index, epoch_ + 1, entry.key, entry.policy, false};
       return;
     case Step::commit:
-      if (its) change_->committed = true;
+      if (is_current) change_->committed = true;
       return;
     case Step::activate:
-      if (!its || !change_->committed) return;
+      if (!is_current || !change_->committed) return;
       epoch_ = change_->epoch;
       key_ = change_->key;
       policy_ = change_->policy;
@@ -53,16 +53,16 @@
       break;
     case Step::abort:
       // Guards what all have prepared: once committed, a change is not taken back.
-      if (!its || change_->committed) return;
+      if (!is_current || change_->committed) return;
       finish_change(ChangeResult::aborted, entry.reason);
       break;
   }
   // Guards the memory against callers without end: what became of old changes is dropped.
-  if (outcomes_.size() > kOutcomes) outcomes_.pop_front();
+  if (outcomes_.size() > kMaxOutcomes) outcomes_.pop_front();
 }
 
-void PolicyStateMachine::finish_change(ChangeResult fate, std::string reason) {
-  outcomes_.push_back({change_->key, fate, epoch_, std::move(reason)});
+void PolicyStateMachine::finish_change(ChangeResult result, std::string reason) {
+  outcomes_.push_back({change_->key, result, epoch_, std::move(reason)});
   change_.reset();
 }
 
--- a/src/consensus/policy_state_machine.h
+++ b/src/consensus/policy_state_machine.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What the log has come to: the active policy, the change under way, what became of earlier ones. Alike on
-/// all proxies that have applied the same entries. No I/O, no clock.
+/// The state that the log leads to: the active policy, the change under way, the outcomes of earlier ones.
+/// Equal on all proxies that have applied the same entries. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 class PolicyStateMachine {
  public:
   PolicyStateMachine() = default;
-  explicit PolicyStateMachine(Snapshot whole);
+  explicit PolicyStateMachine(Snapshot snapshot);
 
-  /// Entries in the order of the log; what is not above index() is passed over.
+  /// Entries in the order of the log; entries up to index() are ignored.
   void apply(Index index, const Entry& entry);
   /// The log has come that far without an entry of this kind.
   void advance_to(Index index) { index_ = std::max(index_, index); }
@@ -34,7 +34,7 @@
   [[nodiscard]] Snapshot snapshot() const;
 
  private:
-  void finish_change(ChangeResult fate, std::string reason);
+  void finish_change(ChangeResult result, std::string reason);
 
   Index index_ = 0;
   Epoch epoch_ = 0;
--- a/src/consensus/types.h
+++ b/src/consensus/types.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What edge proxies agree on, and what they tell each other on the way (docs/consensus.md). Plain values.
+/// Entries of the replicated log and messages between edge proxies (docs/consensus.md). Plain values.
 #pragma once
 
 #include <chrono>
@@ -66,7 +66,7 @@
 
 // ---- Messages ----
 
-/// A lease on the active epoch is wanted. The member counts it from when this went.
+/// Asks the leader for a lease on the active epoch. The member counts it from when this was sent.
 struct LeaseRequest {
   std::uint64_t number = 0;
   auto operator<=>(const LeaseRequest&) const = default;
@@ -89,7 +89,7 @@
   std::uint64_t round = 0;
   auto operator<=>(const LeadershipCheckReply&) const = default;
 };
-/// The log has come this far; and who leads it.
+/// How far the sender's log has come, and who leads it.
 struct LogPosition {
   Index index = 0;
   std::string leader;  ///< empty: not known
@@ -101,7 +101,7 @@
   std::string reason;
   auto operator<=>(const PrepareReply&) const = default;
 };
-/// No more decisions under that epoch. `term`: of the leadership that asks.
+/// The member is to give up its lease on that epoch. `term`: of the leadership that asks.
 struct LeaseRevocation {
   Term term = 0;
   Epoch epoch = 0;
@@ -123,7 +123,7 @@
   Index change = 0;
   auto operator<=>(const AbortRequest&) const = default;
 };
-/// What stands in the log behind that place is wanted, from whoever has it.
+/// Asks any member for the entries behind that index.
 struct CatchUpRequest {
   Index after_index = 0;
   auto operator<=>(const CatchUpRequest&) const = default;
@@ -134,7 +134,7 @@
   std::vector<std::pair<Index, Entry>> entries;  ///< all up to there
   auto operator<=>(const CatchUpResponse&) const = default;
 };
-/// All that the log has come to: for one that is too far behind for CatchUpResponse.
+/// The whole state that the log has led to: for a member that is too far behind for CatchUpResponse.
 struct Snapshot {
   Index index = 0;
   Epoch epoch = 0;
