--- a/src/consensus/raft_io_table.cpp
+++ b/src/consensus/raft_io_table.cpp
@@ -38,10 +38,10 @@
   // A log is never begun anew from the servers that are left: docs/consensus.md, "What remains".
   io_.recover = [](raft_io*, const raft_configuration*) -> int { return RAFT_INVALID; };
   io_.set_term = [](raft_io* io, raft_term term) {
-    return from(io).write_status(from(io).context_.storage.set_term(term));
+    return write_status(from(io).context_.storage.set_term(term));
   };
   io_.set_vote = [](raft_io* io, raft_id server) {
-    return from(io).write_status(from(io).context_.storage.set_vote(server));
+    return write_status(from(io).context_.storage.set_vote(server));
   };
   io_.append = [](raft_io* io, raft_io_append* request, const raft_entry* entries, unsigned count,
                   raft_io_append_cb done) {
