--- a/tests/routing/source_layout_test.cpp
+++ b/tests/routing/source_layout_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int kMaxLines = 1000;  // that are not blank
+constexpr int kMaxLines = 600;  // that are not blank
 constexpr std::size_t kMaxColumns = 110;
 
 void check_file(const std::filesystem::path& path) {
