--- a/tools/run_ctest.sh
+++ b/tools/run_ctest.sh
@@ -8,7 +8,8 @@
 build=$1
 
 # Names as ctest lists them; further arguments choose among them.
-list_tests() { ctest --test-dir "$build" --show-only "$@" | sed -n -e 's/ (Disabled)$//' -e 's/^ *Test *#[0-9]*: //p'; }
+list_tests_in() { ctest --test-dir "$1" --show-only "${@:2}" | sed -n -e 's/ (Disabled)$//' -e 's/^ *Test *#[0-9]*: //p'; }
+list_tests() { list_tests_in "$build" "$@"; }
 all_tests=$(list_tests)
 [ -n "$all_tests" ] || { echo "no tests in $build"; exit 1; }
 
@@ -36,7 +37,7 @@
   echo "subdirs(\"$build\")"
   sort -u <<<"$serial" | sed 's/.*/set_tests_properties([==[&]==] PROPERTIES RUN_SERIAL ON)/'
 } >"$ordered/CTestTestfile.cmake"
-[ "$(ctest --test-dir "$ordered" --show-only | sed -n 's/^ *Test *#[0-9]*: //p' | sort)" = "$(sort <<<"$all_tests")" ] ||
+[ "$(list_tests_in "$ordered" | sort)" = "$(sort <<<"$all_tests")" ] ||
   { echo "the tests of $ordered and $build differ"; exit 1; }
 
 failed_log=$ordered/Testing/Temporary/LastTestsFailed.log
