--- a/bench/slow_start_figures.cpp
+++ b/bench/slow_start_figures.cpp
@@ -27,10 +27,10 @@
       {"quiet", plan([](auto& p) { p.load = 0.4; })},
       {"no sizes", plan([](auto& p) { p.sizes_told = false; })},
       {"no sizes, restarted", plan([](auto& p) { p.sizes_told = false, p.restarted = 1; })},
-      {"rough weights", plan([](auto& p) { p.weights = Weights::rough; })},
-      {"no weights", plan([](auto& p) { p.weights = Weights::none; })},
-      {"no weights, quiet", plan([](auto& p) { p.weights = Weights::none, p.load = 0.4; })},
-      {"no weights or sizes", plan([](auto& p) { p.weights = Weights::none, p.sizes_told = false; })},
+      {"rough weights", plan([](auto& p) { p.weights = WeightMeaning::rough; })},
+      {"no weights", plan([](auto& p) { p.weights = WeightMeaning::none; })},
+      {"no weights, quiet", plan([](auto& p) { p.weights = WeightMeaning::none, p.load = 0.4; })},
+      {"no weights or sizes", plan([](auto& p) { p.weights = WeightMeaning::none, p.sizes_told = false; })},
   };
   std::printf(
       "routers plan                     worst: cache parent  over 2: cache parent  used: cache parent  "
--- a/include/edge_proxy/router.h
+++ b/include/edge_proxy/router.h
@@ -39,7 +39,7 @@
 
 /// What the weights in the endpoint list mean. `nominal` and `rough` tell the endpoints' sizes; the router
 /// uses no others.
-enum class Weights { none, nominal, rough, live };
+enum class WeightMeaning { none, nominal, rough, live };
 
 /// How load reports reach the router: not at all, with health checks, or with the outcomes of attempts.
 enum class ReportVia { none, probes, answers };
@@ -121,7 +121,7 @@
   Time poll_within{0};
   bool marks_client_retries = false;
   ReportVia report_via = ReportVia::none;
-  Weights weights = Weights::none;
+  WeightMeaning weights = WeightMeaning::none;
   CostWeights cost_weights;
 };
 
--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -10,10 +10,10 @@
 namespace edge_proxy {
 
 /// Start value of FNV-1a, its "offset basis".
-constexpr std::uint64_t kFnvStart = 0xcbf29ce484222325U;
+constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325U;
 
 /// FNV-1a of `text`. To hash several texts as one, pass the hash of those before as `hash`.
-[[nodiscard]] constexpr std::uint64_t fnv1a(std::string_view text, std::uint64_t hash = kFnvStart) {
+[[nodiscard]] constexpr std::uint64_t fnv1a(std::string_view text, std::uint64_t hash = kFnvOffsetBasis) {
   constexpr std::uint64_t kPrime = 0x100000001b3U;
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * kPrime;
   return hash;
--- a/src/base/sliding_window_counter.h
+++ b/src/base/sliding_window_counter.h
@@ -42,15 +42,15 @@
 
   [[nodiscard]] std::size_t entries() const { return entries_.size(); }
 
-  /// The `most` keys with the highest counts; equal counts go by key, so the order is fixed.
-  [[nodiscard]] std::vector<std::uint64_t> top(std::size_t most) const {
-    std::vector<std::pair<std::uint64_t, std::size_t>> all(counts_.begin(), counts_.end());
-    const auto kept = all.begin() + static_cast<std::ptrdiff_t>(std::min(most, all.size()));
-    std::partial_sort(all.begin(), kept, all.end(), [](const auto& a, const auto& b) {
+  /// The `limit` keys with the highest counts; equal counts go by key, so the order is fixed.
+  [[nodiscard]] std::vector<std::uint64_t> top(std::size_t limit) const {
+    std::vector<std::pair<std::uint64_t, std::size_t>> counts(counts_.begin(), counts_.end());
+    const auto top_end = counts.begin() + static_cast<std::ptrdiff_t>(std::min(limit, counts.size()));
+    std::partial_sort(counts.begin(), top_end, counts.end(), [](const auto& a, const auto& b) {
       return a.second != b.second ? a.second > b.second : a.first < b.first;
     });
     std::vector<std::uint64_t> keys;
-    for (auto it = all.begin(); it != kept; ++it) keys.push_back(it->first);
+    for (auto it = counts.begin(); it != top_end; ++it) keys.push_back(it->first);
     return keys;
   }
 
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -26,7 +26,7 @@
   settings.tick = fields.time("tick", Time{0});
   const auto discovery = fields.enumerator("discovery", kDiscoveryModeWords, DiscoveryMode::pushed);
   settings.subscription_required = discovery == DiscoveryMode::on_request;
-  settings.weights = fields.enumerator("weights", kWeightsWords, Weights::none);
+  settings.weights = fields.enumerator("weights", kWeightsWords, WeightMeaning::none);
 }
 
 /// What belongs to content networks alone.
--- a/src/event_loop/consensus_worker.cpp
+++ b/src/event_loop/consensus_worker.cpp
@@ -46,9 +46,9 @@
   if (!log_.can_confirm_leadership(request.check.term)) return;
   const consensus::LeadershipCheckReply reply{request.check.term, request.check.round};
   if (request.from == name_) {
-    output_.inputs.emplace_back(consensus::MessageReceived{name_, reply});
+    output_.consensus_inputs.emplace_back(consensus::MessageReceived{name_, reply});
   } else {
-    output_.messages.emplace_back(request.from, consensus::encode(reply, lease_));
+    output_.outgoing_messages.emplace_back(request.from, consensus::encode(reply, lease_));
   }
 }
 
@@ -67,10 +67,10 @@
 void ConsensusWorker::perform(const proxy::VoterChangeCall& call) {
   const bool has_begun = call.add ? add_voter(call.name) : log_.remove_voter(call.name, log_output_);
   if (has_begun) {
-    output_.replies.emplace_back(call.call, kHttpAccepted, "begun: see the log and GET /v1/policy\n");
+    output_.admin_replies.emplace_back(call.call, kHttpAccepted, "begun: see the log and GET /v1/policy\n");
   } else {
-    output_.replies.emplace_back(call.call, kHttpConflict,
-                                 "ask the leader, with NAME=ID to add, while no other voter changes\n");
+    output_.admin_replies.emplace_back(call.call, kHttpConflict,
+                                       "ask the leader, with NAME=ID to add, while no other voter changes\n");
   }
 }
 
@@ -88,17 +88,17 @@
 std::optional<proxy::ConsensusOutput> ConsensusWorker::take_output() {
   proxy::ConsensusOutput output = std::exchange(output_, {});
   consensus::RaftLog::Output log_output = std::exchange(log_output_, {});
-  move_to_end(log_output.messages, output.messages);
-  move_to_end(log_output.inputs, output.inputs);
+  move_to_end(log_output.messages, output.outgoing_messages);
+  move_to_end(log_output.inputs, output.consensus_inputs);
   move_to_end(log_output.log_lines, output.log_lines);
   auto voters = log_.voters();
   const bool voters_changed = voters != reported_voters_;
   reported_voters_ = std::move(voters);
-  if (output.messages.empty() && output.inputs.empty() && output.log_lines.empty() &&
-      output.replies.empty() && !voters_changed)
+  if (output.outgoing_messages.empty() && output.consensus_inputs.empty() && output.log_lines.empty() &&
+      output.admin_replies.empty() && !voters_changed)
     return std::nullopt;
   output.voters = reported_voters_;
-  output.raft_id = log_.id();
+  output.own_raft_id = log_.id();
   return output;
 }
 
--- a/src/event_loop/server.cpp
+++ b/src/event_loop/server.cpp
@@ -52,7 +52,7 @@
 
 void Server::run() {
   load_overrides();
-  handle(proxy::TimerExpired{});  // performs the effects of the start itself
+  handle(proxy::LoopTimerExpired{});  // performs the effects of the start itself
   perform(proxy::LogLine{"listening"});
   g_main_loop_run(loop_.get());
 }
@@ -101,7 +101,7 @@
 
 void Server::on_timer() {
   poll();  // input that has arrived goes before timers that are due
-  handle(proxy::TimerExpired{});
+  handle(proxy::LoopTimerExpired{});
 }
 
 void Server::on_shutdown_signal() { handle(proxy::ShutdownRequested{}); }
@@ -190,7 +190,7 @@
   const proxy::ConnectionId id = connection.id();
   const bool was_reset = connection.discard_input() == Connection::ReadStatus::failed;
   connections_.erase(id);
-  handle(proxy::Closed{id, was_reset});
+  handle(proxy::ConnectionClosed{id, was_reset});
 }
 
 void Server::serve(Connection& connection, std::uint32_t ready_events) {
@@ -201,7 +201,7 @@
   const proxy::ConnectionId id = connection.id();  // the reducer may close the connection below
   if ((ready_events & EPOLLOUT) != 0) {
     flush(connection);
-    if (!pending_inputs_.empty()) handle(proxy::TimerExpired{});
+    if (!pending_inputs_.empty()) handle(proxy::LoopTimerExpired{});
   }
   if ((ready_events & (EPOLLIN | EPOLLHUP | EPOLLERR)) != 0) read(id);
 }
@@ -230,7 +230,7 @@
     if (result.status == ReadStatus::would_block) return;
     if (result.status != ReadStatus::data) {
       connections_.erase(id);
-      handle(proxy::Closed{id, result.status == ReadStatus::failed});
+      handle(proxy::ConnectionClosed{id, result.status == ReadStatus::failed});
       return;
     }
     // The other process may have received more overrides than this operator's.
@@ -250,7 +250,7 @@
     if (result.status != Connection::ReadStatus::data) break;
     dispatch(proxy::BytesArrived{id, result.bytes});
   }
-  if (connections_.erase(id) > 0) dispatch(proxy::Closed{id});
+  if (connections_.erase(id) > 0) dispatch(proxy::ConnectionClosed{id});
 }
 
 void Server::flush(Connection& connection) {
--- a/src/proxy/admin/stats_log.cpp
+++ b/src/proxy/admin/stats_log.cpp
@@ -23,7 +23,7 @@
 
 void StatsLog::log_attempt(Context& context, const AttemptCompletion& attempt, AttemptResult result) {
   ++results_[attempt.endpoint][result];
-  if (result == AttemptResult::served || ++failed_attempt_lines_ > kMaxFailedAttemptLines) return;
+  if (result == AttemptResult::served || ++failed_attempt_lines_ > kMaxFailedAttemptLinesPerSecond) return;
   context.log("wrong request=" + attempt.request + " attempt=" + std::to_string(attempt.attempt) +
               " member=" + attempt.endpoint + " source=" + attempt.source +
               " ending=" + std::string(name_of(result)) +
--- a/src/proxy/admin/stats_log.h
+++ b/src/proxy/admin/stats_log.h
@@ -41,7 +41,7 @@
 
   /// Counts an attempt that is over. One that was not served is logged, so that its request can be followed
   /// by its id through all proxies. Guards the log against a fault that ends hundreds of them a second: no
-  /// more than kMaxFailedAttemptLines are, and the sums are logged all the same.
+  /// more than kMaxFailedAttemptLinesPerSecond are, and the sums are logged all the same.
   void log_attempt(Context& context, const AttemptCompletion& attempt, AttemptResult result);
   /// Logs the second that is over and starts the next.
   void log_second(Context& context, const Gauges& gauges);
--- a/src/proxy/client/client_connections.cpp
+++ b/src/proxy/client/client_connections.cpp
@@ -113,7 +113,7 @@
   const auto found = connections_.find(id);
   if (found == connections_.end()) return false;
   return found->second.unsent_bytes > context_.limits.reject_unsent_bytes ||
-         found->second.open_calls.size() >= kMaxOpenCalls;
+         found->second.open_calls.size() >= kMaxOpenCallsPerConnection;
 }
 
 bool ClientConnections::has_open_call(ConnectionId id, CallId call) const {
@@ -201,7 +201,7 @@
   if (awaits_message && context_.now - client.message_started_at >= kMessageTimeout) {
     return Expiry{CloseReason::no_message, Ending::drain};
   }
-  if (is_idle(client) && inactive >= kClientIdle) return Expiry{CloseReason::idle, Ending::drain};
+  if (is_idle(client) && inactive >= kClientIdleTimeout) return Expiry{CloseReason::idle, Ending::drain};
   return std::nullopt;
 }
 
--- a/src/proxy/cluster/policy_controller.cpp
+++ b/src/proxy/cluster/policy_controller.cpp
@@ -70,15 +70,16 @@
 void PolicyController::handle(const ConsensusOutput& output) {
   if (!settings_) return;
   for (const std::string& line : output.log_lines) context_.log(line);
-  for (const auto& [to, bytes] : output.messages) membership_.send_user_message(to, bytes);
+  for (const auto& [to, bytes] : output.outgoing_messages) membership_.send_user_message(to, bytes);
   voters_ = output.voters;
-  raft_id_ = output.raft_id;
-  for (const auto& [connection, status, body] : output.replies) reply(connection, status, body);
+  raft_id_ = output.own_raft_id;
+  for (const auto& [connection, status, body] : output.admin_replies) reply(connection, status, body);
   if (!state_) {
-    inputs_before_start_.insert(inputs_before_start_.end(), output.inputs.begin(), output.inputs.end());
+    inputs_before_start_.insert(inputs_before_start_.end(), output.consensus_inputs.begin(),
+                                output.consensus_inputs.end());
     return;
   }
-  for (const consensus::Input& input : output.inputs) handle(input);
+  for (const consensus::Input& input : output.consensus_inputs) handle(input);
 }
 
 void PolicyController::on_user_message(const membership::UserMessageReceived& received) {
--- a/src/proxy/context.h
+++ b/src/proxy/context.h
@@ -87,8 +87,8 @@
   void shutdown_write(ConnectionId connection);
   /// The end of a connection: closes it, unless the peer already has, and logs why.
   void log_closed(const ConnectionRecord& record, CloseReason reason, ClosedBy closed_by);
-  void log_closed(const ConnectionRecord& record, CloseReason reason, bool close_it) {
-    log_closed(record, reason, close_it ? ClosedBy::proxy : ClosedBy::peer);
+  void log_closed(const ConnectionRecord& record, CloseReason reason, bool close_connection) {
+    log_closed(record, reason, close_connection ? ClosedBy::proxy : ClosedBy::peer);
   }
 };
 
--- a/src/proxy/effects.h
+++ b/src/proxy/effects.h
@@ -33,11 +33,11 @@
   ConnectionId connection = 0;
 };
 /// Reads what has come on the connection so far, reported as BytesArrived, then closes it, reported as
-/// Closed.
+/// ConnectionClosed.
 struct DrainAndClose {
   ConnectionId connection = 0;
 };
-/// Asks for a TimerExpired at this time; the newest replaces those before.
+/// Asks for a LoopTimerExpired at this time; the newest replaces those before.
 struct ArmTimer {
   Time at{0};
 };
--- a/src/proxy/inputs.h
+++ b/src/proxy/inputs.h
@@ -44,12 +44,12 @@
   ConnectionId connection = 0;
 };
 /// The other side has ended the connection.
-struct Closed {
+struct ConnectionClosed {
   ConnectionId connection = 0;
   bool is_reset = false;
 };
 /// The time of the newest ArmTimer has come.
-struct TimerExpired {};
+struct LoopTimerExpired {};
 /// SIGTERM.
 struct ShutdownRequested {};
 /// SIGHUP: the configuration as it was read and checked anew.
@@ -75,15 +75,15 @@
 };
 /// What the policy's log has produced, on a thread of its own.
 struct ConsensusOutput {
-  std::vector<std::pair<std::string, std::string>> messages;  ///< to that member, these bytes
-  std::vector<consensus::Input> inputs;
+  std::vector<std::pair<std::string, std::string>> outgoing_messages;  ///< to that member, these bytes
+  std::vector<consensus::Input> consensus_inputs;
   std::vector<std::string> log_lines;
   std::map<std::string, std::uint64_t> voters;  ///< names and Raft ids, as the log has them
-  std::vector<std::tuple<ConnectionId, int, std::string>> replies;  ///< admin call, HTTP status, body
-  std::uint64_t raft_id = 0;                                        ///< this proxy's own
+  std::vector<std::tuple<ConnectionId, int, std::string>> admin_replies;  ///< admin call, HTTP status, body
+  std::uint64_t own_raft_id = 0;                                          ///< this proxy's own
 };
 using Input = std::variant<Accepted, DescriptorsExhausted, BytesArrived, WriteDrained, Connected,
-                           ConnectFailed, Closed, TimerExpired, ShutdownRequested, Reloaded, ReloadFailed,
-                           OverridesLoaded, MembershipReady, MembershipInput, ConsensusOutput>;
+                           ConnectFailed, ConnectionClosed, LoopTimerExpired, ShutdownRequested, Reloaded,
+                           ReloadFailed, OverridesLoaded, MembershipReady, MembershipInput, ConsensusOutput>;
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/reducer.cpp
+++ b/src/proxy/reducer.cpp
@@ -191,7 +191,7 @@
   }
 
   // Guards against a loop that wakes a moment early: the armed timer is used up, and is armed anew.
-  void on(const TimerExpired&) { armed_for_ = Time{0}; }
+  void on(const LoopTimerExpired&) { armed_for_ = Time{0}; }
 
   // ---- Connections: each input goes to the part that owns the connection ----
 
@@ -238,7 +238,7 @@
 
   void on(const ConnectFailed& input) { on_closed(input.connection, CloseReason::connect_refused); }
 
-  void on(const Closed& input) {
+  void on(const ConnectionClosed& input) {
     on_closed(input.connection, input.is_reset ? CloseReason::peer_reset : CloseReason::peer_closed);
   }
 
--- a/src/proxy/resource_limits.h
+++ b/src/proxy/resource_limits.h
@@ -28,7 +28,7 @@
 /// Without any input for this long, timers included, the event loop itself has stalled.
 constexpr Time kLoopStallThreshold = std::chrono::milliseconds(500);
 /// Clients close idle connections after 4 s; this is for those that keep one for good.
-constexpr Time kClientIdle = std::chrono::seconds(6);
+constexpr Time kClientIdleTimeout = std::chrono::seconds(6);
 /// How long a client whose connection drains may take to read the last reply; likewise an operator.
 constexpr Time kDrainTimeout = std::chrono::milliseconds(500);
 /// From connecting at the admin address to the complete call.
@@ -61,7 +61,7 @@
 
 /// What a client may send while its connection drains; it is discarded.
 constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
-constexpr std::size_t kMaxOpenCalls = 32;
+constexpr std::size_t kMaxOpenCallsPerConnection = 32;
 /// Connections at the admin address.
 constexpr int kMaxAdminConnections = 32;
 /// Endpoints that operators may suspend, and removed endpoints of which it is remembered that they were
@@ -81,7 +81,7 @@
 /// Capacity of the write buffer that a connection keeps once all is sent.
 constexpr std::size_t kRetainedWriteBufferBytes = 16 * 1024;
 /// Log lines a second on attempts that failed.
-constexpr int kMaxFailedAttemptLines = 16;
+constexpr int kMaxFailedAttemptLinesPerSecond = 16;
 /// Of log lines that standard output does not take at the moment.
 constexpr std::size_t kMaxBufferedLogBytes = 64 * 1024;
 
@@ -101,7 +101,7 @@
 
 /// Descriptors that are no connections of the kinds below: standard streams, the loop's own, listeners, the
 /// overrides file, the discovery service, one client that is accepted before another makes room for it.
-constexpr int kOtherDescriptors = 16;
+constexpr int kReservedDescriptors = 16;
 /// Those of the membership, beside its full syncs: datagrams, a listener, the file that is stored.
 constexpr int kMembershipDescriptors = 4;
 
@@ -124,10 +124,11 @@
         client_connections(config.max_descriptors / 2),
         draining_connections(config.max_descriptors / 16),
         admin_connections(std::min(kMaxAdminConnections, config.max_descriptors / 16)),
-        upstream_connections(std::min(
-            descriptors / 3,
-            descriptors - client_connections - draining_connections - admin_connections - kOtherDescriptors -
-                (config.membership ? config.membership->max_streams + kMembershipDescriptors : 0))),
+        upstream_connections(
+            std::min(descriptors / 3,
+                     descriptors - client_connections - draining_connections - admin_connections -
+                         kReservedDescriptors -
+                         (config.membership ? config.membership->max_streams + kMembershipDescriptors : 0))),
         unread_timeout(longest_deadline(config.settings)),
         body_bytes(config.memory_bytes / 8),
         unsent_bytes(config.memory_bytes / 5),
--- a/src/routing/settings_queries.h
+++ b/src/routing/settings_queries.h
@@ -18,7 +18,7 @@
 
 /// Whether the weights in the endpoint list tell the size of each endpoint.
 [[nodiscard]] inline bool has_endpoint_sizes(const Settings& settings) {
-  return settings.weights == Weights::nominal || settings.weights == Weights::rough;
+  return settings.weights == WeightMeaning::nominal || settings.weights == WeightMeaning::rough;
 }
 
 /// Weight of an endpoint among its group; 1 where the list does not tell sizes.
--- a/tests/base/containers_test.cpp
+++ b/tests/base/containers_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(WindowCounter, ForgetsWhatLeftTheWindow) {
+TEST(SlidingWindowCounter, DropsEntriesOlderThanTheWindow) {
   SlidingWindowCounter counter(10s, 100);
   counter.add(0s, 7);
   counter.add(4s, 7);
@@ -21,7 +21,7 @@
   EXPECT_EQ(counter.count(7), 0U);
 }
 
-TEST(WindowCounter, StaysWithinItsCapacity) {
+TEST(SlidingWindowCounter, DropsOldestEntriesAboveCapacity) {
   SlidingWindowCounter counter(10s, 100);
   for (std::uint64_t key = 0; key < 10000; ++key) counter.add(1s, key);
   EXPECT_EQ(counter.entries(), 100U);
@@ -29,14 +29,14 @@
   EXPECT_EQ(counter.count(9999), 1U);
 }
 
-TEST(WindowCounter, RanksByCountThenKey) {
+TEST(SlidingWindowCounter, TopOrdersByCountThenKey) {
   SlidingWindowCounter counter(10s, 100);
   for (const std::uint64_t key : {5, 3, 9, 9, 4}) counter.add(1s, key);
   EXPECT_EQ(counter.top(3), (std::vector<std::uint64_t>{9, 3, 4}));
   EXPECT_EQ(counter.top(50).size(), 4U);
 }
 
-TEST(TimerQueue, GivesDueItemsInOrder) {
+TEST(TimerQueue, PopsDueItemsInOrder) {
   TimerQueue<int> queue;
   queue.add(5s, 1);
   queue.add(3s, 2);
@@ -49,7 +49,7 @@
   EXPECT_EQ(queue.next_due(), std::nullopt);
 }
 
-TEST(WorkWindow, SumsTheSpan) {
+TEST(SlidingWindowSum, SumsEntriesWithinTheSpan) {
   SlidingWindowSum window;
   window.add(1s, 2);
   window.add(2s, 3);
--- a/tests/golden/codec_golden_test.cpp
+++ b/tests/golden/codec_golden_test.cpp
@@ -617,15 +617,15 @@
   }
   return "?";
 }
-const char* name_of_weights(Weights weights) {
+const char* name_of_weights(WeightMeaning weights) {
   switch (weights) {
-    case Weights::none:
+    case WeightMeaning::none:
       return "none";
-    case Weights::nominal:
+    case WeightMeaning::nominal:
       return "nominal";
-    case Weights::rough:
+    case WeightMeaning::rough:
       return "rough";
-    case Weights::live:
+    case WeightMeaning::live:
       return "live";
   }
   return "?";
--- a/tests/golden/proxy_golden_test.cpp
+++ b/tests/golden/proxy_golden_test.cpp
@@ -421,10 +421,10 @@
   void lead() {
     proxy::ConsensusOutput out;
     out.voters = {{"n1", 7}, {"n2", 8}, {"n3", 9}};
-    out.raft_id = 7;
-    out.messages = {{"n2", "bytes of the log"}};
-    out.inputs = {consensus::EntryApplied{1, std::nullopt},
-                  consensus::BecameLeader{term_, {"n1", "n2", "n3"}}};
+    out.own_raft_id = 7;
+    out.outgoing_messages = {{"n2", "bytes of the log"}};
+    out.consensus_inputs = {consensus::EntryApplied{1, std::nullopt},
+                            consensus::BecameLeader{term_, {"n1", "n2", "n3"}}};
     stage_.feed(out);
   }
   void confirm(std::uint64_t rounds) {
@@ -450,8 +450,8 @@
   void own(const consensus::Input& input) {
     proxy::ConsensusOutput out;
     out.voters = {{"n1", 7}, {"n2", 8}, {"n3", 9}};
-    out.raft_id = 7;
-    out.inputs = {input};
+    out.own_raft_id = 7;
+    out.consensus_inputs = {input};
     stage_.feed(out);
   }
   [[nodiscard]] consensus::Term term() const { return term_; }
--- a/tests/golden/proxy_trace.cpp
+++ b/tests/golden/proxy_trace.cpp
@@ -342,10 +342,10 @@
 std::string input_text(const proxy::ConnectFailed& in) {
   return TraceLine("connect_failed").add("connection", in.connection).text();
 }
-std::string input_text(const proxy::Closed& in) {
+std::string input_text(const proxy::ConnectionClosed& in) {
   return TraceLine("closed").add("connection", in.connection).add("reset", in.is_reset).text();
 }
-std::string input_text(const proxy::TimerExpired&) { return "timer_expired"; }
+std::string input_text(const proxy::LoopTimerExpired&) { return "timer_expired"; }
 std::string input_text(const proxy::ShutdownRequested&) { return "shutdown_requested"; }
 /// What a reload can change, and the settings; the whole of the configuration has tests of its own.
 std::string input_text(const proxy::Reloaded& in) {
@@ -392,12 +392,12 @@
 }
 std::string input_text(const proxy::ConsensusOutput& in) {
   TraceLine line("consensus_output");
-  for (const auto& [to, bytes] : in.messages) line.add("to", to).add("bytes", bytes);
-  for (const consensus::Input& input : in.inputs) line.add_inner("input", item_text(input));
+  for (const auto& [to, bytes] : in.outgoing_messages) line.add("to", to).add("bytes", bytes);
+  for (const consensus::Input& input : in.consensus_inputs) line.add_inner("input", item_text(input));
   for (const auto& [name, id] : in.voters) line.add("voter", name).add("id", id);
-  for (const auto& [connection, status, text] : in.replies)
+  for (const auto& [connection, status, text] : in.admin_replies)
     line.add("answer_to", connection).add("status", status).add("text", text);
-  return line.add("own_id", in.raft_id).text();
+  return line.add("own_id", in.own_raft_id).text();
 }
 
 // ---- Effects ----
--- a/tests/golden/routing_golden_test.cpp
+++ b/tests/golden/routing_golden_test.cpp
@@ -71,14 +71,14 @@
   plan.told_over = 2;
   plan.restarted = 0.6;
   plan.sizes_told = false;
-  plan.weights = Weights::none;
+  plan.weights = WeightMeaning::none;
   record_slow_start("restarts", plan, 2);
 }
 
 TEST(RoutingGolden, SlowStartWithRoughWeightsAndLateConnections) {
   SlowStartPlan plan;
   plan.connects_in = 0.4;
-  plan.weights = Weights::rough;
+  plan.weights = WeightMeaning::rough;
   record_slow_start("late_connections", plan, 3);
 }
 
@@ -179,7 +179,8 @@
     s.link_in_kb_per_s = {0, 0, 20000};
     s.transfer_kb_per_s = draws_.chance(80) ? 1000 : 0;
     s.cost_weights = {0.1, 0.2, 0.3, 0.01, 0.5, 0.05};
-    s.weights = draws_.one_of(std::array{Weights::none, Weights::nominal, Weights::rough, Weights::live});
+    s.weights = draws_.one_of(
+        std::array{WeightMeaning::none, WeightMeaning::nominal, WeightMeaning::rough, WeightMeaning::live});
     s.report_via = draws_.one_of(std::array{ReportVia::none, ReportVia::probes, ReportVia::answers});
     s.sibling_fills =
         draws_.one_of(std::array{SiblingFills::none, SiblingFills::location, SiblingFills::any});
--- a/tests/golden/routing_trace.cpp
+++ b/tests/golden/routing_trace.cpp
@@ -35,15 +35,15 @@
   return "?";
 }
 
-const char* label_of(Weights weights) {
+const char* label_of(WeightMeaning weights) {
   switch (weights) {
-    case Weights::none:
+    case WeightMeaning::none:
       return "none";
-    case Weights::nominal:
+    case WeightMeaning::nominal:
       return "nominal";
-    case Weights::rough:
+    case WeightMeaning::rough:
       return "rough";
-    case Weights::live:
+    case WeightMeaning::live:
       return "live";
   }
   return "?";
--- a/tests/proxy/policy_controller_test.cpp
+++ b/tests/proxy/policy_controller_test.cpp
@@ -50,8 +50,8 @@
 TEST_F(AgreeingAlone, WhatTheLogToldBeforeThePeersWereReadyIsKept) {
   ConsensusOutput out;
   out.voters = {{"n1", 7}};
-  out.raft_id = 7;
-  out.inputs = {consensus::EntryApplied{4, std::nullopt}};
+  out.own_raft_id = 7;
+  out.consensus_inputs = {consensus::EntryApplied{4, std::nullopt}};
   agreeing_.handle(out);
   EXPECT_FALSE(agreeing_.report());
   ready();
--- a/tests/routing/crowded_world_test.cpp
+++ b/tests/routing/crowded_world_test.cpp
@@ -18,7 +18,7 @@
   Settings s = settings();
   s.router_count = kRouters;
   s.routers_by_zone = {0, 0, kRouters};
-  s.weights = Weights::nominal;
+  s.weights = WeightMeaning::nominal;
   s.cache_status_detail = CacheStatusDetail::none;
   s.hedging = false;
   s.direct_to_sources = false;
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -416,7 +416,7 @@
   // Found on days on which a location is lost with its routers and comes back: new routers knew of no usual
   // load, gave their cold caches nothing and refused nearly all for 18 s.
   Settings s = settings();
-  s.weights = Weights::nominal;
+  s.weights = WeightMeaning::nominal;
   Endpoint cold = member("cache-a", 0, 2, 1000s);
   cold.weight = 4;
   World world(s, {cold, member("origin", 2, 0)});
@@ -440,7 +440,7 @@
   // Guards the others' shares: one whose lease has run out keeps to the little that is left to it at once.
   const auto sent_in_2s = [](double part) {
     Settings s = settings();
-    s.weights = Weights::nominal;
+    s.weights = WeightMeaning::nominal;
     Endpoint cold = member("cache-a", 0, 2, 1000s);
     cold.weight = 4;
     World world(s, {cold, member("origin", 2, 0)});
--- a/tests/support/crowded_world.h
+++ b/tests/support/crowded_world.h
@@ -41,7 +41,7 @@
     settings_ = settings();
     settings_.router_count = kRouters;
     settings_.routers_by_zone = {0, 0, kRouters};
-    settings_.weights = Weights::nominal;
+    settings_.weights = WeightMeaning::nominal;
     settings_.cache_status_detail = CacheStatusDetail::none;
     settings_.hedging = settings_.direct_to_sources = false;
     settings_.transfer_kb_per_s = kPace;
--- a/tests/support/slow_start_world.h
+++ b/tests/support/slow_start_world.h
@@ -27,7 +27,7 @@
   bool sizes_told = true;
   /// Seconds until a connection to the cold cache is up: all that is decided meanwhile comes there at once.
   double connects_in = 0;
-  Weights weights = Weights::nominal;
+  WeightMeaning weights = WeightMeaning::nominal;
   std::uint64_t seed = 1;
   RoutingObserver observer{};
 };
@@ -152,8 +152,9 @@
   }
 
   [[nodiscard]] Endpoint sized(Endpoint m, double weight) const {
-    m.weight = plan_.weights == Weights::none ? 1 : weight;
-    if (plan_.weights == Weights::rough) m.weight *= m.id == "cache-a" || m.id == "parent-a" ? 1.2 : 0.9;
+    m.weight = plan_.weights == WeightMeaning::none ? 1 : weight;
+    if (plan_.weights == WeightMeaning::rough)
+      m.weight *= m.id == "cache-a" || m.id == "parent-a" ? 1.2 : 0.9;
     return m;
   }
   std::vector<Endpoint> list(bool told) const {
--- a/tests/support/virtual_stage.h
+++ b/tests/support/virtual_stage.h
@@ -29,7 +29,7 @@
                                              : edit(config_text(members, {}, memory_mb)),
                              {}),
                now_) {
-    feed(proxy::TimerExpired{});
+    feed(proxy::LoopTimerExpired{});
   }
 
   void send(const std::string& peer, const std::string& bytes) override {
@@ -63,7 +63,7 @@
     if (how != Ends::closed && how != Ends::reset && how != Ends::half && how != Ends::refusing) return;
     for (const proxy::ConnectionId id : std::set(links_[peer])) {
       remove(id);
-      feed(proxy::Closed{id, how != Ends::closed && how != Ends::half});
+      feed(proxy::ConnectionClosed{id, how != Ends::closed && how != Ends::half});
     }
   }
   bool closed(const std::string& peer) override {
@@ -74,7 +74,7 @@
     const Time end = now_ + span;
     while (due_ <= end && due_ > Time{0}) {
       now_ = std::max(now_, std::exchange(due_, Time{0}));
-      feed(proxy::TimerExpired{});
+      feed(proxy::LoopTimerExpired{});
     }
     now_ = end;
   }
@@ -179,7 +179,7 @@
     const std::string& peer = peers_[e.connection];
     if (is_operator(peer) || manner_[peer] == Ends::stays) return;
     remove(e.connection);  // it has read to the end, and closes
-    next.emplace_back(proxy::Closed{e.connection});
+    next.emplace_back(proxy::ConnectionClosed{e.connection});
   }
   void perform(const proxy::Close& e, std::vector<proxy::Input>&) {
     if (e.connection == proxy::kListener) listening_ = false;
@@ -189,7 +189,7 @@
     const auto unread = unread_.find(e.connection);
     if (unread != unread_.end()) next.emplace_back(proxy::BytesArrived{e.connection, unread->second});
     remove(e.connection);
-    next.emplace_back(proxy::Closed{e.connection});
+    next.emplace_back(proxy::ConnectionClosed{e.connection});
   }
   void perform(const proxy::ArmTimer& e, std::vector<proxy::Input>&) { due_ = std::max(e.at, Time{1}); }
   void perform(const proxy::StopAccepting&, std::vector<proxy::Input>&) { yields_ = true; }
