--- a/include/edge_proxy/router.h
+++ b/include/edge_proxy/router.h
@@ -1,21 +1,20 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The interface of the routing decisions (src/routing): events go in, actions come out.
+/// The interface of the routing decisions (src/routing): the caller feeds events and carries out actions.
 ///
-/// Units      Times are in microseconds: points on a clock of the caller's that never runs backwards, or
-///            durations. Sizes are in kilobytes.
-/// Ordering   Feed events in the order in which they happened. Carry out actions in the order in which they
-///            are given, at the time that was passed in.
-/// Ownership  The router copies what it keeps. Nothing that it returns refers to its inside.
-/// Threads    A Router has no lock, thread, clock or global state: use one from one thread at a time.
-///            Different Routers share nothing.
+/// Units      Times are in microseconds: points on a monotonic clock of the caller, or durations. Sizes are
+///            in kilobytes.
+/// Ordering   The caller feeds events in the order in which they happened, and carries out the actions in
+///            the order in which they are returned, at the time that it passed in.
+/// Ownership  The router copies what it keeps. Returned values hold no references to its state.
+/// Threads    A Router has no lock, thread, clock or global state, and is used from one thread at a time.
+///            Different Routers share no state.
 /// Duties     The caller owes one Outcome for each Attempt, however the attempt ends; a TimerFired for each
 ///            SetTimer (late is harmless, early is ignored); a RequestCancelled when a client leaves early.
-/// Errors     None are thrown or returned. A request of an unknown class is rejected; an Outcome of an
-/// unknown
-///            request or attempt, or a second one, is ignored.
+/// Errors     The router throws and returns no errors. It rejects a request of an unknown class; it ignores
+///            an Outcome of an unknown request or attempt, and a second Outcome of an attempt.
 ///
-/// Same settings, seed and events give the same actions.
+/// The router is deterministic: equal settings, seeds and events give equal actions.
 #pragma once
 
 #include <chrono>
@@ -34,90 +33,90 @@
 /// duplicates.
 enum class Idempotency { idempotent, with_key, none };
 
-/// Which endpoints discard duplicates of each other's requests `with_key`: all, or those of one zone or cell.
+/// Which endpoints share their deduplication state for `with_key` requests: all, or those of one zone or
+/// cell.
 enum class DeduplicationScope { all, zone, cell };
 
-/// What the weights in the endpoint list mean. `nominal` and `rough` tell the endpoints' sizes; the router
-/// uses no others.
+/// What the weights in the endpoint list mean. `nominal` and `rough` weights describe the endpoints'
+/// capacities, exactly or approximately; the router ignores weights of the other kinds.
 enum class WeightMeaning { none, nominal, rough, live };
 
-/// How load reports reach the router: not at all, with health checks, or with the outcomes of attempts.
+/// How load reports reach the router: not at all, with health checks, or with attempt outcomes.
 enum class ReportVia { none, probes, answers };
 
-/// Which caches may be the source of another cache's fill: none, those of its location, or any.
+/// Which caches may be the source of another cache's fill: none, those in the same location, or any.
 enum class SiblingFills { none, location, any };
 
-/// How much an Outcome tells in `cache_status`: nothing, hits alone, or everything.
+/// How much detail `Outcome::cache_status` has: none, only hits, or every status.
 enum class CacheStatusDetail { none, hits, all };
 
-/// What all requests of a class have in common.
-
+/// The properties that all requests of a class share.
 struct RequestClass {
   std::string name;
-  Time latency_objective{0};  ///< a response within this time earns the full score
+  Time latency_objective{0};  ///< a response within this time counts with `priority_weight`
   /// The latency objective grows by this multiple of the request's own transfer time.
   double latency_objective_per_transfer_time = 0;
-  Time deadline{0};  ///< from a request's arrival, when its client gives up
+  Time deadline{0};  ///< time from a request's arrival until its client gives up
   Idempotency idempotency = Idempotency::idempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::all;
-  /// `with_key`: how long duplicates are discarded, from when the first attempt was sent.
+  /// For `with_key` requests: how long endpoints discard duplicates after the first attempt was sent.
   Time deduplication_window{0};
-  double priority_weight = 1;  ///< weight of a response in time
+  double priority_weight = 1;  ///< weight of a response within the latency objective
   double late_weight = 0;      ///< weight of a late response
   bool streamed = false;       ///< responses are streams
-  Time max_age{0};             ///< how long a copy is fresh; 0: no limit
-  Time grace{0};               ///< how much longer a copy may be served when it is asked for
-  double stale_weight = 1;     ///< weight of a response from a copy in its grace time
+  Time max_age{0};             ///< how long a copy is fresh; 0: without limit
+  Time grace{0};               ///< how much longer a stale copy may be served on request
+  double stale_weight = 1;     ///< weight of a response from a copy within its grace
   bool segmented = false;      ///< objects are requested in parts
-  bool uncacheable = false;    ///< runs at the origin and leaves no copy
+  bool uncacheable = false;    ///< requests run at the origin and leave no copy
 };
 
-/// Score taken off for each unit of a cost.
+/// Amounts subtracted from the score for each unit of a cost.
 struct CostWeights {
   double cross_zone = 0, waste = 0, origin = 0, health_check = 0, late_failure = 0, link_bytes = 0;
 };
 
-/// What the site allows and requires, and what this router knows of the fleet of routers.
+/// The rules and capabilities of the site, and this router's place among all routers.
 struct Settings {
-  int router_number = 0;  ///< this router's number
-  int zone = 0;           ///< its location
-  int router_count = 1;   ///< of all zones
+  int router_number = 0;  ///< identifies this router among all routers
+  int zone = 0;           ///< the location of this router
+  int router_count = 1;   ///< number of routers in all zones
   std::vector<int> routers_by_zone;
   std::vector<int> hub_by_zone;
-  std::vector<double> link_in_kb_per_s;  ///< by zone; 0: unknown
+  std::vector<double> link_in_kb_per_s;  ///< incoming bandwidth by zone; 0: unknown
   std::vector<RequestClass> classes;
   int parent_kind = -1;            ///< `Endpoint::kind` of parents; -1: the site has none
   int origin_kind = -1;            ///< `Endpoint::kind` of the origin
-  bool direct_to_sources = false;  ///< parents and the origin take attempts too
+  bool direct_to_sources = false;  ///< parents and the origin accept attempts too
   SiblingFills sibling_fills = SiblingFills::none;
   CacheStatusDetail cache_status_detail = CacheStatusDetail::none;
-  double transfer_kb_per_s = 0;  ///< highest rate of one response; 0: unknown
-  Time tick{0};                  ///< shortest time between two deliveries of events
+  double transfer_kb_per_s = 0;  ///< maximum transfer rate of one response; 0: unknown
+  Time tick{0};                  ///< minimum time between two deliveries of events
 
-  // The site's rules. `overload_factor`: an endpoint that gets more than this multiple of its capacity at its
-  // age, over `overload_window`, fails.
+  // The site's rules. An endpoint fails if, over `overload_window`, it receives more than `overload_factor`
+  // times the capacity that it has at its age.
   Time answer_slack{0};
   Time drain_grace{0};
-  double initial_capacity = 1;  ///< least part of its capacity that a cache starts with
+  double initial_capacity = 1;  ///< minimum fraction of its capacity with which a cache starts
   Time warm_up_time{0};
   double overload_factor = 0;
   Time overload_window{0};
   double parent_initial_capacity = 1;
   Time parent_warm_up_time{0};
   double parent_overload_factor = 0;
-  double origin_overload_factor = 0;  ///< 0: the origin takes any load
+  double origin_overload_factor = 0;  ///< 0: the origin accepts any load
   Time origin_overload_window{0};
   Time invalidation_slack{0};
-  Time invalidation_settled_after{0};  ///< after an invalidation; then no older copy is left anywhere
+  Time invalidation_settled_after{0};  ///< time after an invalidation until no older copy exists
 
-  // What the site allows.
+  // The site's capabilities.
   int max_attempts = 1;
   bool cancellation = false;
   bool health_checks = false;
   bool hedging = false;
   bool retry_after = false;
   Time max_retry_after{0};
-  bool subscription_required = false;  ///< list changes come after SubscribeEndpointList alone
+  bool subscription_required = false;  ///< list changes arrive only after SubscribeEndpointList
   Time poll_within{0};
   bool marks_client_retries = false;
   ReportVia report_via = ReportVia::none;
@@ -127,7 +126,7 @@
 
 enum class EndpointState { running, draining, removed };
 
-/// A cache, a parent or the origin, by its kind. `draining` endpoints get no new attempts.
+/// A cache, a parent or the origin, as `kind` states. `draining` endpoints receive no new attempts.
 struct Endpoint {
   std::string id;
   EndpointState state = EndpointState::running;
@@ -135,17 +134,17 @@
   int zone = 0;
   int cell = 0;
   int kind = 0;
-  Time started{0};  ///< when its process started; 0: long ago
+  Time started{0};  ///< when its process started; 0: long before the current time
 };
 
-/// A load report: what an endpoint says of itself, late and inexact.
+/// A load report of an endpoint about itself; the values are delayed and approximate.
 struct LoadReport {
   std::optional<double> busy, in_flight, queued, hit_ratio, link_utilization;
 };
 
 // ---- Events ----
 
-/// `complete` and `from_configuration` lists replace all that was known; `failed`: the list could not be had.
+/// `complete` and `from_configuration` lists replace the known list; `failed`: the list was unavailable.
 enum class ListKind { changes, complete, from_configuration, failed };
 /// A watch event or the response to a call for the endpoint list.
 struct EndpointList {
@@ -159,31 +158,32 @@
   std::uint64_t object = 0;
   std::uint64_t part = 0;
   std::int64_t group = 0;
-  double size_kb = 0;         ///< of the response; 0: unknown
+  double size_kb = 0;         ///< size of the response; 0: unknown
   Time expires{0};            ///< when its client gives up
-  bool write = false;         ///< runs at the origin
-  bool client_retry = false;  ///< repeats an earlier request
-  /// Set where the proxy has a valid copy of its own: how long its transfer would wait for the proxy's link.
+  bool write = false;         ///< the request runs at the origin
+  bool client_retry = false;  ///< the client repeats an earlier request
+  /// How long a transfer from the local cache would wait for the proxy's link; set if the local cache has a
+  /// valid copy.
   std::optional<Time> local_copy_wait;
 };
-/// The time of a SetTimer has passed.
+/// The timer of a SetTimer has expired.
 struct TimerFired {
   std::int64_t token = 0;
 };
-/// How an attempt ended, and whether the request may have run.
+/// How an attempt ended, and whether the endpoint may have run the request.
 enum class AttemptResult {
-  served,             ///< the response has reached the client
-  error,              ///< the endpoint failed; it may have run
-  shed,               ///< rejected by the endpoint; it never ran
-  timed_out,          ///< it may have run, or may still
-  unreachable,        ///< no connection; it never ran
-  connection_lost,    ///< the connection broke; it may have run
-  cancelled,          ///< it may have run
-  not_sent,           ///< never sent
-  cache_miss,         ///< no valid copy and no fill; it never ran
-  malformed_response  ///< a response on its connection could not be read; it may have run
+  served,             ///< the client has received the response
+  error,              ///< the endpoint failed; the request may have run
+  shed,               ///< the endpoint rejected the request; it never ran
+  timed_out,          ///< the request may have run or may still run
+  unreachable,        ///< no connection could be opened; the request never ran
+  connection_lost,    ///< the connection broke; the request may have run
+  cancelled,          ///< the request may have run
+  not_sent,           ///< the request was never sent
+  cache_miss,         ///< no valid copy and no fill; the request never ran
+  malformed_response  ///< a response on the connection was unreadable; the request may have run
 };
-/// How an attempt was served, or why it failed; `unknown` where the response does not say.
+/// How a cache served an attempt or why it failed; `unknown` if the response does not state it.
 enum class CacheStatus {
   unknown,
   hit,
@@ -200,13 +200,13 @@
 /// An attempt has ended.
 struct Outcome {
   std::string request;
-  int attempt = 0;  ///< its number among the request's attempts, from 0
+  int attempt = 0;  ///< the attempt's number within the request, from 0
   std::string endpoint;
   AttemptResult result = AttemptResult::served;
-  Time duration{0};               ///< of the attempt
-  bool request_finished = false;  ///< the client has its final answer
+  Time duration{0};               ///< duration of the attempt
+  bool request_finished = false;  ///< the client has received its final answer
   CacheStatus cache_status = CacheStatus::unknown;
-  std::optional<Time> first_byte;  ///< time from the attempt to its first byte, where it is known
+  std::optional<Time> first_byte;  ///< time to the first byte, if known
   std::optional<LoadReport> report;
 };
 /// A health check has ended.
@@ -216,28 +216,28 @@
   Time duration{0};
   std::optional<LoadReport> report;
 };
-/// Copies from before the invalidation must not be served any more.
+/// Copies that are older than the invalidation must no longer be served.
 struct Invalidation {
-  std::optional<std::uint64_t> object;  ///< none: the whole group
+  std::optional<std::uint64_t> object;  ///< empty: the whole group
   std::int64_t group = 0;
-  Time age{0};  ///< how long ago it took effect
+  Time age{0};  ///< time since the invalidation took effect
 };
-/// The client has left before its final answer.
+/// The client disconnected or cancelled before its final answer.
 struct RequestCancelled {
   std::string request;
 };
-/// Which part of its even share of the slow-start budgets this router may use; more than 1 where other
+/// The fraction of its even share of the slow-start budgets that this router may use; above 1 if other
 /// routers have stopped.
 struct QuotaChanged {
   double parent_share = 1, cache_share = 1;
 };
-/// The client gets the beginning of a streamed response: from here on the request is neither hedged nor given
-/// up for its age.
+/// The client receives the beginning of a streamed response: from now on the request is neither hedged nor
+/// failed for its age.
 struct StreamStarted {
   std::string request;
   int attempt = 0;
 };
-/// Other settings from now on, between two requests: the same classes in the same order, the same fleet.
+/// New settings apply from now on. Request classes, their order and the set of routers stay the same.
 struct SettingsChanged {
   Settings settings;
 };
@@ -246,28 +246,28 @@
 
 // ---- Actions ----
 
-/// The rank at which a cache keeps a copy; `uncached`: it keeps none.
+/// The rank at which a cache stores a copy; `uncached`: it stores none.
 enum class Rank { uncached, low, middle, high };
 /// Send the request to an endpoint. Attempts of a request are numbered from 0 in the order given.
 struct Attempt {
   std::string request;
   std::string endpoint;
-  std::string source;  ///< where a miss is filled from; the endpoint itself: no fill
+  std::string source;  ///< endpoint from which a miss is filled; the endpoint itself: no fill
   Rank rank = Rank::uncached;
-  Time max_copy_age{0};          ///< of the oldest valid copy; 0: the class's `max_age`
-  Time timeout{0};               ///< 0: until the client gives up
-  Time send_within{0};           ///< it must not be sent later than this; 0: at any time before it times out
-  bool join_fill = false;        ///< waits for a fill of the same part that is in flight, where there is one
-  bool cached_only = false;      ///< the source gives only what it has cached
-  bool parent_uncached = false;  ///< the fill leaves no copy at the parent
-  bool stale_while_revalidate = false;  ///< a stale copy is served and fetched anew in the background
+  Time max_copy_age{0};                 ///< maximum age of a valid copy; 0: the class's `max_age`
+  Time timeout{0};                      ///< 0: until the client gives up
+  Time send_within{0};                  ///< the attempt must be sent within this time; 0: before it times out
+  bool join_fill = false;               ///< wait for a fill of the same part that is in flight, if any
+  bool cached_only = false;             ///< the source serves only what it has cached
+  bool parent_uncached = false;         ///< the fill leaves no copy at the parent
+  bool stale_while_revalidate = false;  ///< serve a stale copy and refresh it in the background
 };
-/// Cancel an open attempt; its Outcome is still owed.
+/// Cancel an open attempt; the caller still has to feed its Outcome.
 struct Cancel {
   std::string request;
   int attempt = 0;
 };
-/// A final answer: the request was rejected, and a retry by the client does no harm.
+/// A final answer: the request was rejected and the client may safely retry it.
 struct Reject {
   std::string request;
   Time retry_after{0};  ///< Retry-After for the client; 0: none
@@ -276,7 +276,7 @@
 struct Fail {
   std::string request;
 };
-/// A final answer: serve the proxy's own copy.
+/// A final answer: serve the copy in the proxy's local cache.
 struct ServeFromLocalCache {
   std::string request;
 };
@@ -285,39 +285,39 @@
   Time after{0};
   std::int64_t token = 0;
 };
-/// Send a health check. The router gives none at present.
+/// Send a health check. The router does not return this action at present.
 struct CheckHealth {
   std::string endpoint;
 };
-/// Call for the endpoint list once. The router gives none at present.
+/// Fetch the endpoint list once. The router does not return this action at present.
 struct FetchEndpointList {};
-/// Call for the endpoint list and watch its changes.
+/// Fetch the endpoint list and watch its changes.
 struct SubscribeEndpointList {};
-/// Write a line to the log. The router gives none at present.
+/// Write a line to the log. The router does not return this action at present.
 struct LogMessage {
   std::string text;
 };
 using Action = std::variant<Attempt, Cancel, Reject, Fail, SetTimer, CheckHealth, FetchEndpointList,
                             SubscribeEndpointList, LogMessage, ServeFromLocalCache>;
 
-/// The decisions of one router.
+/// Decides which endpoints serve the requests of one edge proxy.
 class Router {
  public:
-  /// `seed` spreads what many routers would else do at one moment; give each another one.
+  /// `seed` desynchronizes routers that would otherwise act at the same moment; each needs a different one.
   Router(Settings settings, std::uint64_t seed);
   ~Router();
   Router(Router&&) noexcept;
   Router& operator=(Router&&) noexcept;
 
-  /// Takes in one event at time `now` and returns what is to be done, in order.
+  /// Handles one event at time `now` and returns the actions to carry out, in order.
   std::vector<Action> handle(Time now, const Event& event);
 
-  /// The router's own view, to compare with what really happens, and the size of its tables.
+  /// The router's view of its state, for comparison with the actual state, and the size of its tables.
   struct Stats {
     std::size_t in_flight = 0;      ///< attempts without an Outcome
-    std::size_t ejected = 0;        ///< running endpoints that get no requests for now
-    std::size_t endpoints = 0;      ///< listed, or named by requests not yet finished
-    std::size_t table_entries = 0;  ///< of all tables that have no fixed bound
+    std::size_t ejected = 0;        ///< running endpoints that receive no requests at present
+    std::size_t endpoints = 0;      ///< endpoints in the list or named by unfinished requests
+    std::size_t table_entries = 0;  ///< entries of all tables without a fixed bound
   };
   [[nodiscard]] Stats stats() const;
 
--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Hashes over 64 bits that give the same value in all processes, versions and platforms. Not for keys that
-/// an adversary chooses: both are easy to make collide.
+/// 64-bit hashes with the same value in all processes, versions and platforms. They must not be used for keys
+/// that an adversary chooses, since collisions of both are easy to construct.
 #pragma once
 
 #include <cstdint>
@@ -9,10 +9,10 @@
 
 namespace edge_proxy {
 
-/// Start value of FNV-1a, its "offset basis".
+/// The 64-bit offset basis of FNV-1a.
 constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325U;
 
-/// FNV-1a of `text`. To hash several texts as one, pass the hash of those before as `hash`.
+/// FNV-1a of `text`. To hash a concatenation, pass the hash of the preceding texts as `hash`.
 [[nodiscard]] constexpr std::uint64_t fnv1a(std::string_view text, std::uint64_t hash = kFnvOffsetBasis) {
   constexpr std::uint64_t kPrime = 0x100000001b3U;
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * kPrime;
@@ -33,10 +33,10 @@
   return value ^ (value >> kThirdShift);
 }
 
-/// Count of the values that `top_53_bits` can give: all integers below it are exact as a double.
+/// Number of distinct values of `top_53_bits`. A double represents all integers below it exactly.
 constexpr double kTwoTo53 = 9007199254740992.0;
 
-/// The upper 53 bits of a hash. Divided by `kTwoTo53`, they are a number in [0, 1).
+/// The upper 53 bits of a hash. Division by `kTwoTo53` gives a number in [0, 1).
 [[nodiscard]] constexpr double top_53_bits(std::uint64_t hash) { return static_cast<double>(hash >> 11U); }
 
 }  // namespace edge_proxy
--- a/src/base/sliding_window_counter.h
+++ b/src/base/sliding_window_counter.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Counts of keys over a moving window of time, bounded in size.
+/// Counts keys over a sliding time window with bounded memory.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 namespace edge_proxy {
 
-/// Holds the newest `capacity` entries of the last `span`; older ones leave as new ones come.
+/// Holds the newest `capacity` entries of the last `span`; add() and trim() drop older entries.
 class SlidingWindowCounter {
  public:
   using Time = std::chrono::microseconds;
@@ -42,7 +42,8 @@
 
   [[nodiscard]] std::size_t entries() const { return entries_.size(); }
 
-  /// The `limit` keys with the highest counts; equal counts go by key, so the order is fixed.
+  /// Returns the `limit` keys with the highest counts. Ties are broken by key, so that the order is
+  /// deterministic.
   [[nodiscard]] std::vector<std::uint64_t> top(std::size_t limit) const {
     std::vector<std::pair<std::uint64_t, std::size_t>> counts(counts_.begin(), counts_.end());
     const auto top_end = counts.begin() + static_cast<std::ptrdiff_t>(std::min(limit, counts.size()));
@@ -57,7 +58,7 @@
  private:
   Time span_;
   std::size_t capacity_;
-  std::deque<std::pair<Time, std::uint64_t>> entries_;
+  std::deque<std::pair<Time, std::uint64_t>> entries_;  ///< time of the entry, key
   std::unordered_map<std::uint64_t, std::size_t> counts_;
 };
 
--- a/src/base/sliding_window_sum.h
+++ b/src/base/sliding_window_sum.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// A sum of amounts over a moving window of time.
+/// Sums amounts over a sliding time window.
 #pragma once
 
 #include <chrono>
@@ -18,6 +18,8 @@
     sum_ += amount;
   }
 
+  /// Returns the sum over the last `span` and drops older entries. An empty window resets the sum to 0, which
+  /// discards accumulated rounding errors.
   double sum(Time now, Time span) {
     while (!entries_.empty() && entries_.front().first + span < now) {
       sum_ -= entries_.front().second;
@@ -27,7 +29,7 @@
   }
 
  private:
-  std::deque<std::pair<Time, double>> entries_;
+  std::deque<std::pair<Time, double>> entries_;  ///< time of the entry, amount
   double sum_ = 0;
 };
 
--- a/src/base/time_units.h
+++ b/src/base/time_units.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Conversion between microseconds and seconds.
+/// Converts between microseconds and seconds.
 #pragma once
 
 #include <chrono>
@@ -14,7 +14,7 @@
   return static_cast<double>(time.count()) / kMicrosecondsPerSecond;
 }
 
-/// Fractions of a microsecond are cut off.
+/// Truncates fractions of a microsecond.
 [[nodiscard]] constexpr std::chrono::microseconds from_seconds(double seconds) {
   return std::chrono::microseconds{static_cast<std::int64_t>(seconds * kMicrosecondsPerSecond)};
 }
--- a/src/base/timer_queue.h
+++ b/src/base/timer_queue.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Timers in the order in which they fall due; equal times go first in, first out.
+/// A queue of timers in the order of their due times; timers with equal due times are in insertion order.
 #pragma once
 
 #include <chrono>
@@ -25,7 +25,7 @@
 
   [[nodiscard]] std::size_t size() const { return items_.size(); }
 
-  /// Takes out the first item that is due by `now`.
+  /// Removes and returns the first item that is due by `now`.
   std::optional<T> pop_due(Time now) {
     if (items_.empty() || items_.begin()->first.first > now) return std::nullopt;
     T item = std::move(items_.begin()->second);
@@ -34,7 +34,7 @@
   }
 
  private:
-  std::map<std::pair<Time, std::uint64_t>, T> items_;
+  std::map<std::pair<Time, std::uint64_t>, T> items_;  ///< by due time and insertion number
   std::uint64_t next_ = 0;
 };
 
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Messages between the members of a cluster and what they say about members (docs/membership.md). Plain
-/// values: membership/codec.h encodes them.
+/// Messages between the members of a cluster and the member updates in them (docs/membership.md). All types
+/// are plain values; membership/codec.h encodes them.
 #pragma once
 
 #include <chrono>
@@ -14,17 +14,17 @@
 
 namespace edge_proxy::membership {
 
-/// Monotonic time of this process; never compared with another process's.
+/// Monotonic time of this process; it is never compared with the time of another process.
 using Time = std::chrono::microseconds;
 
-/// What is known about a member. Those that left or were forgotten are kept as tombstones, so that an
-/// outdated update does not bring them back.
+/// The known status of a member. Members that left or were forgotten are kept as tombstones, so that an
+/// outdated update does not add them again.
 enum class MemberStatus : std::uint8_t {
   alive,
-  suspect,    ///< it did not answer; it may still refute that
-  dead,       ///< no member reaches it; it stays registered
-  left,       ///< it shut down gracefully
-  forgotten,  ///< an operator removed it
+  suspect,    ///< the member did not answer; it may still refute the suspicion
+  dead,       ///< no member reaches the member; it stays registered
+  left,       ///< the member shut down gracefully
+  forgotten,  ///< an operator removed the member
   disputed    ///< two processes use this name: neither participates until one has been stopped
 };
 constexpr std::size_t kMemberStatusCount = 6;
@@ -38,58 +38,60 @@
   return status == MemberStatus::alive || status == MemberStatus::suspect;
 }
 
-/// What some member knows about a member; the unit of gossip.
+/// One member's knowledge about a member; the unit of gossip.
 struct MemberUpdate {
   std::string name;
   std::string address;        ///< host:port, for datagrams and for streams
-  std::uint64_t disk_id = 0;  ///< a name with another disk is another member
-  /// Only the member itself raises it. It never falls, not even with an empty disk.
+  std::uint64_t disk_id = 0;  ///< members with equal names and different disks are different members
+  /// Only the member itself raises its incarnation. The incarnation never decreases, even after the loss of
+  /// the disk's contents.
   std::uint64_t incarnation = 0;
   int zone = 0;
   MemberStatus status = MemberStatus::alive;
-  std::string reported_by{};  ///< who first reported the status, of suspect, dead and forgotten members
+  std::string reported_by{};  ///< first reporter of the status suspect, dead or forgotten
   bool operator==(const MemberUpdate&) const = default;
 };
 
-/// The incarnation counts epochs (starts of the member, and rejoins after it was forgotten) above these bits,
-/// and within an epoch what the member refuted below them.
+/// The low bits of the incarnation count refutations within an epoch; the bits above count epochs: starts of
+/// the member, and its rejoins after it was forgotten.
 constexpr unsigned kRefutationBits = 20;
 constexpr std::uint64_t kEpochStep = std::uint64_t{1} << kRefutationBits;
 
-/// Orders the updates of one member: the later epoch wins; within an epoch that the member is no longer
-/// registered, which nothing that it sent before it learned of it undoes; then the higher incarnation. Among
-/// equal ones, the status that comes later in MemberStatus wins.
+/// Orders the updates of one member, by epoch, removal and incarnation. The later epoch wins. Within an
+/// epoch, an update that the member is no longer registered wins, so that messages which the member sent
+/// before it learned of its removal do not undo the removal. Then the higher incarnation wins. Among equal
+/// updates, the status that is later in MemberStatus wins.
 inline std::tuple<std::uint64_t, bool, std::uint64_t> precedence_of(const MemberUpdate& update) {
   return {update.incarnation >> kRefutationBits, !is_registered(update.status), update.incarnation};
 }
 
 enum class MessageKind : std::uint8_t {
   ping,
-  ack,        ///< answers a ping; `sequence` is the ping's
-  nack,       ///< answers a ping_req: the target has not answered so far
+  ack,        ///< answers a ping; `sequence` is that of the ping
+  nack,       ///< answers a ping_req: the target has not answered yet
   ping_req,   ///< asks the receiver to ping `target`
-  gossip,     ///< carries updates only
-  full_sync,  ///< all that the sender knows, over a stream; answered by full_sync_reply
+  gossip,     ///< contains updates only
+  full_sync,  ///< the sender's whole view, over a stream; answered by full_sync_reply
   full_sync_reply,
-  user_message  ///< `payload` belongs to another subsystem of the receiver
+  user_message  ///< `payload` is for another subsystem of the receiver
 };
 constexpr std::size_t kMessageKindCount = 8;
 
 struct Message {
   MessageKind kind = MessageKind::ping;
   std::uint64_t sequence = 0;  ///< identifies a ping or ping_req to its sender
-  std::string to;              ///< the member it is meant for; empty: whichever has that address
-  MemberUpdate from;           ///< the sender, as it describes itself
-  std::uint64_t digest = 0;    ///< of the sender's view
-  /// Of ping_req: the member to ping. Of an ack that was relayed: the member that sent it.
+  std::string to;              ///< the intended receiver; empty: any member at the address
+  MemberUpdate from;           ///< the sender's update about itself
+  std::uint64_t digest = 0;    ///< digest of the sender's view
+  /// For ping_req: the member to ping. For a relayed ack: the member that sent it.
   std::string target;
-  std::string target_address;  ///< of ping_req
+  std::string target_address;  ///< for ping_req: the address of `target`
   std::vector<MemberUpdate> updates;
-  // The next three: of ack, for the quota leases (admission/quota_leases.h).
-  std::uint64_t counted_disk = 0;       ///< disk under which the sender counts the receiver; 0: it does not
-  std::uint64_t member_names_hash = 0;  ///< of the names that the sender counts
-  bool confirmed = false;               ///< the sender is counted by all others
-  std::string payload;                  ///< of user_message
+  // The next three fields are for ack, for the quota leases (admission/quota_leases.h).
+  std::uint64_t counted_disk = 0;  ///< disk of the receiver that the sender counts; 0: it does not count it
+  std::uint64_t member_names_hash = 0;  ///< hash of the names that the sender counts
+  bool confirmed = false;               ///< all other members count the sender
+  std::string payload;                  ///< for user_message
 };
 
 }  // namespace edge_proxy::membership
--- a/src/proxy/context.h
+++ b/src/proxy/context.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What the parts of the reducer share: the time of this input, the effects so far, timers and connection
-/// identifiers.
+/// State that the parts of the reducer share: the time of the current input, its effects so far, the timers
+/// and the connection identifiers.
 #pragma once
 
 #include <cstdint>
@@ -16,17 +16,17 @@
 
 namespace edge_proxy::proxy {
 
-/// What a timer is for, and which of its fields say what about.
+/// The purpose of a timer. The comments name the fields of Timer that it uses.
 enum class TimerKind {
-  router_timer,        ///< a SetTimer of the router's: router_token
-  request_expired,     ///< request
-  attempt_timeout,     ///< request, attempt
-  delayed_completion,  ///< completions that were held back a moment
-  connect_timeout,     ///< connection
+  router_timer,        ///< a SetTimer of the router; uses router_token
+  request_expired,     ///< uses request
+  attempt_timeout,     ///< uses request and attempt
+  delayed_completion,  ///< handles completions that were delayed
+  connect_timeout,     ///< uses connection
   sweep,               ///< closes idle and silent connections
-  discovery_connect,   ///< opens the connection to the discovery service again
+  discovery_connect,   ///< reconnects to the discovery service
   log_stats,           ///< writes the statistics of the last second to the log
-  close_idle,          ///< a step of the graceful shutdown, like those below
+  close_idle,          ///< this step and the following ones belong to the graceful shutdown
   stop_listening,
   stop_serving,
   stop_flushing
@@ -38,7 +38,7 @@
   ConnectionId connection = 0;
   std::int64_t router_token = 0;
 
-  /// A timer that concerns nothing in particular.
+  /// Returns a timer whose kind uses no other field.
   static Timer of(TimerKind kind) { return {.kind = kind}; }
   static Timer router_timer(std::int64_t token) {
     return {.kind = TimerKind::router_timer, .router_token = token};
@@ -54,16 +54,16 @@
   }
 };
 
-/// What a connection leaves in the log when it ends.
+/// The data of a connection that is logged when it closes.
 struct ConnectionRecord {
-  std::string_view kind;  ///< front, admin, member or bulletin: as docs/oncall.md lists them
+  std::string_view kind;  ///< front, admin, member or bulletin; docs/oncall.md describes them
   ConnectionId id = 0;
   Time opened_at{0};
   std::uint64_t request_count = 0;
-  std::string endpoint;  ///< of a connection to an endpoint
+  std::string endpoint;  ///< set for a connection to an endpoint
 };
 
-/// Whether a connection's bytes are read before those of all other sockets that are ready.
+/// The bytes of connections with priority `high` are read before those of all other ready sockets.
 enum class ReadPriority : std::uint8_t { normal, high };
 
 /// The state that all parts of the reducer share.
@@ -71,21 +71,20 @@
   explicit Context(const config::Config& config) : limits(config) {}
 
   ResourceLimits limits;
-  Time now{0};                  ///< of the input that is being handled
-  std::vector<Effect> effects;  ///< of that input, so far
+  Time now{0};                  ///< time of the current input
+  std::vector<Effect> effects;  ///< effects of the current input so far
   TimerQueue<Timer> timers;
-  ConnectionId last_connection_id = 0;  ///< the newest that was opened from here
-  int open_connections = 0;             ///< connections open or coming up
+  ConnectionId last_connection_id = 0;  ///< the newest connection that the reducer opened
+  int open_connections = 0;             ///< open connections and connections being opened
 
-  // Each of these adds an effect.
+  // Each of the following functions adds effects.
   void log(std::string line);
   void write(ConnectionId connection, std::string bytes);
-  /// Opens a connection to an address.
   ConnectionId connect(const std::string& address, ReadPriority priority = ReadPriority::normal);
   void close(ConnectionId connection);
   void drain_and_close(ConnectionId connection);
   void shutdown_write(ConnectionId connection);
-  /// The end of a connection: closes it, unless the peer already has, and logs why.
+  /// Closes a connection, unless the peer has already closed it, and logs the reason.
   void log_closed(const ConnectionRecord& record, CloseReason reason, ClosedBy closed_by);
   void log_closed(const ConnectionRecord& record, CloseReason reason, bool close_connection) {
     log_closed(record, reason, close_connection ? ClosedBy::proxy : ClosedBy::peer);
--- a/src/proxy/effects.h
+++ b/src/proxy/effects.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The effects of the edge proxy's reducer: what the event loop carries out for it, in order.
+/// The effects of the edge proxy's reducer. The event loop carries them out in order.
 #pragma once
 
 #include <string>
@@ -18,63 +18,64 @@
   ConnectionId connection = 0;
   std::string bytes;
 };
-/// Opens a connection; answered by Connected or ConnectFailed.
+/// Opens a connection; its result arrives as Connected or ConnectFailed.
 struct Connect {
   ConnectionId connection = 0;
   std::string address;
-  bool high_priority = false;  ///< its bytes are read before those of all other sockets that are ready
+  bool high_priority = false;  ///< ready bytes are read before those of all other sockets
 };
-/// Ends this side's half once all is written: the other side can still read it.
+/// Shuts down the write side after all bytes are written, so that the peer can still read them.
 struct ShutdownWrite {
   ConnectionId connection = 0;
 };
-/// No input about the connection follows. Closing the listener ends the program once no connection is left.
+/// Closes a connection; no input about it follows. Closing the listener ends the program after the last
+/// connection has closed.
 struct Close {
   ConnectionId connection = 0;
 };
-/// Reads what has come on the connection so far, reported as BytesArrived, then closes it, reported as
-/// ConnectionClosed.
+/// Reads the bytes that have already arrived on the connection, reported as BytesArrived, then closes it,
+/// reported as ConnectionClosed.
 struct DrainAndClose {
   ConnectionId connection = 0;
 };
-/// Asks for a LoopTimerExpired at this time; the newest replaces those before.
+/// Requests a LoopTimerExpired at this time; the newest request replaces the previous one.
 struct ArmTimer {
   Time at{0};
 };
-/// A line for the log.
+/// Writes a line to the log.
 struct LogLine {
   std::string line;
 };
-/// New connections go to another process that listens at the same address, where there is one.
+/// Stops accepting, so that another process that listens at the same address, if any, gets new connections.
 struct StopAccepting {};
-/// Stores the admin overrides for the process that follows; the newest replaces those before.
+/// Stores the admin overrides for the successor process; the newest overrides replace the previous ones.
 struct PersistOverrides {
   std::string overrides;
 };
-/// To be sent on the membership sockets.
+/// Sends a message on the membership sockets.
 struct MembershipEffect {
   std::variant<membership::SendDatagram, membership::SendFullSync, membership::FullSyncReply> effect;
 };
-/// Stores this process's identity and the members that it knows for the process that follows; the newest
-/// replaces those before.
+/// Stores this process's identity and its known members for the successor process; the newest state replaces
+/// the previous one.
 struct PersistMembership {
   membership::MemberUpdate self;
   std::vector<membership::MemberUpdate> members;
 };
 /// Closes the membership sockets.
 struct StopMembership {};
-/// A message of the cluster's bootstrap came from that member.
+/// A bootstrap message of the cluster arrived from the member `from`.
 struct BootstrapReceived {
   std::string from;
   consensus::BootstrapMessage message;
 };
-/// An operator's call to change the voters: `name=id` to be added, or a name to be removed.
+/// An operator's call to change the voters: `name` is `NAME=ID` for an addition and a name for a removal.
 struct VoterChangeCall {
   ConnectionId call = 0;
   std::string name;
   bool add = false;
 };
-/// For the policy's log.
+/// Passes an effect or a message to the replicated log of the policy.
 struct ConsensusEffect {
   std::variant<consensus::AppendEntry, consensus::CheckTerm, consensus::PersistLearned,
                consensus::RaftMessage, BootstrapReceived, VoterChangeCall>
--- a/src/proxy/inputs.h
+++ b/src/proxy/inputs.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The inputs of the edge proxy's reducer: what the event loop reports to it.
+/// The inputs of the edge proxy's reducer, which the event loop feeds.
 #pragma once
 
 #include <cstdint>
@@ -24,44 +24,44 @@
   ConnectionId connection = 0;
   ConnectionId listener = kListener;
 };
-/// The system gave no descriptor for a connection.
+/// The system had no free descriptor for a new connection.
 struct DescriptorsExhausted {};
-/// Bytes came on a connection; they are valid for the one call of reduce() alone.
+/// Bytes arrived on a connection; they are valid only during the call to reduce().
 struct BytesArrived {
   ConnectionId connection = 0;
   std::string_view bytes;
 };
-/// All that was asked to be written has gone to the system.
+/// The system has taken all bytes that were to be written on the connection.
 struct WriteDrained {
   ConnectionId connection = 0;
 };
-/// A connection that the reducer asked for is up.
+/// A connection that the reducer requested is open.
 struct Connected {
   ConnectionId connection = 0;
 };
-/// A connection that the reducer asked for could not be opened.
+/// A connection that the reducer requested could not be opened.
 struct ConnectFailed {
   ConnectionId connection = 0;
 };
-/// The other side has ended the connection.
+/// The peer has closed or reset the connection, or DrainAndClose has closed it.
 struct ConnectionClosed {
   ConnectionId connection = 0;
   bool is_reset = false;
 };
-/// The time of the newest ArmTimer has come.
+/// The time of the newest ArmTimer has passed.
 struct LoopTimerExpired {};
-/// SIGTERM.
+/// The process received SIGTERM.
 struct ShutdownRequested {};
-/// SIGHUP: the configuration as it was read and checked anew.
+/// The process received SIGHUP, and the configuration was read again and is valid.
 struct Reloaded {
   config::Config config;
 };
-/// SIGHUP, and the configuration is faulty.
+/// The process received SIGHUP, and the configuration is invalid.
 struct ReloadFailed {
-  std::string problem;  ///< names the faulty key
+  std::string problem;  ///< names the invalid key
 };
-/// The admin overrides that a process of this edge proxy has stored: an earlier one, or one that runs beside
-/// it for a while during an upgrade.
+/// Admin overrides that another process of this edge proxy has stored: a previous process, or one that runs
+/// in parallel during an upgrade.
 struct OverridesLoaded {
   std::string overrides;
 };
@@ -69,18 +69,18 @@
 struct MembershipReady {
   membership::Identity identity;
 };
-/// What came on the membership sockets.
+/// An input from the membership sockets.
 struct MembershipInput {
   membership::Input input;
 };
-/// What the policy's log has produced, on a thread of its own.
+/// Output of the policy's replicated log, which runs on its own thread.
 struct ConsensusOutput {
-  std::vector<std::pair<std::string, std::string>> outgoing_messages;  ///< to that member, these bytes
+  std::vector<std::pair<std::string, std::string>> outgoing_messages;  ///< receiving member, encoded message
   std::vector<consensus::Input> consensus_inputs;
   std::vector<std::string> log_lines;
-  std::map<std::string, std::uint64_t> voters;  ///< names and Raft ids, as the log has them
+  std::map<std::string, std::uint64_t> voters;  ///< names and Raft ids of the voters in the log
   std::vector<std::tuple<ConnectionId, int, std::string>> admin_replies;  ///< admin call, HTTP status, body
-  std::uint64_t own_raft_id = 0;                                          ///< this proxy's own
+  std::uint64_t own_raft_id = 0;                                          ///< Raft id of this proxy
 };
 using Input = std::variant<Accepted, DescriptorsExhausted, BytesArrived, WriteDrained, Connected,
                            ConnectFailed, ConnectionClosed, LoopTimerExpired, ShutdownRequested, Reloaded,
--- a/src/proxy/resource_limits.h
+++ b/src/proxy/resource_limits.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// All bounds of the socket side: what one connection, one client and all together may hold or take up. Sizes
-/// are in bytes.
+/// All limits for sockets: the time, memory and descriptors that one connection, one client and all
+/// connections together may use. Sizes are in bytes.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace edge_proxy::proxy {
 
-/// The longest deadline of all classes of the settings.
+/// Returns the longest deadline of all request classes.
 inline Time longest_deadline(const Settings& settings) {
   Time longest{0};
   for (const RequestClass& request_class : settings.classes)
@@ -21,103 +21,111 @@
 
 // ---- Time ----
 
-/// From connecting to the first complete message, and from a message's first byte to its last.
+/// Maximum time from connecting to the first complete message, and from a message's first byte to its last.
 constexpr Time kMessageTimeout = std::chrono::milliseconds(2500);
-/// A client that has sent nothing for this long makes room before those that have.
+/// A client that has sent nothing for this long after connecting is disconnected before other clients if
+/// connections run short.
 constexpr Time kFirstByteTimeout = std::chrono::milliseconds(500);
-/// Without any input for this long, timers included, the event loop itself has stalled.
+/// The event loop has stalled if it receives no input, timers included, for this long.
 constexpr Time kLoopStallThreshold = std::chrono::milliseconds(500);
-/// Clients close idle connections after 4 s; this is for those that keep one for good.
+/// Well-behaved clients close idle connections after 4 s; this limit is for clients that never close them.
 constexpr Time kClientIdleTimeout = std::chrono::seconds(6);
-/// How long a client whose connection drains may take to read the last reply; likewise an operator.
+/// Maximum time for a client or an operator to read the last reply on a draining connection.
 constexpr Time kDrainTimeout = std::chrono::milliseconds(500);
-/// From connecting at the admin address to the complete call.
+/// Maximum time from connecting to the admin address to the complete call.
 constexpr Time kAdminCallTimeout = std::chrono::seconds(10);
-/// How often the overrides that another process of this edge proxy has stored are read.
+/// Interval between reads of the overrides that another process of this edge proxy has stored.
 constexpr Time kOverridesPollInterval = std::chrono::milliseconds(100);
-/// How long a resumed endpoint's override is remembered: longer than any slow start takes.
+/// How long the override of a resumed endpoint is remembered; longer than any slow start.
 constexpr Time kOverrideRetention = std::chrono::seconds(60);
 
-// After SIGTERM new connections and requests keep coming for some time. Then each connection ends at the
-// first moment at which it owes nothing: a busy one has few of those, and is served as long as an answer can
-// still come in time. All is answered before the process may be killed: that is 0.7 s after the
-// longest deadline, which counts as 3 s at most.
+// Graceful shutdown. New connections and requests arrive for some time after SIGTERM. Then each connection is
+// closed at the first moment without a pending request. Such moments are rare on a busy connection, which is
+// served as long as an answer can still arrive in time. All requests are answered before the process may be
+// killed, which is 0.7 s after the longest deadline; a longest deadline above 3 s counts as 3 s.
 constexpr Time kCloseIdleAfterShutdown = std::chrono::milliseconds(650);
 constexpr Time kListenAfterShutdown = std::chrono::seconds(1);
 constexpr Time kMaxDeadlineAtShutdown = std::chrono::seconds(3);
 constexpr Time kAnswerAfterDeadline = std::chrono::milliseconds(400);
 constexpr Time kServeMarginAtShutdown = std::chrono::milliseconds(500);
-/// A connection on which nothing has happened for this long has no request on its way; a new one may have.
+/// A connection without activity for this long has no request in transit. A new connection may have one, so
+/// that the longer limit applies until its first message.
 constexpr Time kQuietPeriod = std::chrono::milliseconds(2);
 constexpr Time kInitialQuietPeriod = std::chrono::milliseconds(100);
-/// Replies that clients have not read this long after the last one was due are dropped: nobody waits for
-/// them, and the process has to be gone before it may be killed.
+/// Replies that clients have not read this long after the last one was due are dropped: no client waits for
+/// them, and the process must exit before it may be killed.
 constexpr Time kFlushAfterShutdown = std::chrono::milliseconds(200);
 
 // ---- One connection ----
 
-/// Read at most from a connection that ends since its cache was removed from the list: what its buffers hold.
+/// Maximum read from a connection that closes because its cache was removed from the endpoint list; the
+/// socket's buffers hold no more.
 constexpr std::size_t kMaxDrainBytes = 8 * 1024 * 1024;
 
-/// What a client may send while its connection drains; it is discarded.
+/// Maximum that a client may send while its connection drains; the bytes are discarded.
 constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
+/// Requests that one client connection may have pending; further ones are rejected at once.
 constexpr std::size_t kMaxOpenCallsPerConnection = 32;
-/// Connections at the admin address.
+/// Maximum number of connections at the admin address.
 constexpr int kMaxAdminConnections = 32;
-/// Endpoints that operators may suspend, and removed endpoints of which it is remembered that they were
-/// listed.
+/// Maximum number of endpoints with an admin override, and of removed endpoints that are remembered as
+/// previously listed.
 constexpr std::size_t kMaxOverrides = 1024;
 constexpr std::size_t kMaxRemovedEndpoints = 256;
-/// Read from a client, and from another peer, before the other sockets have their turn; likewise accepted.
+/// Limits per turn of the event loop, for fairness between sockets: bytes read from a client, bytes of one
+/// read from another peer, reads from that peer, and accepted connections.
 constexpr std::size_t kClientReadBytes = 16 * 1024;
 constexpr std::size_t kReadChunkBytes = 64 * 1024;
 constexpr int kReadsPerTurn = 4;
 constexpr int kAcceptsPerTurn = 16;
-/// After the system gave no descriptor for a client, the next accept is tried this much later.
+/// Delay before the next accept after the system had no free descriptor for a client.
 constexpr Time kAcceptRetryDelay = std::chrono::milliseconds(100);
-/// Ready sockets taken from the system at once.
+/// Maximum number of ready sockets fetched from the system at once.
 constexpr int kMaxReadyEvents = 1024;
 constexpr int kListenBacklog = 512;
-/// Capacity of the write buffer that a connection keeps once all is sent.
+/// Capacity of the write buffer that a connection retains after everything is sent.
 constexpr std::size_t kRetainedWriteBufferBytes = 16 * 1024;
-/// Log lines a second on attempts that failed.
+/// Maximum number of log lines per second about failed attempts.
 constexpr int kMaxFailedAttemptLinesPerSecond = 16;
-/// Of log lines that standard output does not take at the moment.
+/// Maximum size of the log lines that are buffered while standard output is blocked.
 constexpr std::size_t kMaxBufferedLogBytes = 64 * 1024;
 
 // ---- The local cache ----
 
-/// The part of the memory that its copies may take: 1 / this.
+/// The copies may use 1 / `kLocalCacheMemoryDivisor` of the memory limit.
 constexpr std::size_t kLocalCacheMemoryDivisor = 7;
-/// Responses that came once and are remembered until they come again.
+/// Number of responses seen once that are remembered until they are seen again.
 constexpr std::size_t kLocalCacheSeenEntries = 4096;
-/// A copy is not served any more this long before it is too old.
+/// A copy is no longer served from this long before it reaches its maximum age.
 constexpr Time kLocalCopyAgeMargin = std::chrono::milliseconds(100);
-/// Without a line from the discovery service for this long none is served: invalidations may have been
-/// missed.
+/// No copy is served if no line from the discovery service has arrived for this long, since invalidations may
+/// have been missed.
 constexpr Time kDiscoverySilenceLimit = std::chrono::milliseconds(1500);
 
-// ---- All together, by the limits of the configuration ----
+// ---- All connections together, from the limits of the configuration ----
 
-/// Descriptors that are no connections of the kinds below: standard streams, the loop's own, listeners, the
-/// overrides file, the discovery service, one client that is accepted before another makes room for it.
+/// Descriptors for other purposes than the connections of ResourceLimits: standard streams, the event loop,
+/// listeners, the overrides file, the discovery service, and one client that is accepted before another is
+/// disconnected for it.
 constexpr int kReservedDescriptors = 16;
-/// Those of the membership, beside its full syncs: datagrams, a listener, the file that is stored.
+/// Descriptors of the membership in addition to its full syncs: datagram socket, listener and state file.
 constexpr int kMembershipDescriptors = 4;
 
-/// The kinds of connections have parts of the descriptors of their own, so that none can take what another
-/// needs, and all together stay within the limit.
+/// Each kind of connection has its own share of the descriptors, so that no kind can exhaust those of another
+/// and the total stays within the limit.
 struct ResourceLimits {
-  int descriptors = 0;           ///< all together
-  int client_connections = 0;    ///< connections of clients: half of them
-  int draining_connections = 0;  ///< and so many more that end, so that what was written can still be read
+  int descriptors = 0;           ///< limit for the whole process
+  int client_connections = 0;    ///< connections of clients: half of the descriptors
+  int draining_connections = 0;  ///< further client connections, open until the replies are read
   int admin_connections = 0;     ///< connections at the admin address
-  int upstream_connections = 0;  ///< connections to caches: a third, or what is left
-  Time unread_timeout{0};        ///< nobody waits longer for an answer
-  std::size_t body_bytes = 0;    ///< bodies of pending requests
-  std::size_t unsent_bytes = 0;  ///< replies that wait to be read, of all clients
-  std::size_t reject_unsent_bytes = 0;      ///< of one client: new requests are rejected at once
-  std::size_t disconnect_unsent_bytes = 0;  ///< of one client: it is disconnected
+  int upstream_connections = 0;  ///< connections to caches: a third of the descriptors, or the remainder
+  Time unread_timeout{0};        ///< no client waits longer for an answer
+  std::size_t body_bytes = 0;    ///< total size of the bodies of pending requests
+  std::size_t unsent_bytes = 0;  ///< unread replies of all clients
+  /// Unread replies of one client above which its new requests are rejected at once.
+  std::size_t reject_unsent_bytes = 0;
+  /// Unread replies of one client above which it is disconnected.
+  std::size_t disconnect_unsent_bytes = 0;
 
   explicit ResourceLimits(const config::Config& config)
       : descriptors(config.max_descriptors),
