--- a/tests/app/edge_proxy_test.cpp
+++ b/tests/app/edge_proxy_test.cpp
@@ -11,7 +11,7 @@
 
 TEST(Program, ServesOverSocketsAndSaysWhyConnectionsEnd) {
   StartedProgram program;
-  play(program, R"(
+  run_scenario(program, R"(
     anna send probe 1
     anna expect ready 1
     anna send 2 pages
@@ -32,7 +32,7 @@
 
 TEST(Program, SurvivesADeadCacheAndAPurge) {
   StartedProgram program;
-  play(program, R"(
+  run_scenario(program, R"(
     bulletin expect get last=1
     bulletin send head
     anna send 1 pages
@@ -44,7 +44,7 @@
     anna send 2 order unique=k
     anna expect refused 2
     edge expect log reason=connect_refused
-    box-1 close not
+    box-1 set normal
     bulletin send {"no":2,"recall":{"lot":17,"issued":1}}
     anna send 3 pages
     box-1 expect serve 3
@@ -55,10 +55,10 @@
 
 TEST(Program, ALargeAnswerComesWhole) {
   StartedProgram program;
-  play(program, "anna send 1 video\nbox-1 expect serve 1");
+  run_scenario(program, "anna send 1 video\nbox-1 expect serve 1");
   const std::string body(240'000, 'y');
   program.send("box-1", "0000000000000001 HIT ver=a 240000\r\n" + body + "\r\n");
-  play(program, "anna expect served 1 body=" + body);
+  run_scenario(program, "anna expect served 1 body=" + body);
 }
 
 TEST(Program, EndsThoughAPeerBreaksOffWhileItIsWrittenTo) {
@@ -66,16 +66,16 @@
   StartedProgram program;
   const std::string body(240'000, 'y');
   for (char id = '1'; id <= '9'; ++id)
-    play(program, std::string("anna send ") + id + " video\nbox-1 expect serve " + id);
+    run_scenario(program, std::string("anna send ") + id + " video\nbox-1 expect serve " + id);
   for (char id = '1'; id <= '9'; ++id)
     program.send("box-1", std::string("000000000000000") + id + " HIT ver=a 240000\r\n" + body + "\r\n");
-  play(program, "anna close reset\nedge expect log kind=front\nedge send TERM\nedge expect stopped");
+  run_scenario(program, "anna close reset\nedge expect log kind=front\nedge send TERM\nedge expect stopped");
   EXPECT_EQ(program.exit_code(), 0);
 }
 
 TEST(Program, TermFinishesWhatWasTakenAndExitsWithZero) {
   StartedProgram program;
-  play(program, R"(
+  run_scenario(program, R"(
     anna send 1 pages
     box-1 expect serve 1
     edge send TERM
@@ -98,15 +98,16 @@
   program.stall_log();
   for (int i = 0; i < 100; ++i) {
     const std::string client = "bad-" + std::to_string(i);
-    play(program, client + " send raw ff ff ff ff\n" + client + " expect closed");
+    run_scenario(program, client + " send raw ff ff ff ff\n" + client + " expect closed");
   }
-  play(program,
-       "anna send 1 pages\nbox-1 expect serve 1\nbox-1 send HIT 1 ver=a b\nanna expect served 1 body=b\n");
+  run_scenario(
+      program,
+      "anna send 1 pages\nbox-1 expect serve 1\nbox-1 send HIT 1 ver=a b\nanna expect served 1 body=b\n");
 }
 
 TEST(Program, ReadsTheBulletinBeforeTheRequestsThatCameWhileItStoodStill) {
   StartedProgram program;
-  play(program, R"(
+  run_scenario(program, R"(
     bulletin expect get last=1
     bulletin send head
     anna send 1 video
@@ -115,7 +116,7 @@
     anna expect served 1
   )");
   program.signal_it(SIGSTOP);
-  play(program, R"(
+  run_scenario(program, R"(
     wait 50
     anna send 2 video
     wait 50
@@ -128,13 +129,13 @@
   program.send("bulletin", R"(data: {"no":3,"recall":{"lot":17,"issued":)" + std::to_string(ms) + "}}\n\n");
   program.wait(std::chrono::milliseconds(50));
   program.signal_it(SIGCONT);
-  play(program, "box-1 expect serve 2 oldest=*\nbox-1 send HIT 2 ver=a b\nanna expect served 2\n");
+  run_scenario(program, "box-1 expect serve 2 oldest=*\nbox-1 send HIT 2 ver=a b\nanna expect served 2\n");
 }
 
 TEST(Program, HangupTakesTheNewConfigurationAndKeepsRequestsAndConnections) {
   // Guards against ending on SIGHUP, which loses all that was taken.
   StartedProgram program;
-  play(program, R"(
+  run_scenario(program, R"(
     bulletin expect get last=1
     anna send 1 pages
     box-1 expect serve 1
@@ -158,14 +159,14 @@
 TEST(Program, AnUpgradeTurnsNobodyBackAndKeepsWhatWasTakenOutByHand) {
   StartedProgram program({"box-1", "box-2", "up-1", "main"});
   // Anna connects before there are two that listen, so that her request is the old one's.
-  play(program, R"(
+  run_scenario(program, R"(
     ops send POST /v1/pop-caches/box-2/suspend
     ops expect 200
     anna send probe 0
     anna expect ready 0
   )");
   program.upgrade();
-  play(program, R"(
+  run_scenario(program, R"(
     ops-2 send GET /v1/readyz
     ops-2 expect 200
     ops-3 send GET /v1/metrics
@@ -173,10 +174,10 @@
   )");
   // Her patience is far longer than all that follows takes on a busy machine: where it ran out first, the
   // cancel of request 1 came to box-1 in the place of a request of the new clients.
-  play(program, "anna send 1 pages limit=9000\nbox-1 expect serve 1\n");
+  run_scenario(program, "anna send 1 pages limit=9000\nbox-1 expect serve 1\n");
   program.terminate_old();
   const auto old_logs = [&program](const char* line) {
-    const auto until = std::chrono::steady_clock::now() + program.patience();
+    const auto until = std::chrono::steady_clock::now() + program.expectation_timeout();
     while (program.old_log().find(line) == std::string::npos && std::chrono::steady_clock::now() < until)
       program.wait(std::chrono::milliseconds(5));
     return program.old_log().find(line) != std::string::npos;
@@ -187,18 +188,19 @@
   int asked = 0;
   while (std::chrono::steady_clock::now() < closed_by) {
     const std::string number = std::to_string(2 + asked++), client = "new-" + number;
-    play(program, client + " send " + number + " pages\nbox-1 expect serve " + number + "\nbox-1 send HIT " +
-                      number + " ver=a b\n" + client + " expect served " + number + "\nwait 50\n");
+    run_scenario(program, client + " send " + number + " pages\nbox-1 expect serve " + number +
+                              "\nbox-1 send HIT " + number + " ver=a b\n" + client + " expect served " +
+                              number + "\nwait 50\n");
     ASSERT_FALSE(HasFailure()) << program.old_log() << "-- the new one:\n" << program.log();
   }
-  play(program, "ops-4 send GET /v1/metrics\nops-4 expect 200 svc.calls.pages.success:" +
-                    std::to_string(asked) + "|c");
-  play(program, "box-1 send HIT 1 ver=a b\nanna expect served 1\nanna expect closed");
-  const auto until = std::chrono::steady_clock::now() + program.patience();
+  run_scenario(program, "ops-4 send GET /v1/metrics\nops-4 expect 200 svc.calls.pages.success:" +
+                            std::to_string(asked) + "|c");
+  run_scenario(program, "box-1 send HIT 1 ver=a b\nanna expect served 1\nanna expect closed");
+  const auto until = std::chrono::steady_clock::now() + program.expectation_timeout();
   while (!program.old_stopped() && std::chrono::steady_clock::now() < until)
     program.wait(std::chrono::milliseconds(10));
   EXPECT_EQ(program.exit_code(), 0);
-  play(program, "edge send TERM\nedge expect stopped");
+  run_scenario(program, "edge send TERM\nedge expect stopped");
   EXPECT_EQ(program.exit_code(), 0);
 }
 
@@ -207,7 +209,7 @@
     const std::string key = R"("max_retry_after":500000)";
     return config.replace(config.find(key), key.size(), R"("max_retry_after":"soon")");
   });
-  EXPECT_TRUE(program.stopped());
+  EXPECT_TRUE(program.has_stopped());
   EXPECT_EQ(program.exit_code(), 1);
   EXPECT_NE(program.log().find("field 'settings.bounds.max_retry_after': should be a whole number"),
             std::string::npos)
@@ -221,7 +223,7 @@
     const std::size_t listen = config.find("\"listen\":\"") + 10;
     return config.replace(listen, config.find('"', listen) - listen, taken);
   });
-  EXPECT_TRUE(program.stopped());
+  EXPECT_TRUE(program.has_stopped());
   EXPECT_EQ(program.exit_code(), 1);
   EXPECT_NE(program.log().find("field 'listen'"), std::string::npos) << program.log();
 }
--- a/tests/app/readiness_test.cpp
+++ b/tests/app/readiness_test.cpp
@@ -88,7 +88,7 @@
   const std::string news =
       "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\ndata: "
       R"({"no":1,"roster":{"revision":1,"complete":true,"members":[)" +
-      listed("box-1", "127.0.0.1:9") + "]}}\n\n";
+      member_json("box-1", "127.0.0.1:9") + "]}}\n\n";
   while (Clock::now() - begun < 20s &&
          !std::all_of(all.begin(), all.end(), [](const Process& p) { return p.ready; })) {
     std::vector<pollfd> polled;
--- a/tests/cluster/membership_cluster_test.cpp
+++ b/tests/cluster/membership_cluster_test.cpp
@@ -342,12 +342,13 @@
     }
     for (int n = 1; n <= 100; ++n) {
       const std::string number = std::to_string(n);
-      play(program, "anna send " + number + " pages limit=9000\nbox-1 expect serve " + number +
-                        "\nbox-1 send HIT " + number + " ver=a b\nanna expect served " + number + "\n");
+      run_scenario(program, "anna send " + number + " pages limit=9000\nbox-1 expect serve " + number +
+                                "\nbox-1 send HIT " + number + " ver=a b\nanna expect served " + number +
+                                "\n");
     }
     over = true;
     for (std::thread& flood : floods) flood.join();
-    play(program, "ops send GET /v1/metrics\nops expect 200 svc.calls.pages.success:100|c");
+    run_scenario(program, "ops send GET /v1/metrics\nops expect 200 svc.calls.pages.success:100|c");
     EXPECT_NE(program.log().find("peers refused reason="), std::string::npos) << program.log();
   }
   std::filesystem::remove_all(folder);
--- a/tests/cluster/policy_checker.cpp
+++ b/tests/cluster/policy_checker.cpp
@@ -16,19 +16,19 @@
 namespace {
 
 /// Writes what scenarios send, and nothing else.
-class Sender : public Stage {
+class Sender : public ProxyHarness {
  public:
   std::string bytes;
   void send(const std::string&, const std::string& more) override { bytes += more; }
-  std::string received(const std::string&) override { return {}; }
-  void close(const std::string&, Ends) override {}
-  bool closed(const std::string&) override { return false; }
+  std::string take_received(const std::string&) override { return {}; }
+  void set_behavior(const std::string&, PeerBehavior) override {}
+  bool is_closed(const std::string&) override { return false; }
   void wait(std::chrono::milliseconds) override {}
   void terminate() override {}
   void reload(const std::string&) override {}
-  bool stopped() override { return false; }
+  bool has_stopped() override { return false; }
   std::string log() override { return {}; }
-  std::chrono::milliseconds patience() const override { return std::chrono::milliseconds(1); }
+  std::chrono::milliseconds expectation_timeout() const override { return std::chrono::milliseconds(1); }
 };
 
 std::string value_of(const std::string& line, const std::string& key) {
@@ -55,7 +55,7 @@
   std::array<char, 65536> buffer;
   for (int number = 1; !over_; ++number) {
     Sender sender;
-    play(sender, "anna send " + std::to_string(number) + " pages");
+    run_scenario(sender, "anna send " + std::to_string(number) + " pages");
     for (std::size_t i = 0; i < ports_.size(); ++i) {
       int& fd = sockets[i];
       if (fd < 0) {
--- a/tests/golden/proxy_golden_test.cpp
+++ b/tests/golden/proxy_golden_test.cpp
@@ -13,7 +13,7 @@
 #include "consensus/codec.h"
 #include "golden/golden_record.h"
 #include "golden/proxy_trace.h"
-#include "support/virtual_stage.h"
+#include "support/virtual_time_harness.h"
 
 namespace edge_proxy::test {
 namespace {
@@ -21,7 +21,7 @@
 using golden::GoldenRecord;
 using std::chrono::milliseconds;
 
-VirtualStage::Observer recorder(GoldenRecord& record) {
+VirtualTimeHarness::Observer recorder(GoldenRecord& record) {
   return [&record](Time now, const proxy::Input& input, const std::vector<proxy::Effect>& effects) {
     golden::record_proxy_step(record, now, input, effects);
   };
@@ -38,8 +38,8 @@
 void check_scenario(const std::string& name, const std::string& scenario,
                     const std::vector<std::string>& members = {"box-1", "up-1", "main"}) {
   GoldenRecord record("proxy_" + name);
-  VirtualStage stage(members, 192, nullptr, recorder(record));
-  play(stage, scenario);
+  VirtualTimeHarness stage(members, 192, nullptr, recorder(record));
+  run_scenario(stage, scenario);
   record.check();
 }
 
@@ -92,11 +92,11 @@
     box-3 close reset
     box-1 close refusing
     anna send 4 pages
-    box-2 close silent
+    box-2 set silent
     anna send 5 pages
     anna send 6 video
     wait 500
-    box-1 close not
+    box-1 set normal
     anna send 7 pages
     wait 1
     box-1 send raw what is this
@@ -122,10 +122,10 @@
     wait 995
     box-1 send HIT 2 ver=a late
     bert send 3 pages
-    box-1 close deaf
+    box-1 set not_reading
     bert send 4 video
     bert close
-    box-1 close not
+    box-1 set normal
     carl send 5 pages
     carl close half
     box-1 send HIT 5 ver=a b
@@ -138,20 +138,20 @@
 TEST(ProxyGolden, DiscoveryChangesAndInvalidations) {
   check_scenario("discovery",
                  "bulletin expect get last=1\nbulletin send head\nanna send 1 pages\n" +
-                     roster(2, listed("box-1", "box-1:1", "leaving")) + "box-2 close late\n" +
-                     roster(3, listed("box-2", "box-2:1")) + R"(
+                     roster(2, member_json("box-1", "box-1:1", "leaving")) + "box-2 set delayed_connect\n" +
+                     roster(3, member_json("box-2", "box-2:1")) + R"(
     anna send 2 video
     bulletin send {"no":4,"recall":{"item":"0000000000000002","issued":1799999999500}}
     bulletin send {"no":5,"recall":{"lot":17,"issued":1799999999700}}
-    box-2 close not
+    box-2 set normal
     box-1 send HIT 1 ver=a b
     box-2 send HIT 2 ver=a b
     bulletin send comment
     wait 300
-)" + roster(6, listed("box-1", "box-1:1", "left") + "," + listed("box-9", "box-1:1")) +
-                     roster(7, listed("box-2", "box-2:1", "active", 1'799'999'999'000)) +
+)" + roster(6, member_json("box-1", "box-1:1", "left") + "," + member_json("box-9", "box-1:1")) +
+                     roster(7, member_json("box-2", "box-2:1", "active", 1'799'999'999'000)) +
                      "anna send 3 pages\nwait 20\n" +
-                     roster(8, listed("box-9", "box-1:1") + "," + listed("main", "main:1"), true) +
+                     roster(8, member_json("box-9", "box-1:1") + "," + member_json("main", "main:1"), true) +
                      R"(
     bulletin send {"no":9,"nonsense":1}
     bulletin send raw id: x\ndata: {\n\n
@@ -161,7 +161,7 @@
     bulletin close reset
     bulletin close refusing
     wait 3000
-    bulletin close not
+    bulletin set normal
     anna send probe 4
     wait 3000
   )");
@@ -192,8 +192,8 @@
 
 TEST(ProxyGolden, AdminCallsAndOverrides) {
   GoldenRecord record("proxy_admin");
-  VirtualStage stage({"box-1", "box-2", "up-1", "main"}, 192, nullptr, recorder(record));
-  play(stage, R"(
+  VirtualTimeHarness stage({"box-1", "box-2", "up-1", "main"}, 192, nullptr, recorder(record));
+  run_scenario(stage, R"(
     ops-1 send GET /v1/readyz
     ops-2 send POST /v1/pop-caches/box-2/suspend
     ops-3 send POST /v1/pop-caches/box-2/suspend
@@ -210,12 +210,12 @@
     ops-11 send POST /v1/policy/abort
     ops-12 send POST /v1/peers/n2/forget
     bulletin send head
-  )" + roster(2, listed("box-2", "box-2:1", "left")) +
-                  roster(3, listed("box-2", "box-2:1", "active", 1'800'000'000'000)) +
-                  "ops-13 send POST /v1/pop-caches/box-2/resume\nwait 300\n");
-  stage.read_kept("out 12\nout x box-1\nnonsense\n" + stage.kept());
+  )" + roster(2, member_json("box-2", "box-2:1", "left")) +
+                          roster(3, member_json("box-2", "box-2:1", "active", 1'800'000'000'000)) +
+                          "ops-13 send POST /v1/pop-caches/box-2/resume\nwait 300\n");
+  stage.load_overrides("out 12\nout x box-1\nnonsense\n" + stage.stored_overrides());
   for (int i = 0; i < 36; ++i) stage.send("ops-silent-" + std::to_string(i), "GET");
-  play(stage, "edge send TERM\nops-14 send GET /v1/readyz\nwait 12000\n");
+  run_scenario(stage, "edge send TERM\nops-14 send GET /v1/readyz\nwait 12000\n");
   record.check();
 }
 
@@ -244,15 +244,15 @@
 
 TEST(ProxyGolden, StalledLoopAndExhaustedDescriptors) {
   GoldenRecord record("proxy_stalls");
-  VirtualStage stage({"box-1", "up-1", "main"}, 192, nullptr, recorder(record));
-  play(stage, "bulletin send head\nanna send 1 video limit=5000\nbox-1 expect serve 1\n");
-  stage.run_out_of_descriptors();
-  stage.stand_still(milliseconds(4000));
-  play(stage, "anna send 2 video\nbox-1 send HIT 1 ver=a b\nwait 200\n");
-  stage.stall("anna", true);
-  play(stage, "anna send 3 pages\nbox-1 send HIT 3 ver=a b\nwait 20000\n");
-  stage.stall("anna", false);
-  play(stage, "wait 10000\nedge send TERM\nwait 6000\n");
+  VirtualTimeHarness stage({"box-1", "up-1", "main"}, 192, nullptr, recorder(record));
+  run_scenario(stage, "bulletin send head\nanna send 1 video limit=5000\nbox-1 expect serve 1\n");
+  stage.exhaust_descriptors();
+  stage.stall_event_loop(milliseconds(4000));
+  run_scenario(stage, "anna send 2 video\nbox-1 send HIT 1 ver=a b\nwait 200\n");
+  stage.set_write_stalled("anna", true);
+  run_scenario(stage, "anna send 3 pages\nbox-1 send HIT 3 ver=a b\nwait 20000\n");
+  stage.set_write_stalled("anna", false);
+  run_scenario(stage, "wait 10000\nedge send TERM\nwait 6000\n");
   record.check();
 }
 
@@ -260,7 +260,7 @@
 
 class RandomScenario {
  public:
-  RandomScenario(VirtualStage& stage, std::uint64_t seed) : stage_(stage), engine_(seed) {}
+  RandomScenario(VirtualTimeHarness& stage, std::uint64_t seed) : stage_(stage), engine_(seed) {}
 
   void run(int steps) {
     line("bulletin send head");
@@ -278,7 +278,7 @@
   std::string one_of(const std::array<const char*, Size>& words) {
     return words[below(Size)];
   }
-  void line(const std::string& text) { play(stage_, text + "\n"); }
+  void line(const std::string& text) { run_scenario(stage_, text + "\n"); }
 
   std::string client() { return "client-" + std::to_string(below(6)); }
   std::string cache() { return "box-" + std::to_string(1 + below(3)); }
@@ -295,7 +295,9 @@
       line(client() + (below(2) == 0 ? " close" : " close reset"));
     } else if (draw < 92) {
       const std::string who = cache();
-      line(who + " close " + one_of(std::array{"reset", "refusing", "late", "deaf", "not", "not"}));
+      line(who + " " +
+           one_of(std::array{"close reset", "close refusing", "set delayed_connect", "set not_reading",
+                             "set normal", "set normal"}));
     } else if (draw < 95) {
       announce();
     } else if (draw < 97) {
@@ -331,7 +333,7 @@
     const std::uint64_t number = open_[at];
     open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(at));
     for (const char* who : {"box-1", "box-2", "box-3"}) {
-      if (!stage_.asked_there(who, hex_of(number))) continue;
+      if (!stage_.is_request_connection_open(who, hex_of(number))) continue;
       const std::string word =
           one_of(std::array{"HIT", "HIT", "HIT", "HIT", "VALID", "NONE", "SHED", "FAULT", "LATE"});
       const bool has_copy = word == "HIT" || word == "VALID";
@@ -360,7 +362,7 @@
       const std::string who = cache();
       const std::string phase = one_of(std::array{"active", "active", "leaving", "left"});
       const long long up_since = below(2) == 0 ? 0 : ms;
-      line(roster(static_cast<int>(number_), listed(who, who + ":1", phase, up_since)));
+      line(roster(static_cast<int>(number_), member_json(who, who + ":1", phase, up_since)));
     }
   }
 
@@ -372,7 +374,7 @@
     line(who + " send " + path);
   }
 
-  VirtualStage& stage_;
+  VirtualTimeHarness& stage_;
   std::mt19937_64 engine_;
   std::uint64_t asked_ = 0, number_ = 1, calls_ = 0;
   std::vector<std::uint64_t> open_;
@@ -387,7 +389,7 @@
 TEST(ProxyGolden, RandomScenarios) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     GoldenRecord record("proxy_random_" + std::to_string(seed));
-    VirtualStage stage(kMembers, 192, seed % 2 == 0 ? with_hedging : nullptr, recorder(record));
+    VirtualTimeHarness stage(kMembers, 192, seed % 2 == 0 ? with_hedging : nullptr, recorder(record));
     RandomScenario(stage, seed).run(250);
     record.check();
   }
@@ -404,7 +406,7 @@
 /// Two other proxies of the cluster, played by hand.
 class ClusterScenario {
  public:
-  ClusterScenario(VirtualStage& stage, std::uint64_t seed) : stage_(stage), engine_(seed) {}
+  ClusterScenario(VirtualTimeHarness& stage, std::uint64_t seed) : stage_(stage), engine_(seed) {}
 
   void ready() {
     membership::Identity identity{7 + engine_() % 5, membership::kEpochStep, false, {}};
@@ -414,7 +416,7 @@
   void run_for(int steps) {
     for (int step = 0; step < steps; ++step) {
       hear(one());
-      play(stage_, "wait " + std::to_string(10 + engine_() % 60));
+      run_scenario(stage_, "wait " + std::to_string(10 + engine_() % 60));
     }
   }
   /// It has come to lead the log, and is granted a lease by a majority.
@@ -514,27 +516,27 @@
     stage_.feed(proxy::MembershipInput{membership::MessageReceived{message, 0}});
   }
 
-  VirtualStage& stage_;
+  VirtualTimeHarness& stage_;
   std::mt19937_64 engine_;
   std::uint64_t number_ = 0;
   consensus::Term term_ = 3;
 };
 
-void put_policy(VirtualStage& stage, const std::string& who, const std::string& body) {
+void put_policy(VirtualTimeHarness& stage, const std::string& who, const std::string& body) {
   stage.send(who, "PUT /v1/policy HTTP/1.1\r\nHost: edge\r\nContent-Length: " + std::to_string(body.size()) +
                       "\r\n\r\n" + body);
 }
 
-void play_cluster(VirtualStage& stage, std::uint64_t seed) {
+void play_cluster(VirtualTimeHarness& stage, std::uint64_t seed) {
   ClusterScenario cluster(stage, seed);
-  play(stage, "anna send 1 pages\nops-1 send GET /v1/policy\nops-2 send GET /v1/peers\n");
+  run_scenario(stage, "anna send 1 pages\nops-1 send GET /v1/policy\nops-2 send GET /v1/peers\n");
   put_policy(stage, "ops-3", "{}");
   cluster.ready();
   cluster.run_for(40);
   cluster.lead();
   cluster.run_for(4);
   cluster.confirm(20);
-  play(stage, "anna send 2 pages\nwait 10\nbox-1 send HIT 2 ver=a b\n");
+  run_scenario(stage, "anna send 2 pages\nwait 10\nbox-1 send HIT 2 ver=a b\n");
   put_policy(stage, "ops-4", R"({"key":"first","base":0,"policy":{"attempts_cap":3}})");
   put_policy(stage, "ops-5", R"({"key":"second","base":-1,"policy":{}})");
   put_policy(stage, "ops-6", "nonsense");
@@ -548,29 +550,31 @@
   cluster.carry_bytes("n3", "no message");
   cluster.run_for(10);
   cluster.apply(3, {consensus::Step::commit, 2, {}, 0, {}, {}});
-  play(stage, "anna send 3 video\nops-7 send GET /v1/policy\nops-8 send POST /v1/policy/abort\n");
+  run_scenario(stage, "anna send 3 video\nops-7 send GET /v1/policy\nops-8 send POST /v1/policy/abort\n");
   cluster.run_for(100);
   cluster.apply(4, {consensus::Step::activate, 2, {}, 0, {}, {}});
   cluster.run_for(6);
   cluster.confirm(90);
-  play(stage, "anna send 4 video\nops-9 send GET /v1/metrics\nops-10 send GET /v1/policy\n");
-  play(stage,
-       "ops-11 send POST /v1/peers/n3/forget\nops-12 send GET /v1/peers\n"
-       "ops-14 send POST /v1/policy/voters/n4=11/add\nops-15 send POST /v1/policy/voters/n4/remove\n");
+  run_scenario(stage, "anna send 4 video\nops-9 send GET /v1/metrics\nops-10 send GET /v1/policy\n");
+  run_scenario(
+      stage,
+      "ops-11 send POST /v1/peers/n3/forget\nops-12 send GET /v1/peers\n"
+      "ops-14 send POST /v1/policy/voters/n4=11/add\nops-15 send POST /v1/policy/voters/n4/remove\n");
   // No voter from here on: a voter that is told of a log ahead of its own asks for a timer in the past
   // without end, which virtual time can't follow.
   cluster.own(consensus::BecameFollower{"n2", false});
   cluster.carry("n2", consensus::LeaseRevocation{cluster.term() + 1, 1});
   cluster.carry("n2", consensus::LogPosition{9, "n2"});
   cluster.carry("n2", consensus::CatchUpResponse{4, 9, {}});
-  play(stage,
-       "anna send 5 pages\nwait 8000\nops-13 send POST /v1/peers/n3/forget\nedge send TERM\nwait 3000\n");
+  run_scenario(
+      stage,
+      "anna send 5 pages\nwait 8000\nops-13 send POST /v1/peers/n3/forget\nedge send TERM\nwait 3000\n");
 }
 
 TEST(ProxyGolden, MembershipAndPolicy) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     GoldenRecord record("proxy_cluster_" + std::to_string(seed));
-    VirtualStage stage(kMembers, 192, with_policy, recorder(record));
+    VirtualTimeHarness stage(kMembers, 192, with_policy, recorder(record));
     play_cluster(stage, seed);
     record.check();
   }
--- a/tests/proxy/cancelled_clients_test.cpp
+++ b/tests/proxy/cancelled_clients_test.cpp
@@ -3,7 +3,7 @@
 // In virtual time here, over real connections in instants_test.cpp.
 #include <gtest/gtest.h>
 
-#include "support/virtual_stage.h"
+#include "support/virtual_time_harness.h"
 
 namespace edge_proxy::test {
 namespace {
@@ -14,9 +14,9 @@
 }
 
 TEST(GoneClients, ARequestAndItsCancelReadTogetherAreNotServed) {
-  VirtualStage stage;
-  stage.arrive_whole();
-  play(stage, R"(
+  VirtualTimeHarness stage;
+  stage.deliver_unsplit();
+  run_scenario(stage, R"(
     # a connection to the cache is up
     bert send 9 pages
     box-1 expect serve 9
@@ -35,8 +35,8 @@
 }
 
 TEST(GoneClients, ACancelOfAnEarlierNumberLeavesALaterRequestAlone) {
-  VirtualStage stage;
-  play(stage, R"(
+  VirtualTimeHarness stage;
+  run_scenario(stage, R"(
     anna cork
     anna send giveUp 1
     anna send 1 pages
@@ -47,9 +47,9 @@
 
 TEST(GoneClients, WhatWaitsForAConnectionIsNotWrittenForThem) {
   for (auto* edit : {static_cast<std::string (*)(std::string)>(nullptr), &without_cancels}) {
-    VirtualStage stage({"box-1", "up-1", "main"}, 192, edit);
-    play(stage, R"(
-      box-1 close late
+    VirtualTimeHarness stage({"box-1", "up-1", "main"}, 192, edit);
+    run_scenario(stage, R"(
+      box-1 set delayed_connect
       anna send 1 pages
       bert send 2 pages
       carl send 3 pages
@@ -60,7 +60,7 @@
       carl close reset
       dora send giveUp 4
       emma send 5 pages
-      box-1 close not
+      box-1 set normal
       box-1 expect serve 5
       box-1 expect nothing
     )");
@@ -68,8 +68,8 @@
 }
 
 TEST(GoneClients, AFurtherAttemptThatIsArmedIsNotMade) {
-  VirtualStage stage;
-  play(stage, R"(
+  VirtualTimeHarness stage;
+  run_scenario(stage, R"(
     anna send 1 pages
     box-1 expect serve 1
     # the next attempt comes 10 ms after this one ended
@@ -81,18 +81,18 @@
 }
 
 TEST(GoneClients, HundredsThatLeaveAtOnceLeaveNothingBehind) {
-  VirtualStage stage({"box-1", "up-1", "main"}, 192, without_cancels);
-  play(stage, "box-1 close late");
+  VirtualTimeHarness stage({"box-1", "up-1", "main"}, 192, without_cancels);
+  run_scenario(stage, "box-1 set delayed_connect");
   for (int i = 1; i <= 100; ++i)
-    play(stage, "c-" + std::to_string(i) + " send " + std::to_string(i) + " pages");
+    run_scenario(stage, "c-" + std::to_string(i) + " send " + std::to_string(i) + " pages");
   for (int i = 1; i <= 100; ++i)
-    play(stage, "c-" + std::to_string(i) + (i % 2 == 0 ? " close reset" : " close"));
-  play(stage, "box-1 close not\nbox-1 expect nothing\nanna send 101 pages\nbox-1 expect serve 101");
+    run_scenario(stage, "c-" + std::to_string(i) + (i % 2 == 0 ? " close reset" : " close"));
+  run_scenario(stage, "box-1 set normal\nbox-1 expect nothing\nanna send 101 pages\nbox-1 expect serve 101");
 }
 
 TEST(GoneClients, NoCancelIsWrittenWhereTheSettingsAllowNone) {
-  VirtualStage stage({"box-1", "up-1", "main"}, 192, without_cancels);
-  play(stage, R"(
+  VirtualTimeHarness stage({"box-1", "up-1", "main"}, 192, without_cancels);
+  run_scenario(stage, R"(
     anna send 1 pages
     box-1 expect serve 1
     anna send giveUp 1
--- a/tests/proxy/rare_moments_test.cpp
+++ b/tests/proxy/rare_moments_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <sstream>
 
-#include "support/virtual_stage.h"
+#include "support/virtual_time_harness.h"
 
 namespace edge_proxy::test {
 namespace {
@@ -101,7 +101,7 @@
  public:
   Play(const Customer& customer, unsigned seed)
       : customer_(customer), draws_(seed), stage_(kMembers, 192, customer.edit) {
-    play(stage_, "bulletin expect get last=1\nbulletin send head");
+    run_scenario(stage_, "bulletin expect get last=1\nbulletin send head");
   }
 
   void run() {
@@ -153,7 +153,7 @@
   int up_to(int most) { return static_cast<int>(draw() * most); }
   [[nodiscard]] Time now() const { return stage_.now(); }
   [[nodiscard]] long long now_ms() const { return now().count() / 1000; }
-  void say(const std::string& line) { play(stage_, line); }
+  void say(const std::string& line) { run_scenario(stage_, line); }
 
   void step_on(std::chrono::milliseconds span = 1ms) {
     stage_.wait(span);
@@ -184,7 +184,7 @@
 
   /// What was written until now: before news of it is given that it need not know.
   void hear_all() {
-    for (const std::string& member : kMembers) hear(member, stage_.received(member));
+    for (const std::string& member : kMembers) hear(member, stage_.take_received(member));
   }
 
   void leave() {
@@ -213,7 +213,7 @@
     if (out) draining_.insert(member);
     say(R"(bulletin send {"no":)" + std::to_string(++event_) +
         R"(,"roster":{"revision":2,"complete":false,"members":[)" +
-        listed(member, member + ":1", out ? "leaving" : "active", out ? 0 : now_ms()) + "]}}");
+        member_json(member, member + ":1", out ? "leaving" : "active", out ? 0 : now_ms()) + "]}}");
   }
 
   void purge() {
@@ -274,8 +274,8 @@
     for (Sent& sent : attempts_) {
       if (sent.request != number) continue;
       ++before;
-      sent.out =
-          sent.out && stage_.asked_there(sent.member, hex(number));  // an end of the connection gives it up
+      sent.out = sent.out && stage_.is_request_connection_open(
+                                 sent.member, hex(number));  // an end of the connection gives it up
       if (!customer_.two_at_once) {
         EXPECT_FALSE(sent.out) << "another attempt is out at " << sent.member;
       }
@@ -315,7 +315,7 @@
     const bool twice = planned.word == "HIT twice";
     const std::string id = hex(sent.request);
     const std::string word = planned.word.substr(0, planned.word.find(' '));
-    if (!stage_.asked_there(sent.member, id)) return;
+    if (!stage_.is_request_connection_open(sent.member, id)) return;
     // What was cancelled, or cut off by a reset, may still be answered: too late for this side.
     if (sent.out) {
       sent.may_have_run = word == "HIT" || word == "FAULT";
@@ -329,7 +329,7 @@
 
   /// Answers that a client got: one for each request, in time, none to those that have gone.
   void read(const std::string& client) {
-    std::string& all = answers_[client] += stage_.received(client);
+    std::string& all = answers_[client] += stage_.take_received(client);
     const auto u32 = [&all](std::size_t at) {
       std::uint32_t value = 0;
       for (std::size_t i = 0; i < 4; ++i) value = value << 8U | static_cast<unsigned char>(all.at(at + i));
@@ -358,7 +358,7 @@
 
   const Customer& customer_;
   std::mt19937 draws_;
-  VirtualStage stage_;
+  VirtualTimeHarness stage_;
   int last_ = 0, event_ = 1, served_ = 0;
   long long purged_ms_ = 0;
   std::map<int, Asked> requests_;
--- a/tests/proxy/reducer_test.cpp
+++ b/tests/proxy/reducer_test.cpp
@@ -8,14 +8,15 @@
 #include <sstream>
 
 #include "proxy/local_cache.h"
-#include "support/virtual_stage.h"
+#include "support/virtual_time_harness.h"
 
 namespace edge_proxy::test {
 namespace {
 
-void play(const std::string& scenario, const std::vector<std::string>& members = {"box-1", "up-1", "main"}) {
-  VirtualStage stage(members);
-  play(stage, scenario);
+void run_scenario(const std::string& scenario,
+                  const std::vector<std::string>& members = {"box-1", "up-1", "main"}) {
+  VirtualTimeHarness stage(members);
+  run_scenario(stage, scenario);
 }
 
 std::string roster(int no, const std::string& members, bool complete = false) {
@@ -26,7 +27,7 @@
 // ---- The ordinary path ----
 
 TEST(Edge, ARequestIsServedWithItsTextsUnchanged) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages piece=5 ver=tag9 unique=k1
     box-1 expect serve 1 profile=pages thing=0000000000000001 nth=5 seen=tag9 replay=k1 from=up-1 max=2490 rank=1 oldest=8000 mode=collapse+refresh
     box-1 send HIT 1 ver=t1,born=5 all the bytes
@@ -36,16 +37,16 @@
 }
 
 TEST(Edge, AnAnswersBytesAreKept) {
-  VirtualStage stage;
-  play(stage, "anna send 1 pages\nbox-1 expect serve 1");
+  VirtualTimeHarness stage;
+  run_scenario(stage, "anna send 1 pages\nbox-1 expect serve 1");
   std::string body = "a\r\nb c=,\0 serve 9 - 0\r\n";
   body += std::string(1000, '\xff');
   stage.send("box-1", "0000000000000001 HIT ver=t1 " + std::to_string(body.size()) + "\r\n" + body + "\r\n");
-  EXPECT_NE(stage.received("anna").find(body), std::string::npos);
+  EXPECT_NE(stage.take_received("anna").find(body), std::string::npos);
 }
 
 TEST(Edge, AClientsCopyThatHoldsIsToldSo) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages ver=t1
     box-1 expect serve 1 seen=t1
     box-1 send VALID 1 ver=t1,born=5
@@ -54,7 +55,7 @@
 }
 
 TEST(Edge, AClientWithoutACopyIsNotToldThatItHolds) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
     box-1 send VALID 1 ver=t1,born=5
@@ -65,7 +66,7 @@
 }
 
 TEST(Edge, AnOrderGoesToTheOriginThroughACacheWithItsKeyAndBody) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 order unique=5c0f6e1a body=two books
     box-1 expect serve 1 profile=order replay=5c0f6e1a from=main !mode body=two books
     box-1 send HIT 1 ver=t1,born=5 done
@@ -74,7 +75,7 @@
 }
 
 TEST(Edge, AnswersComeInAnyOrder) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages
     anna send 2 pages
     box-1 expect serve 1
@@ -89,7 +90,7 @@
 // ---- One final answer ----
 
 TEST(Edge, WhatTheModuleGivesUpIsAnsweredAtOnceWithATimeToStayAway) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
     box-1 send SHED 1
@@ -99,7 +100,7 @@
 }
 
 TEST(Edge, AnOrderThatMayHaveRunIsNotSentTwiceAfterItsKeysMemory) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 order unique=k limit=3000
     box-1 expect serve 1
     wait 2100
@@ -111,7 +112,7 @@
 }
 
 TEST(Edge, ASilentAttemptIsAnsweredBeforeTheClientLeaves) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 order unique=k limit=1000
     box-1 expect serve 1
     wait 985
@@ -126,7 +127,7 @@
 }
 
 TEST(Edge, AfterAGiveUpNoAnswerIsGivenAndTheAttemptIsCancelled) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
     anna send giveUp 1
@@ -141,7 +142,7 @@
 }
 
 TEST(Edge, AClientThatHangsUpHasItsAttemptsCancelled) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
     anna close
@@ -153,16 +154,16 @@
 // ---- Endings ----
 
 TEST(Edge, AMissGoesOnToAnotherCacheAsNeverRun) {
-  VirtualStage stage({"box-1", "box-2", "up-1", "up-2", "main"});
-  play(stage, "anna send 1 pages\nwait 1");
-  const std::string first = stage.received("box-1").empty() ? "box-2" : "box-1";
+  VirtualTimeHarness stage({"box-1", "box-2", "up-1", "up-2", "main"});
+  run_scenario(stage, "anna send 1 pages\nwait 1");
+  const std::string first = stage.take_received("box-1").empty() ? "box-2" : "box-1";
   const std::string other = first == "box-1" ? "box-2" : "box-1";
-  play(stage, first + " send NONE 1\n" + other + " expect serve 1\n" + other + " send HIT 1 ver=a b\n" +
-                  "anna expect served 1 body=b\n");
+  run_scenario(stage, first + " send NONE 1\n" + other + " expect serve 1\n" + other +
+                          " send HIT 1 ver=a b\n" + "anna expect served 1 body=b\n");
 }
 
 TEST(Edge, ARefusedConnectionIsProofThatAnOrderNeverRan) {
-  play(R"(
+  run_scenario(R"(
     box-1 close refusing
     anna send 1 order unique=k
     anna expect refused 1
@@ -171,8 +172,8 @@
 }
 
 TEST(Edge, AConnectionThatDoesNotComeUpIsGivenUpInTime) {
-  play(R"(
-    box-1 close silent
+  run_scenario(R"(
+    box-1 set silent
     anna send 1 pages
     wait 399
     anna expect nothing
@@ -183,7 +184,7 @@
 }
 
 TEST(Edge, AnAnswerThatCannotBeReadEndsThatConnectionAlone) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
     box-1 send raw what is this
@@ -200,15 +201,16 @@
 
 TEST(Edge, ASpoiltAnswerTakesNoOtherRequestWithIt) {
   // Guards against many requests on one connection, all lost with one answer that can't be read.
-  VirtualStage stage;
-  play(stage,
-       "anna send 1 video\nbox-1 expect serve 1\nanna send 2 video\nbox-1 expect serve 2\n" +
-           std::string("anna send 3 video\nbox-1 expect serve 3\nanna send 4 video\nbox-1 expect serve 4\n") +
-           "box-1 send HIT 1 ver=a b\nbox-1 send HIT 2 ver=a b\nbox-1 send HIT 3 ver=a b\n" +
-           "box-1 send HIT 4 ver=a b\nanna expect served 1\nanna expect served 2\nanna expect served 3\n" +
-           "anna expect served 4\n");
+  VirtualTimeHarness stage;
+  run_scenario(
+      stage,
+      "anna send 1 video\nbox-1 expect serve 1\nanna send 2 video\nbox-1 expect serve 2\n" +
+          std::string("anna send 3 video\nbox-1 expect serve 3\nanna send 4 video\nbox-1 expect serve 4\n") +
+          "box-1 send HIT 1 ver=a b\nbox-1 send HIT 2 ver=a b\nbox-1 send HIT 3 ver=a b\n" +
+          "box-1 send HIT 4 ver=a b\nanna expect served 1\nanna expect served 2\nanna expect served 3\n" +
+          "anna expect served 4\n");
   // Two connections at least are up and free now.
-  play(stage, R"(
+  run_scenario(stage, R"(
     anna send 5 video
     box-1 expect serve 5
     anna send 6 order unique=k
@@ -224,13 +226,13 @@
 
 TEST(Edge, AConnectionWithWorkGivenUpAndNothingHeardTakesNothingNew) {
   // Guards against a vanished machine: its old connections stay open and silent.
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages limit=600
     box-1 expect serve 1
     wait 600
     box-1 expect cancel 1
     anna expect refused 1
-    box-1 close silent
+    box-1 set silent
     wait 2000
     edge expect log reason=silent
     anna send 2 pages
@@ -242,10 +244,10 @@
 
 TEST(Edge, AConnectionThatDoesNotComeUpEndsTheSilentOnesToThatMember) {
   // Guards against work that waits on a vanished machine until its clients leave.
-  play(R"(
+  run_scenario(R"(
     anna send 1 video limit=5000
     box-1 expect serve 1
-    box-1 close silent
+    box-1 set silent
     wait 1000
     anna send 2 video limit=5000
     box-1 expect nothing
@@ -260,7 +262,7 @@
 }
 
 TEST(Edge, IdleConnectionsAreClosedBeforeTheCacheDoes) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
     box-1 send HIT 1 ver=a b
@@ -274,87 +276,90 @@
 // ---- The list of members ----
 
 TEST(Edge, ReadinessWaitsForTheList) {
-  play(R"(
+  run_scenario(R"(
     anna send probe 1
     anna expect unready 1
     bulletin expect get last=0
     bulletin send head
-    )" + roster(1, listed("box-1", "box-1:1") + "," + listed("main", "main:1"), true) +
-           R"(
+    )" + roster(1, member_json("box-1", "box-1:1") + "," + member_json("main", "main:1"), true) +
+                   R"(
     anna send probe 2
     anna expect ready 2
   )",
-       {});
+               {});
 }
 
 TEST(Edge, NothingThatStillWaitsGoesToADrainingCache) {
   // Guards the rule on drains: a request queued behind a connection that comes up late.
-  VirtualStage stage;
-  play(stage, "bulletin send head\nbox-1 close silent\nanna send 1 pages\n" +
-                  roster(2, listed("box-1", "box-1:1", "leaving")) + "anna expect refused 1\nwait 2000\n" +
-                  "box-1 expect nothing\n");
+  VirtualTimeHarness stage;
+  run_scenario(stage, "bulletin send head\nbox-1 set silent\nanna send 1 pages\n" +
+                          roster(2, member_json("box-1", "box-1:1", "leaving")) +
+                          "anna expect refused 1\nwait 2000\n" + "box-1 expect nothing\n");
 }
 
 TEST(Edge, NothingThatStillWaitsNamesADrainingSource) {
-  VirtualStage stage;
-  play(stage, "bulletin send head\nbox-1 close silent\nanna send 1 pages\n" +
-                  roster(2, listed("up-1", "up-1:1", "leaving")) + "anna expect refused 1\n");
+  VirtualTimeHarness stage;
+  run_scenario(stage, "bulletin send head\nbox-1 set silent\nanna send 1 pages\n" +
+                          roster(2, member_json("up-1", "up-1:1", "leaving")) + "anna expect refused 1\n");
 }
 
 TEST(Edge, ADrainingCacheFinishesWhatItHas) {
-  VirtualStage stage;
-  play(stage,
-       "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1\n" +
-           roster(2, listed("box-1", "box-1:1", "leaving")) +
-           "box-1 send HIT 1 ver=a b\nanna expect served 1\nwait 200\nedge expect log reason=member_left\n");
+  VirtualTimeHarness stage;
+  run_scenario(
+      stage,
+      "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1\n" +
+          roster(2, member_json("box-1", "box-1:1", "leaving")) +
+          "box-1 send HIT 1 ver=a b\nanna expect served 1\nwait 200\nedge expect log reason=member_left\n");
 }
 
 TEST(Edge, ANewCacheAtAnOldAddressGetsConnectionsOfItsOwn) {
-  VirtualStage stage;
-  play(stage,
-       "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1\nbox-1 send HIT 1 ver=a b\n" +
-           roster(2, listed("box-1", "box-1:1", "left") + "," + listed("box-9", "box-1:1")) +
-           "edge expect log closed kind=member conn=4 reason=member_left\nanna expect served 1\n" +
-           "anna send 2 pages\nbox-1 expect serve 2\nbox-1 send HIT 2 ver=a b\nanna expect served 2\n");
+  VirtualTimeHarness stage;
+  run_scenario(
+      stage, "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1\nbox-1 send HIT 1 ver=a b\n" +
+                 roster(2, member_json("box-1", "box-1:1", "left") + "," + member_json("box-9", "box-1:1")) +
+                 "edge expect log closed kind=member conn=4 reason=member_left\nanna expect served 1\n" +
+                 "anna send 2 pages\nbox-1 expect serve 2\nbox-1 send HIT 2 ver=a b\nanna expect served 2\n");
 }
 
 TEST(Edge, ARestartedCachesOldConnectionsAreDropped) {
-  VirtualStage stage;
+  VirtualTimeHarness stage;
   const auto up_since = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count() - 60000;
-  play(stage, "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1\n" +
-                  roster(2, listed("box-1", "box-1:1", "active", up_since)) +
-                  "edge expect log reason=member_replaced\nwait 20\nanna expect refused 1\n");
+  run_scenario(stage, "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1\n" +
+                          roster(2, member_json("box-1", "box-1:1", "active", up_since)) +
+                          "edge expect log reason=member_replaced\nwait 20\nanna expect refused 1\n");
 }
 
 // ---- Purges ----
 
 TEST(Edge, APurgeBindsWhatIsDecidedAfterIt) {
-  VirtualStage stage;
+  VirtualTimeHarness stage;
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count();
-  play(stage,
-       "bulletin send head\nbulletin send {\"no\":2,\"recall\":{\"item\":\"0000000000000001\",\"issued\":" +
-           std::to_string(ms - 500) + "}}\nanna send 1 video\nbox-1 expect serve 1 oldest=499\n" +
-           "anna send 2 video\nbox-1 expect serve 2 !oldest\n");
+  run_scenario(
+      stage,
+      "bulletin send head\nbulletin send {\"no\":2,\"recall\":{\"item\":\"0000000000000001\",\"issued\":" +
+          std::to_string(ms - 500) + "}}\nanna send 1 video\nbox-1 expect serve 1 oldest=499\n" +
+          "anna send 2 video\nbox-1 expect serve 2 !oldest\n");
 }
 
 TEST(Edge, APurgeBindsWhatStillWaitsToBeWritten) {
-  VirtualStage stage;
+  VirtualTimeHarness stage;
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count();
-  play(stage, "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1");
-  stage.stall("box-1", true);
-  play(stage,
-       "anna send giveUp 1\nbox-1 expect cancel 1\nanna send 2 video\nbox-1 expect nothing\n"
-       "bulletin send {\"no\":2,\"recall\":{\"lot\":17,\"issued\":" +
-           std::to_string(ms - 300) + "}}\n");
-  stage.stall("box-1", false);
-  play(stage, "box-1 expect serve 2 oldest=299\n");
+  run_scenario(stage, "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1");
+  stage.set_write_stalled("box-1", true);
+  run_scenario(stage,
+               "anna send giveUp 1\nbox-1 expect cancel 1\nanna send 2 video\nbox-1 expect nothing\n"
+               "bulletin send {\"no\":2,\"recall\":{\"lot\":17,\"issued\":" +
+                   std::to_string(ms - 300) + "}}\n");
+  stage.set_write_stalled("box-1", false);
+  run_scenario(stage, "box-1 expect serve 2 oldest=299\n");
 }
 
 // ---- The bulletin ----
 
 TEST(Edge, AReloadMovesTheBulletinAtOnceAndKeepsEverythingElse) {
-  VirtualStage stage;
-  play(stage, "bulletin expect get last=1\nbulletin send head\n" + roster(2, listed("box-2", "box-2:1")) + R"(
+  VirtualTimeHarness stage;
+  run_scenario(stage, "bulletin expect get last=1\nbulletin send head\n" +
+                          roster(2, member_json("box-2", "box-2:1")) + R"(
     anna send 1 pages
     wait 1
     edge send HUP bulletin-2
@@ -372,7 +377,7 @@
 }
 
 TEST(Edge, AReloadWhileABulletinDoesNotComeUpAsksTheNewOne) {
-  play(R"(
+  run_scenario(R"(
     bulletin close refusing
     bulletin close reset
     bulletin close refusing
@@ -393,12 +398,14 @@
 }
 
 TEST(Edge, ItsOwnStandstillIsNotTakenForTheSilenceOfOthers) {
-  VirtualStage stage;
-  play(stage,
-       "bulletin send head\nanna send 1 video limit=5000\nbox-1 expect serve 1\nbulletin expect get last=1");
-  stage.stand_still(std::chrono::milliseconds(4000));
+  VirtualTimeHarness stage;
+  run_scenario(
+      stage,
+      "bulletin send head\nanna send 1 video limit=5000\nbox-1 expect serve 1\nbulletin expect get last=1");
+  stage.stall_event_loop(std::chrono::milliseconds(4000));
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count();
-  play(stage, R"(bulletin send {"no":2,"recall":{"lot":17,"issued":)" + std::to_string(ms - 3000) + R"(}}
+  run_scenario(stage,
+               R"(bulletin send {"no":2,"recall":{"lot":17,"issued":)" + std::to_string(ms - 3000) + R"(}}
     anna send 2 video
     box-1 expect serve 2 oldest=2999
     box-1 send HIT 1 ver=a b
@@ -410,7 +417,7 @@
 }
 
 TEST(Edge, ABulletinThatDoesNotAnswerIsAskedAgainBeforePurgesBind) {
-  play(R"(
+  run_scenario(R"(
     bulletin expect get last=1
     wait 251
     bulletin expect get last=1
@@ -421,7 +428,7 @@
 }
 
 TEST(Edge, ABulletinThatBreaksOffIsAskedAgainAtOnce) {
-  play(R"(
+  run_scenario(R"(
     bulletin expect get last=1
     bulletin send head
     wait 1000
@@ -433,8 +440,8 @@
 
 /// The milliseconds at which a proxy of this seed has called a bulletin that is away, in vain.
 std::vector<int> calls_in_vain(std::string (*seeded)(std::string)) {
-  VirtualStage stage({"box-1"}, 192, seeded);
-  play(stage, "bulletin send head\nwait 1000\nbulletin close refusing\n");
+  VirtualTimeHarness stage({"box-1"}, 192, seeded);
+  run_scenario(stage, "bulletin send head\nwait 1000\nbulletin close refusing\n");
   std::vector<int> at;
   std::size_t seen = stage.log().size();
   for (int ms = 1; ms <= 5000; ++ms) {
@@ -461,13 +468,13 @@
 TEST(Edge, AttemptsThatEndWrongAreToldWithinABound) {
   // Found on the fleet's days: the sums of a second tell that attempts end wrong, not which nor by what
   // source.
-  VirtualStage stage;
+  VirtualTimeHarness stage;
   std::string scenario;
   for (int n = 1; n <= 40; ++n) {
     const std::string id = std::to_string(n);
     scenario += "anna send " + id + " pages\nbox-1 expect serve " + id + "\nbox-1 send FAULT " + id + "\n";
   }
-  play(stage, scenario);
+  run_scenario(stage, scenario);
   const std::string log = stage.log();
   EXPECT_NE(
       log.find("wrong request=0000000000000001 attempt=0 member=box-1 source=up-1 ending=error took_ms=0"),
@@ -479,51 +486,54 @@
 }
 
 TEST(Edge, AWholeListThatIsEmptyIsPassedOver) {
-  VirtualStage stage;
-  play(stage, "bulletin send head\n" + roster(2, "", true) +
-                  "edge expect log list empty no=2 passed over\nanna send 1 pages\nbox-1 expect serve 1\n");
-  VirtualStage nothing_known{std::vector<std::string>()};
-  play(nothing_known,
-       "bulletin send head\n" + roster(1, "", true) + "anna send probe 1\nanna expect ready 1\n");
+  VirtualTimeHarness stage;
+  run_scenario(stage,
+               "bulletin send head\n" + roster(2, "", true) +
+                   "edge expect log list empty no=2 passed over\nanna send 1 pages\nbox-1 expect serve 1\n");
+  VirtualTimeHarness nothing_known{std::vector<std::string>()};
+  run_scenario(nothing_known,
+               "bulletin send head\n" + roster(1, "", true) + "anna send probe 1\nanna expect ready 1\n");
 }
 
 TEST(Edge, ABulletinThatEndsIsAskedForTheEventsAfterTheLast) {
-  VirtualStage stage;
-  play(stage, "bulletin expect get last=1\nbulletin send head\n" + roster(2, listed("box-2", "box-2:1")) +
-                  "bulletin close\nwait 100\nbulletin expect get last=2\n");
+  VirtualTimeHarness stage;
+  run_scenario(stage, "bulletin expect get last=1\nbulletin send head\n" +
+                          roster(2, member_json("box-2", "box-2:1")) +
+                          "bulletin close\nwait 100\nbulletin expect get last=2\n");
 }
 
 TEST(Edge, AGapInTheBulletinIsAskedForAgainAndARepeatIsPassedOver) {
-  VirtualStage stage;
-  play(stage, "bulletin expect get last=1\nbulletin send head\n" +
-                  roster(1, listed("box-1", "box-1:1", "left")) +
-                  roster(3, listed("box-1", "box-1:1", "left")) +
-                  "edge expect log bulletin gap last=1 got=3\nwait 100\nbulletin expect get last=1\n"
-                  "anna send 1 pages\nbox-1 expect serve 1\n");
+  VirtualTimeHarness stage;
+  run_scenario(stage, "bulletin expect get last=1\nbulletin send head\n" +
+                          roster(1, member_json("box-1", "box-1:1", "left")) +
+                          roster(3, member_json("box-1", "box-1:1", "left")) +
+                          "edge expect log bulletin gap last=1 got=3\nwait 100\nbulletin expect get last=1\n"
+                          "anna send 1 pages\nbox-1 expect serve 1\n");
 }
 
 TEST(Edge, AGapThatTheBulletinCannotFillIsPassedOver) {
-  VirtualStage stage;
-  const std::string third = roster(3, listed("box-1", "box-1:1", "left"));
-  play(stage,
-       "bulletin expect get last=1\nbulletin send head\n" + third +
-           "wait 100\nbulletin expect get last=1\nbulletin send head\n" + third +
-           "edge expect log list no=3\nanna send 1 pages\nbox-1 expect nothing\nanna expect refused 1\n");
+  VirtualTimeHarness stage;
+  const std::string third = roster(3, member_json("box-1", "box-1:1", "left"));
+  run_scenario(
+      stage,
+      "bulletin expect get last=1\nbulletin send head\n" + third +
+          "wait 100\nbulletin expect get last=1\nbulletin send head\n" + third +
+          "edge expect log list no=3\nanna send 1 pages\nbox-1 expect nothing\nanna expect refused 1\n");
 }
 
 TEST(Edge, WhatIsKeptDoesNotGrowWithTheMembersAndClientsEverSeen) {
   // Guards against a long day on which caches are replaced by new ones for ever, some at an old address.
-  VirtualStage stage;
-  play(stage, "bulletin send head\n");
+  VirtualTimeHarness stage;
+  run_scenario(stage, "bulletin send head\n");
   for (int n = 2; n < 300; ++n) {
     const std::string now = "box-" + std::to_string(n), before = "box-" + std::to_string(n - 1);
     const std::string address = n % 2 == 0 ? "box-1:1" : now + ":1";
     const std::string id = std::to_string(n), client = "client-" + id;
     const std::string peer = n % 2 == 0 ? "box-1" : now;
-    play(stage, roster(n, listed(before, "box-1:1", "left") + "," + listed(now, address)) + client +
-                    " send " + id + " pages\n" + peer + " expect serve " + id + "\n" + peer + " send HIT " +
-                    id + " ver=a b\n" + client + " expect served " + id + "\n" + client +
-                    " close\nwait 50\nbulletin send comment\n");
+    run_scenario(stage, roster(n, member_json(before, "box-1:1", "left") + "," + member_json(now, address)) +
+                            client + " send " + id + " pages\n" + peer + " expect serve " + id + "\n" + peer +
+                            " send HIT " + id + " ver=a b\n" + client + " expect served " + id + "\n" +
+                            client + " close\nwait 50\nbulletin send comment\n");
   }
   const std::string log = stage.log();
   const std::string last = log.substr(log.rfind("load taken="));
@@ -534,21 +544,22 @@
 
 TEST(Edge, WhatTheModuleBelievesIsOutIsWhatIsOutOnTheSockets) {
   // Guards against a leak: an attempt without an Outcome would hold a place at its member for ever.
-  VirtualStage stage({"box-1", "box-2", "up-1", "main"});
+  VirtualTimeHarness stage({"box-1", "box-2", "up-1", "main"});
   std::mt19937 random(7);
   for (int n = 1; n <= 400; ++n) {
     const std::string id = std::to_string(n), box = random() % 2 == 0 ? "box-1" : "box-2";
-    play(stage, "anna send " + id + (random() % 4 == 0 ? " order unique=k" : " video") + " limit=700\n");
+    run_scenario(stage,
+                 "anna send " + id + (random() % 4 == 0 ? " order unique=k" : " video") + " limit=700\n");
     const auto what = random() % 8;
     std::ostringstream hex;
     hex << std::hex << std::setw(16) << std::setfill('0') << n;
     if (what < 3) stage.send(box, hex.str() + " HIT ver=a 1\r\nb\r\n");
     if (what == 3) stage.send(box, hex.str() + " SHED - 0\r\n\r\n");
     if (what == 4) stage.send(box, hex.str() + " HIT what is this\r\n");
-    if (what == 5) play(stage, "anna send giveUp " + id);
-    if (what == 6) play(stage, box + " close reset");
-    play(stage, "wait 30\nbulletin send comment");
-    stage.received("anna");
+    if (what == 5) run_scenario(stage, "anna send giveUp " + id);
+    if (what == 6) run_scenario(stage, box + " close reset");
+    run_scenario(stage, "wait 30\nbulletin send comment");
+    stage.take_received("anna");
   }
   const std::string log = stage.log();
   int lines = 0;
@@ -560,7 +571,7 @@
 }
 
 TEST(Edge, ASilentBulletinIsADeadLink) {
-  play(R"(
+  run_scenario(R"(
     bulletin expect get last=1
     bulletin send head
     wait 2400
@@ -574,7 +585,7 @@
 }
 
 TEST(Edge, AnUnreadableEventIsPassedOverAndAnAnswerOtherThanOkIsNot) {
-  play(R"(
+  run_scenario(R"(
     bulletin expect get last=1
     bulletin send head
     bulletin send {"no":2,"recall":{"item":"zz","issued":5}}
@@ -592,7 +603,7 @@
 // ---- Bad input from clients ----
 
 TEST(Edge, BadFieldsAreAnsweredFailed) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages txn=short
     anna expect failed 1
     anna send 2 unheard
@@ -616,7 +627,7 @@
 }
 
 TEST(Edge, AnIdThatIsUnderWayAlreadyFailsTheSecondAlone) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
     bert send 1 pages
@@ -628,7 +639,7 @@
 }
 
 TEST(Edge, AnUnknownMethodGetsAnApplicationException) {
-  play(R"(
+  run_scenario(R"(
     anna send dance 4
     anna expect exception 4
     anna send probe 5
@@ -637,7 +648,7 @@
 }
 
 TEST(Edge, ABrokenFrameClosesThatConnectionAlone) {
-  play(R"(
+  run_scenario(R"(
     bert send 1 pages
     anna send raw 7f ff ff ff
     anna expect closed
@@ -650,7 +661,7 @@
 }
 
 TEST(Edge, WhatCannotBeReadIsAnsweredThenClosedSoThatItCanBeRead) {
-  play(R"(
+  run_scenario(R"(
     # 60 MB announced
     anna send raw 03 93 87 00 80 01 00 01
     anna expect exception 0 unreadable=1
@@ -668,14 +679,14 @@
 }
 
 TEST(Edge, AClientThatSendsOnAfterItWasTurnedAwayIsCutOff) {
-  VirtualStage stage;
-  play(stage, "anna close stays\nanna send raw 03 93 87 00\nanna expect exception 0");
+  VirtualTimeHarness stage;
+  run_scenario(stage, "anna set keeps_open\nanna send raw 03 93 87 00\nanna expect exception 0");
   for (int i = 0; i < 5; ++i) stage.send("anna", std::string(64 * 1024, 'x'));
-  play(stage, "edge expect log closed kind=front conn=1 reason=bad_frame");
+  run_scenario(stage, "edge expect log closed kind=front conn=1 reason=bad_frame");
 }
 
 TEST(Edge, TwoRequestsUnderOneNumberEndThatConnection) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
     anna send 1 pages txn=00000000000000aa
@@ -688,7 +699,7 @@
 }
 
 TEST(Edge, SilentAndHalfSentClientsAreClosedInTime) {
-  play(R"(
+  run_scenario(R"(
     anna send raw 00 00 00 40 80
     bert send probe 1
     bert expect ready 1
@@ -716,14 +727,15 @@
 TEST(Edge, AClientAcceptedAsATimerOpensAConnectionKeepsItsOwnNumber) {
   // Guards against one number for two connections: the client's was lost, with its request, when the
   // bulletin's timer had fallen due by the moment in which the client was accepted.
-  VirtualStage stage;
-  play(stage, "wait 205\nedge expect log closed kind=bulletin conn=2 reason=silent");
-  stage.stand_still(std::chrono::milliseconds(400));  // the call to the bulletin falls due meanwhile
-  play(stage, "anna send 1 pages\nbox-1 expect serve 1\nbox-1 send HIT 1 ver=a b\nanna expect served 1");
+  VirtualTimeHarness stage;
+  run_scenario(stage, "wait 205\nedge expect log closed kind=bulletin conn=2 reason=silent");
+  stage.stall_event_loop(std::chrono::milliseconds(400));  // the call to the bulletin falls due meanwhile
+  run_scenario(stage,
+               "anna send 1 pages\nbox-1 expect serve 1\nbox-1 send HIT 1 ver=a b\nanna expect served 1");
 }
 
 TEST(Edge, AClientWithWorkOpenIsNotTakenForASilentOne) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 video limit=5000
     box-1 expect serve 1
     anna send raw 00 00
@@ -735,10 +747,11 @@
 
 TEST(Edge, ManySilentClientsLeaveRoomForThoseThatAsk) {
   // Guards against 128 silent connections (half of 256 descriptors) that keep all others out.
-  VirtualStage stage;
-  play(stage, "anna send 1 video limit=5000\nbox-1 expect serve 1\nbert send probe 1\nbert expect ready 1");
-  for (int i = 0; i < 200; ++i) play(stage, "silent-" + std::to_string(i) + " send raw 00");
-  play(stage, R"(
+  VirtualTimeHarness stage;
+  run_scenario(stage,
+               "anna send 1 video limit=5000\nbox-1 expect serve 1\nbert send probe 1\nbert expect ready 1");
+  for (int i = 0; i < 200; ++i) run_scenario(stage, "silent-" + std::to_string(i) + " send raw 00");
+  run_scenario(stage, R"(
     edge expect log closed kind=front conn=5 reason=too_many
     bert send 2 video
     box-1 expect serve 2
@@ -747,34 +760,36 @@
     carl send 3 video
     box-1 expect serve 3
   )");
-  EXPECT_FALSE(stage.closed("silent-199"));
+  EXPECT_FALSE(stage.is_closed("silent-199"));
 }
 
 TEST(Edge, AConnectionThatHasJustComeUpIsNotClosedForRoom) {
   // Guards against a day on which each request comes on a connection of its own: the first request of the
   // newest ones is still on the way when the next is accepted.
-  VirtualStage stage;
-  play(stage, "old send raw 00\nwait 600");
-  for (int i = 0; i < 126; ++i) play(stage, "idle-" + std::to_string(i) + " send probe 1");
-  play(stage, "wait 100\nnew send raw 00\nnewer send raw 00\nnewest send raw 00");
-  EXPECT_TRUE(stage.closed("old"));
-  EXPECT_TRUE(stage.closed("idle-0"));
-  for (const char* peer : {"new", "newer", "newest", "idle-1"}) EXPECT_FALSE(stage.closed(peer)) << peer;
+  VirtualTimeHarness stage;
+  run_scenario(stage, "old send raw 00\nwait 600");
+  for (int i = 0; i < 126; ++i) run_scenario(stage, "idle-" + std::to_string(i) + " send probe 1");
+  run_scenario(stage, "wait 100\nnew send raw 00\nnewer send raw 00\nnewest send raw 00");
+  EXPECT_TRUE(stage.is_closed("old"));
+  EXPECT_TRUE(stage.is_closed("idle-0"));
+  for (const char* peer : {"new", "newer", "newest", "idle-1"}) EXPECT_FALSE(stage.is_closed(peer)) << peer;
 }
 
 TEST(Edge, MoreOpenCallsThanOneConnectionMayCarryAreRefusedAtOnce) {
-  VirtualStage stage({"box-1", "box-2", "box-3", "box-4", "up-1", "up-2", "up-3", "up-4", "main"});
-  for (int i = 1; i <= 32; ++i) play(stage, "anna send " + std::to_string(i) + " video limit=5000");
-  ASSERT_EQ(stage.received("anna"), "");
-  play(stage,
-       "anna send 40 video\nanna expect refused 40 later=500\nbert send 41 video\nbert expect nothing\n");
+  VirtualTimeHarness stage({"box-1", "box-2", "box-3", "box-4", "up-1", "up-2", "up-3", "up-4", "main"});
+  for (int i = 1; i <= 32; ++i) run_scenario(stage, "anna send " + std::to_string(i) + " video limit=5000");
+  ASSERT_EQ(stage.take_received("anna"), "");
+  run_scenario(
+      stage,
+      "anna send 40 video\nanna expect refused 40 later=500\nbert send 41 video\nbert expect nothing\n");
 }
 
 TEST(Edge, AClientThatDoesNotReadIsRefusedAndItsGiveUpsAreHeard) {
-  VirtualStage stage;
+  VirtualTimeHarness stage;
   for (int id = 1; id <= 11; ++id)
-    play(stage, "anna send " + std::to_string(id) + " pages\nbox-1 expect serve " + std::to_string(id));
-  stage.stall("anna", true);
+    run_scenario(stage,
+                 "anna send " + std::to_string(id) + " pages\nbox-1 expect serve " + std::to_string(id));
+  stage.set_write_stalled("anna", true);
   const std::string body(240'000, 'x');
   for (const char id : {'1', '2', '3', '4', '5', '6', '7', '8', '9'}) {
     stage.send("box-1", std::string("000000000000000") + id + " HIT ver=a 240000\r\n" + body + "\r\n");
@@ -782,23 +797,25 @@
   std::string scenario =
       "anna send giveUp 10\nbox-1 expect cancel 10\nanna send 12 pages\nbox-1 expect nothing\n";
   for (int id = 1; id <= 9; ++id) scenario += "anna expect served " + std::to_string(id) + "\n";
-  play(stage, scenario + "anna expect refused 12 later=500\n");
-  stage.stall("anna", false);
-  play(stage, "anna send 13 pages\nbox-1 expect serve 13\n");
+  run_scenario(stage, scenario + "anna expect refused 12 later=500\n");
+  stage.set_write_stalled("anna", false);
+  run_scenario(stage, "anna send 13 pages\nbox-1 expect serve 13\n");
 }
 
 TEST(Edge, AClientThatNeverReadsIsCutOffInTheEnd) {
-  VirtualStage stage({"box-1", "up-1", "main"}, 16);  // an eighth of 16 MB for one client
+  VirtualTimeHarness stage({"box-1", "up-1", "main"}, 16);  // an eighth of 16 MB for one client
   const std::string body(240'000, 'x');
   for (int id = 1; id <= 9; ++id)
-    play(stage, "anna send " + std::to_string(id) + " pages\nbox-1 expect serve " + std::to_string(id));
-  stage.stall("anna", true);
+    run_scenario(stage,
+                 "anna send " + std::to_string(id) + " pages\nbox-1 expect serve " + std::to_string(id));
+  stage.set_write_stalled("anna", true);
   for (const char id : std::string("123456789")) {
     stage.send("box-1", std::string("000000000000000") + id + " HIT ver=a 240000\r\n" + body + "\r\n");
   }
-  play(stage,
-       "wait 100\nedge expect log reason=backlog\nanna expect closed\n"
-       "bert send 20 pages\nbox-1 expect serve 20\nbox-1 send HIT 20 ver=a b\nbert expect served 20\n");
+  run_scenario(
+      stage,
+      "wait 100\nedge expect log reason=backlog\nanna expect closed\n"
+      "bert send 20 pages\nbox-1 expect serve 20\nbox-1 send HIT 20 ver=a b\nbert expect served 20\n");
 }
 
 TEST(Edge, NothingThatAPeerSendsBreaksIt) {
@@ -830,18 +847,18 @@
   const std::string answer = "0000000000000001 HIT ver=t1,born=5,report=inflight:7;x1:0.5 5\r\nhello\r\n";
   const std::string chunk = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   const std::string event = "id: 2\ndata: {\"no\":2,\"roster\":{\"complete\":true,\"members\":[" +
-                            listed("box-1", "box-1:1") + "]}}\n\n";
-  VirtualStage sound;
+                            member_json("box-1", "box-1:1") + "]}}\n\n";
+  VirtualTimeHarness sound;
   sound.send("carl", call);  // whole, if without an object
-  play(sound, "carl expect failed 7\n");
+  run_scenario(sound, "carl expect failed 7\n");
   for (int round = 0; round < 300; ++round) {
-    VirtualStage stage;
-    play(stage, "anna send 1 pages\nbox-1 expect serve 1\n");
+    VirtualTimeHarness stage;
+    run_scenario(stage, "anna send 1 pages\nbox-1 expect serve 1\n");
     stage.send("carl", spoilt(call + call));
     stage.send("box-1", spoilt(answer + answer));
     stage.send("bulletin", spoilt(chunk + "5\r\n:\n\n\n\n\r\n") + spoilt(event));
     stage.send("bulletin", spoilt("HTTP/1.1 200 OK\r\n\r\n" + event));
-    play(stage, "wait 6000\nbert send dance 9\nbert expect exception 9\n");
+    run_scenario(stage, "wait 6000\nbert send dance 9\nbert expect exception 9\n");
     ASSERT_FALSE(HasFailure()) << "round " << round;
   }
 }
@@ -858,7 +875,7 @@
 // ---- The end ----
 
 TEST(Edge, AfterTermItGoesOnServingAndThenFinishesWhatItTook) {
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages limit=4000
     box-1 expect serve 1
     edge send TERM
@@ -880,7 +897,7 @@
 // ---- The second address ----
 
 TEST(Edge, OperatorsAreToldOfReadinessAndFigures) {
-  play(R"(
+  run_scenario(R"(
     ops send GET /v1/readyz
     ops expect 200 ready
     ops expect closed
@@ -912,15 +929,15 @@
 
 TEST(Edge, CallersThatSayNothingHoldNoOperatorUp) {
   // Guards the descriptors and the other callers: the oldest silent one makes room, and none stays for good.
-  VirtualStage stage;
+  VirtualTimeHarness stage;
   for (int i = 0; i < 40; ++i) stage.send("ops-silent-" + std::to_string(i), "GET");
-  play(stage, "ops send GET /v1/readyz\nops expect 200\nwait 10200\nops-silent-39 expect closed");
+  run_scenario(stage, "ops send GET /v1/readyz\nops expect 200\nwait 10200\nops-silent-39 expect closed");
   EXPECT_NE(stage.log().find("kind=admin conn=1 reason=too_many"), std::string::npos) << stage.log();
 }
 
 TEST(Edge, AMemberTakenOutByHandGetsNothingUntilItIsPutBack) {
-  VirtualStage stage({"box-1", "box-2", "up-1", "main"});
-  play(stage, R"(
+  VirtualTimeHarness stage({"box-1", "box-2", "up-1", "main"});
+  run_scenario(stage, R"(
     ops send POST /v1/pop-caches/box-2/suspend
     ops expect 200
     ops-2 send POST /v1/pop-caches/box-2/suspend
@@ -931,30 +948,31 @@
     ops-4 expect 200 svc.hosts_listed:4|g svc.hosts_down:1|g
   )");
   const auto ask = [&stage](int from) {  // of each of the two caches some of ten are the first in the order
-    for (int n = from; n < from + 10; ++n) play(stage, "anna send " + std::to_string(n) + " pages\nwait 1");
-    const bool second = !stage.received("box-2").empty();
-    EXPECT_FALSE(stage.received("box-1").empty());
-    for (int n = from; n < from + 10; ++n) play(stage, "anna send giveUp " + std::to_string(n));
+    for (int n = from; n < from + 10; ++n)
+      run_scenario(stage, "anna send " + std::to_string(n) + " pages\nwait 1");
+    const bool second = !stage.take_received("box-2").empty();
+    EXPECT_FALSE(stage.take_received("box-1").empty());
+    for (int n = from; n < from + 10; ++n) run_scenario(stage, "anna send giveUp " + std::to_string(n));
     return second;
   };
   EXPECT_FALSE(ask(1));
   // Whatever the bulletin lists meanwhile.
-  play(stage, "bulletin send head\n" + roster(2, listed("box-2", "box-2:1", "left")) +
-                  roster(3, listed("box-2", "box-2:1", "active", 1'800'000'000'000)));
+  run_scenario(stage, "bulletin send head\n" + roster(2, member_json("box-2", "box-2:1", "left")) +
+                          roster(3, member_json("box-2", "box-2:1", "active", 1'800'000'000'000)));
   EXPECT_FALSE(ask(11));
   // A process that replaces this one knows.
-  VirtualStage next({"box-1", "box-2", "up-1", "main"});
-  next.read_kept("out 12\nout x box-1\nnonsense\n" + stage.kept());
-  play(next, "ops send GET /v1/metrics\nops expect 200 svc.hosts_down:1|g");
-  play(stage, "ops-5 send POST /v1/pop-caches/box-2/resume\nops-5 expect 200\nwait 18000\n");
+  VirtualTimeHarness next({"box-1", "box-2", "up-1", "main"});
+  next.load_overrides("out 12\nout x box-1\nnonsense\n" + stage.stored_overrides());
+  run_scenario(next, "ops send GET /v1/metrics\nops expect 200 svc.hosts_down:1|g");
+  run_scenario(stage, "ops-5 send POST /v1/pop-caches/box-2/resume\nops-5 expect 200\nwait 18000\n");
   EXPECT_TRUE(ask(21));
-  next.read_kept(stage.kept());
-  play(next, "ops-2 send GET /v1/metrics\nops-2 expect 200 svc.hosts_down:0|g");
+  next.load_overrides(stage.stored_overrides());
+  run_scenario(next, "ops-2 send GET /v1/metrics\nops-2 expect 200 svc.hosts_down:0|g");
 }
 
 TEST(Edge, AMemberPutBackKeepsTheConnectionsOfWhatItStillServes) {
   // Guards against breaking off what runs there because it now counts as started anew.
-  play(R"(
+  run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
     ops send POST /v1/pop-caches/box-1/suspend
@@ -982,7 +1000,7 @@
 }
 
 TEST(Copies, WhatCameTwiceAlikeIsServedFromItsOwn) {
-  play(twice("video", "ver=t1,born=5 the bytes", "ver=t1,born=6 the bytes") + R"(
+  run_scenario(twice("video", "ver=t1,born=5 the bytes", "ver=t1,born=6 the bytes") + R"(
     anna send 3 video item=00000000000000aa
     anna expect served 3 ver=t1 !unchanged body=the bytes
     anna send 4 video item=00000000000000aa ver=t1
@@ -999,31 +1017,31 @@
 }
 
 TEST(Copies, NoiseOnTheWayIsNotServedAgain) {
-  play(twice("video", "ver=t1,born=5 the bytes", "ver=t1,born=6 the bXtes") + R"(
+  run_scenario(twice("video", "ver=t1,born=5 the bytes", "ver=t1,born=6 the bXtes") + R"(
     anna send 3 video item=00000000000000aa
     box-1 expect serve 3
   )");
 }
 
 TEST(Copies, APurgeEndsThemAndWhatIsUnderWayFromBeforeItIsNotKept) {
-  VirtualStage stage;
+  VirtualTimeHarness stage;
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count();
   const std::string old = "ver=t1,born=" + std::to_string(ms - 50) + " b",
                     young = "ver=t1,born=" + std::to_string(ms + 1) + " b";
-  play(stage, twice("video", old, old) + R"(
+  run_scenario(stage, twice("video", old, old) + R"(
     anna send 3 video item=00000000000000aa
     anna expect served 3
     bulletin send {"no":2,"recall":{"lot":17,"issued":)" +
-                  std::to_string(ms - 1) + R"(}}
+                          std::to_string(ms - 1) + R"(}}
     anna send 4 video item=00000000000000aa
     box-1 expect serve 4
-    box-1 send HIT 4 )" +
-                  old + R"(
+    box-1 send HIT 4 )" + old +
+                          R"(
     anna expect served 4
     anna send 5 video item=00000000000000aa
     box-1 expect serve 5
-    box-1 send HIT 5 )" +
-                  young + R"(
+    box-1 send HIT 5 )" + young +
+                          R"(
     anna expect served 5
     anna send 6 video item=00000000000000aa
     anna expect served 6
@@ -1031,10 +1049,10 @@
 }
 
 TEST(Copies, AreNotServedPastTheirTimeOrWhileTheBulletinIsNotHeard) {
-  VirtualStage stage;
+  VirtualTimeHarness stage;
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count();
   const std::string answer = "ver=t1,born=" + std::to_string(ms - 5000) + " b";
-  play(stage, twice("pages", answer, answer) + R"(
+  run_scenario(stage, twice("pages", answer, answer) + R"(
     anna send 3 pages item=00000000000000aa
     anna expect served 3
     wait 1600
@@ -1053,15 +1071,15 @@
 
 TEST(Copies, AreNotServedWhileTheBulletinEndsNoLine) {
   // Guards the rule on purges: bytes alone bring no news.
-  VirtualStage stage;
+  VirtualTimeHarness stage;
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count();
   const std::string answer = "ver=t1,born=" + std::to_string(ms) + " b";
-  play(stage, twice("video", answer, answer));
+  run_scenario(stage, twice("video", answer, answer));
   for (int i = 0; i < 16; ++i) {
     stage.send("bulletin", ":");
     stage.wait(std::chrono::milliseconds(100));
   }
-  play(stage, R"(
+  run_scenario(stage, R"(
     anna send 3 video item=00000000000000aa
     box-1 expect serve 3
     bulletin send comment
@@ -1071,10 +1089,10 @@
 }
 
 TEST(Copies, TheLinkBearsSoManyAtOnceAndTheRestIsAskedOfTheCaches) {
-  VirtualStage stage;
+  VirtualTimeHarness stage;
   const std::string body(20'000, 'y');  // 0.2 s of one of two transfers
-  play(stage, twice("video ram=1800", "ver=t1,born=5 " + body, "ver=t1,born=6 " + body));
-  play(stage, R"(
+  run_scenario(stage, twice("video ram=1800", "ver=t1,born=5 " + body, "ver=t1,born=6 " + body));
+  run_scenario(stage, R"(
     anna send 3 video ram=1800 item=00000000000000aa
     anna expect served 3
     anna send 4 video ram=1800 item=00000000000000aa
@@ -1111,12 +1129,12 @@
 
 TEST(Edge, AfterTermAllIsAnsweredBeforeTheLongestDeadlineAndALittleMore) {
   // Found on a day with shorter deadlines: the process was killed 2.55 s after SIGTERM while it still served.
-  VirtualStage stage({"box-1", "up-1", "main"}, 192, [](std::string config) {
+  VirtualTimeHarness stage({"box-1", "up-1", "main"}, 192, [](std::string config) {
     for (const std::string key : {R"("deadline":5000000)", R"("deadline":2500000)", R"("deadline":3000000)"})
       config.replace(config.find(key), key.size(), R"("deadline":1800000)");
     return config;
   });
-  play(stage, R"(
+  run_scenario(stage, R"(
     anna send 1 video limit=1800
     box-1 expect serve 1
     edge send TERM
@@ -1136,8 +1154,8 @@
 }
 
 TEST(Edge, AfterTermNewConnectionsGoToTheNextProcessAndBusyOnesAreServedOn) {
-  VirtualStage stage;
-  play(stage, R"(
+  VirtualTimeHarness stage;
+  run_scenario(stage, R"(
     anna send 1 video limit=5000
     box-1 expect serve 1
     bert send probe 1
@@ -1161,7 +1179,7 @@
     anna expect closed
     edge expect stopped
   )");
-  EXPECT_TRUE(stage.yields());
+  EXPECT_TRUE(stage.has_stopped_accepting());
 }
 
 }  // namespace
--- a/tests/support/scenario.cpp
+++ b/tests/support/scenario.cpp
@@ -11,26 +11,28 @@
 namespace edge_proxy::test {
 namespace {
 
-std::string u32(std::uint32_t value) {
+std::string u32_bytes(std::uint32_t value) {
   std::string out;
   for (int shift = 24; shift >= 0; shift -= 8) out.push_back(static_cast<char>(value >> shift & 0xffU));
   return out;
 }
-std::string text(const std::string& value) { return u32(static_cast<std::uint32_t>(value.size())) + value; }
-std::uint32_t number_at(const std::string& bytes, std::size_t at) {
+std::string thrift_string(const std::string& value) {
+  return u32_bytes(static_cast<std::uint32_t>(value.size())) + value;
+}
+std::uint32_t read_u32(const std::string& bytes, std::size_t at) {
   std::uint32_t value = 0;
   for (std::size_t i = 0; i < 4 && at + i < bytes.size(); ++i)
     value = value << 8U | static_cast<unsigned char>(bytes[at + i]);
   return value;
 }
 
-std::string message(int type, const std::string& method, int seqid, const std::string& arguments) {
-  const std::string all = u32(0x80010000U | static_cast<unsigned>(type)) + text(method) +
-                          u32(static_cast<std::uint32_t>(seqid)) + arguments + std::string(1, '\0');
-  return text(all);
+std::string thrift_message(int type, const std::string& method, int seqid, const std::string& arguments) {
+  const std::string payload = u32_bytes(0x80010000U | static_cast<unsigned>(type)) + thrift_string(method) +
+                              u32_bytes(static_cast<std::uint32_t>(seqid)) + arguments + std::string(1, '\0');
+  return thrift_string(payload);
 }
 
-std::string sixteen(int number) {
+std::string hex_id(int number) {
   std::ostringstream out;
   out << std::hex << std::setw(16) << std::setfill('0') << number;
   return out.str();
@@ -38,103 +40,110 @@
 
 using Values = std::map<std::string, std::string>;
 
-/// A message as a peer received it.
-struct Seen {
+/// A message that a peer received.
+struct ReceivedMessage {
   std::string word;
-  std::string id;  // seqid, request id or tag
+  std::string id;  // seqid, request id or tag of a health check
   Values values;
 };
 
-std::ostream& operator<<(std::ostream& out, const Seen& seen) {
-  out << seen.word << ' ' << seen.id;
-  for (const auto& [name, value] : seen.values) out << ' ' << name << '=' << value.substr(0, 80);
+std::ostream& operator<<(std::ostream& out, const ReceivedMessage& message) {
+  out << message.word << ' ' << message.id;
+  for (const auto& [name, value] : message.values) out << ' ' << name << '=' << value.substr(0, 80);
   return out;
 }
 
-/// Reads the strings of a frame in the order of Thrift's bytes: enough for answers whose form is known.
-Seen read_frame(const std::string& frame) {
+/// Reads a Thrift reply whose layout is known; it is not a general Thrift parser.
+ReceivedMessage read_frame(const std::string& frame) {
   std::size_t at = 4;
   const auto next = [&] {
-    const std::uint32_t size = number_at(frame, at);
+    const std::uint32_t size = read_u32(frame, at);
     std::string value = frame.substr(std::min(at + 4, frame.size()), size);
     at += 4 + size;
     return value;
   };
   const int type = frame.size() > 3 ? frame[3] : 0;
-  Seen seen;
+  ReceivedMessage message;
   const std::string method = next();
-  seen.id = std::to_string(number_at(frame, at));
+  message.id = std::to_string(read_u32(frame, at));
   at += 4;
   if (type == 3) {
-    seen.word = "exception";
-    if (method == "process") seen.values["unreadable"] = "1";
-    return seen;
+    message.word = "exception";
+    if (method == "process") message.values["unreadable"] = "1";
+    return message;
   }
   const int field = frame.at(at + 2);
   at += 3;
-  at += 3;  // the first field of the struct in it
+  at += 3;  // the header of the first field in the nested struct
   if (field == 0) {
-    seen.values["body"] = next();
+    message.values["body"] = next();
     at += 3;
   }
   at += 2;
-  for (std::uint32_t left = number_at(frame, std::exchange(at, at + 4)); left > 0; --left) {
+  for (std::uint32_t left = read_u32(frame, std::exchange(at, at + 4)); left > 0; --left) {
     const std::string name = next();
-    seen.values[name] = next();
+    message.values[name] = next();
   }
-  const bool good = field == 0 && frame.at(at + 3) == 1;
-  seen.word = field == 1          ? "refused"
-              : field == 2        ? "failed"
-              : method == "probe" ? (good ? "ready" : "unready")
-                                  : "served";
-  return seen;
+  const bool is_ready = field == 0 && frame.at(at + 3) == 1;
+  message.word = field == 1          ? "refused"
+                 : field == 2        ? "failed"
+                 : method == "probe" ? (is_ready ? "ready" : "unready")
+                                     : "served";
+  return message;
 }
 
 Values fields_of(const std::string& list) {
   Values values;
-  std::istringstream in(list);
-  for (std::string field; std::getline(in, field, ',');) {
+  std::istringstream input(list);
+  for (std::string field; std::getline(input, field, ',');) {
     const std::size_t equals = field.find('=');
     if (equals != std::string::npos) values[field.substr(0, equals)] = field.substr(equals + 1);
   }
   return values;
 }
 
-class Player {
+class ScenarioRunner {
  public:
-  explicit Player(Stage& stage) : stage_(stage) {}
+  explicit ScenarioRunner(ProxyHarness& harness) : harness_(harness) {}
 
-  void line(const std::string& line) {
-    std::istringstream in(line);
+  void run_line(const std::string& line) {
+    std::istringstream input(line);
     std::string peer, verb;
-    if (!(in >> peer) || peer[0] == '#') return;
+    if (!(input >> peer) || peer[0] == '#') return;
     if (peer == "wait") {
       int ms = 0;
-      in >> ms;
-      stage_.wait(std::chrono::milliseconds(ms));
+      input >> ms;
+      harness_.wait(std::chrono::milliseconds(ms));
       return;
     }
-    in >> verb;
+    input >> verb;
     if (verb == "send") {
-      send(peer, in);
+      send(peer, input);
     } else if (verb == "expect") {
-      expect(peer, in);
+      expect(peer, input);
     } else if (verb == "cork") {
       corked_.emplace(peer, "");
     } else if (verb == "uncork") {
       const std::string bytes = corked_.extract(peer).mapped();
-      stage_.send(peer, bytes);
-    } else if (verb == "close") {
-      std::string how;
-      in >> how;
-      const std::map<std::string, Ends> ways{
-          {"", Ends::closed},       {"reset", Ends::reset}, {"refusing", Ends::refusing},
-          {"half", Ends::half},     {"late", Ends::late},   {"deaf", Ends::deaf},
-          {"silent", Ends::silent}, {"stays", Ends::stays}, {"not", Ends::not_at_all}};
-      ASSERT_TRUE(ways.count(how)) << "no such way to close: " << how;
-      stage_.close(peer, ways.at(how));
+      harness_.send(peer, bytes);
+    } else if (verb == "close" || verb == "set") {
+      std::string behavior;
+      input >> behavior;
+      static const std::map<std::pair<std::string, std::string>, PeerBehavior> kBehaviors{
+          {{"close", ""}, PeerBehavior::closed},
+          {{"close", "reset"}, PeerBehavior::reset},
+          {{"close", "half"}, PeerBehavior::half_closed},
+          {{"close", "refusing"}, PeerBehavior::refusing},
+          {{"set", "silent"}, PeerBehavior::silent},
+          {{"set", "delayed_connect"}, PeerBehavior::delayed_connect},
+          {{"set", "keeps_open"}, PeerBehavior::keeps_open},
+          {{"set", "not_reading"}, PeerBehavior::not_reading},
+          {{"set", "normal"}, PeerBehavior::normal}};
+      const auto found = kBehaviors.find({verb, behavior});
+      ASSERT_NE(found, kBehaviors.end()) << "unknown behavior: " << verb << " " << behavior;
+      harness_.set_behavior(peer, found->second);
     } else {
-      FAIL() << "no such verb: " << verb;
+      FAIL() << "unknown verb: " << verb;
     }
   }
 
@@ -142,234 +151,236 @@
   static bool is_member(const std::string& peer) {
     return peer.rfind("box", 0) == 0 || peer.rfind("up", 0) == 0 || peer == "main";
   }
-  static bool is_bulletin(const std::string& peer) { return peer.rfind("bulletin", 0) == 0; }
+  static bool is_discovery(const std::string& peer) { return peer.rfind("bulletin", 0) == 0; }
   static bool is_operator(const std::string& peer) { return peer.rfind("ops", 0) == 0; }
-  static std::string rest(std::istream& in) {
+  static std::string rest(std::istream& input) {
     std::string all;
-    std::getline(in >> std::ws, all);
+    std::getline(input >> std::ws, all);
     return all;
   }
 
-  void send(const std::string& peer, std::istream& in) {
+  void send(const std::string& peer, std::istream& input) {
     std::string word;
-    in >> word;
+    input >> word;
     if (peer == "edge" && word == "HUP") {
-      stage_.reload(rest(in));
+      harness_.reload(rest(input));
     } else if (peer == "edge") {
-      stage_.terminate();
-    } else if (word == "raw" && is_bulletin(peer)) {
-      std::string bytes = rest(in);
+      harness_.terminate();
+    } else if (word == "raw" && is_discovery(peer)) {
+      std::string bytes = rest(input);
       for (std::size_t at = 0; (at = bytes.find("\\n", at)) != std::string::npos;)
         bytes.replace(at, 2, "\r\n");
-      stage_.send(peer, bytes);
+      harness_.send(peer, bytes);
     } else if (word == "raw" && is_member(peer)) {
-      stage_.send(peer, rest(in) + "\r\n");
+      harness_.send(peer, rest(input) + "\r\n");
     } else if (word == "raw") {
       std::string bytes;
-      for (std::string pair; in >> pair;) bytes.push_back(static_cast<char>(std::stoi(pair, nullptr, 16)));
-      put(peer, bytes);
+      for (std::string pair; input >> pair;) bytes.push_back(static_cast<char>(std::stoi(pair, nullptr, 16)));
+      send_or_cork(peer, bytes);
     } else if (is_operator(peer)) {
-      stage_.send(peer, word + " " + rest(in) + " HTTP/1.1\r\nHost: edge\r\n\r\n");
-    } else if (is_bulletin(peer)) {
-      send_bulletin(peer, word, rest(in));
+      harness_.send(peer, word + " " + rest(input) + " HTTP/1.1\r\nHost: edge\r\n\r\n");
+    } else if (is_discovery(peer)) {
+      send_event(peer, word, rest(input));
     } else if (is_member(peer)) {
       int id = 0;
       std::string fields = "-";
-      in >> id >> fields;
-      const std::string body = in.eof() ? "" : rest(in);
-      stage_.send(peer, sixteen(id) + " " + word + " " + fields + " " + std::to_string(body.size()) + "\r\n" +
-                            body + "\r\n");
+      input >> id >> fields;
+      const std::string body = input.eof() ? "" : rest(input);
+      harness_.send(peer, hex_id(id) + " " + word + " " + fields + " " + std::to_string(body.size()) +
+                              "\r\n" + body + "\r\n");
     } else {
-      call(peer, word, in);
+      send_call(peer, word, input);
     }
   }
 
-  void send_bulletin(const std::string& peer, const std::string& word, const std::string& more) {
+  void send_event(const std::string& peer, const std::string& word, const std::string& more) {
     if (word == "head") {
-      stage_.send(peer, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
+      harness_.send(peer, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
     } else if (word == "comment") {
-      stage_.send(peer, ":\n\n");
+      harness_.send(peer, ":\n\n");
     } else {
       const std::string json = word + (more.empty() ? "" : " " + more);
       const std::size_t at = json.find("\"no\":") + 5;
-      stage_.send(peer,
-                  "id: " + json.substr(at, json.find_first_of(",}", at) - at) + "\ndata: " + json + "\n\n");
+      harness_.send(peer,
+                    "id: " + json.substr(at, json.find_first_of(",}", at) - at) + "\ndata: " + json + "\n\n");
     }
   }
 
-  void call(const std::string& peer, const std::string& word, std::istream& in) {
+  void send_call(const std::string& peer, const std::string& word, std::istream& input) {
     int number = 0;
     if (word == "giveUp" || word == "probe" || word == "dance") {
-      in >> number;
+      input >> number;
       const std::string argument =
-          word == "giveUp" ? std::string("\x08\0\1", 3) + u32(static_cast<std::uint32_t>(number)) : "";
-      put(peer, message(word == "giveUp" ? 4 : 1, word, number, argument));
+          word == "giveUp" ? std::string("\x08\0\1", 3) + u32_bytes(static_cast<std::uint32_t>(number)) : "";
+      send_or_cork(peer, thrift_message(word == "giveUp" ? 4 : 1, word, number, argument));
       return;
     }
     std::string verb, body;
     number = std::stoi(word);
-    in >> verb;
-    Values fields{{"verb", verb},    {"txn", sixteen(number)}, {"item", sixteen(number)},
-                  {"limit", "2500"}, {"piece", "3"},           {"lot", "17"},
+    input >> verb;
+    Values fields{{"verb", verb},    {"txn", hex_id(number)}, {"item", hex_id(number)},
+                  {"limit", "2500"}, {"piece", "3"},          {"lot", "17"},
                   {"ram", "40"}};
-    for (std::string field; in >> field;) {
+    for (std::string field; input >> field;) {
       const std::size_t equals = field.find('=');
       if (field[0] == '!') {
         fields.erase(field.substr(1));
       } else if (field.rfind("body=", 0) == 0) {
-        body = field.substr(5) + (in.eof() ? "" : std::string(std::istreambuf_iterator<char>(in), {}));
+        body = field.substr(5) + (input.eof() ? "" : std::string(std::istreambuf_iterator<char>(input), {}));
       } else {
         fields[field.substr(0, equals)] = field.substr(equals + 1);
       }
     }
-    std::string map = std::string("\x0d\0\1\x0b\x0b", 5) + u32(static_cast<std::uint32_t>(fields.size()));
-    for (const auto& [name, value] : fields) map += text(name) + text(value);
-    put(peer, message(1, "process", number, map + std::string("\x0b\0\2", 3) + text(body)));
+    std::string map =
+        std::string("\x0d\0\1\x0b\x0b", 5) + u32_bytes(static_cast<std::uint32_t>(fields.size()));
+    for (const auto& [name, value] : fields) map += thrift_string(name) + thrift_string(value);
+    send_or_cork(
+        peer, thrift_message(1, "process", number, map + std::string("\x0b\0\2", 3) + thrift_string(body)));
   }
 
-  /// Cuts what came for a peer into messages.
-  void collect(const std::string& peer) {
-    std::string& bytes = bytes_[peer] += stage_.received(peer);
+  /// Splits the bytes that the peer has received into messages.
+  void read_messages(const std::string& peer) {
+    std::string& bytes = bytes_[peer] += harness_.take_received(peer);
     while (true) {
-      Seen seen;
-      if (is_bulletin(peer)) {
+      ReceivedMessage message;
+      if (is_discovery(peer)) {
         const std::size_t end = bytes.find("\r\n\r\n");
         if (end == std::string::npos) return;
-        seen.word = bytes.rfind("GET /bulletins ", 0) == 0 ? "get" : "strange";
+        message.word = bytes.rfind("GET /bulletins ", 0) == 0 ? "get" : "unknown";
         const std::size_t at = bytes.find("Last-Event-ID: ") + 15;
-        seen.values["last"] = bytes.substr(at, bytes.find("\r\n", at) - at);
+        message.values["last"] = bytes.substr(at, bytes.find("\r\n", at) - at);
         bytes.erase(0, end + 4);
       } else if (is_operator(peer)) {
         const std::size_t end = bytes.find("\r\n\r\n"), at = bytes.find("Content-Length: ");
         if (end == std::string::npos) return;
         const std::size_t length = std::stoul(bytes.substr(at + 16));
         if (bytes.size() < end + 4 + length) return;
-        seen.word = bytes.substr(9, 3);
-        seen.values["body"] = "\n" + bytes.substr(end + 4, length);
+        message.word = bytes.substr(9, 3);
+        message.values["body"] = "\n" + bytes.substr(end + 4, length);
         bytes.erase(0, end + 4 + length);
       } else if (is_member(peer)) {
         const std::size_t end = bytes.find("\r\n");
         if (end == std::string::npos) return;
-        std::istringstream in(bytes.substr(0, end));
+        std::istringstream input(bytes.substr(0, end));
         std::string fields;
         std::size_t length = 0;
-        in >> seen.word >> seen.id >> fields >> length;
-        const bool has_body = seen.word == "serve";
+        input >> message.word >> message.id >> fields >> length;
+        const bool has_body = message.word == "serve";
         if (has_body && bytes.size() < end + 4 + length) return;
-        seen.values = fields_of(fields);
-        if (has_body) seen.values["body"] = bytes.substr(end + 2, length);
+        message.values = fields_of(fields);
+        if (has_body) message.values["body"] = bytes.substr(end + 2, length);
         bytes.erase(0, has_body ? end + 4 + length : end + 2);
       } else {
-        if (bytes.size() < 4 || bytes.size() < 4 + number_at(bytes, 0)) return;
-        const std::size_t length = number_at(bytes, 0);
-        seen = read_frame(bytes.substr(4, length));
+        if (bytes.size() < 4 || bytes.size() < 4 + read_u32(bytes, 0)) return;
+        const std::size_t length = read_u32(bytes, 0);
+        message = read_frame(bytes.substr(4, length));
         bytes.erase(0, 4 + length);
       }
-      seen_[peer].push_back(std::move(seen));
+      received_messages_[peer].push_back(std::move(message));
     }
   }
 
   template <typename Done>
-  bool within_patience(Done&& done) {
+  bool within_timeout(Done&& done) {
     const auto step = std::chrono::milliseconds(5);
-    for (auto left = stage_.patience(); !done(); left -= step) {
+    for (auto left = harness_.expectation_timeout(); !done(); left -= step) {
       if (left <= std::chrono::milliseconds(0)) return false;
-      stage_.wait(step);
+      harness_.wait(step);
     }
     return true;
   }
 
-  void expect(const std::string& peer, std::istream& in) {
+  void expect(const std::string& peer, std::istream& input) {
     std::string word, id;
-    in >> word;
+    input >> word;
     if (peer == "edge") {
-      const std::string wanted = word == "log" ? rest(in) : "";
-      EXPECT_TRUE(within_patience([&] {
-        return word == "stopped" ? stage_.stopped() : stage_.log().find(wanted) != std::string::npos;
+      const std::string wanted = word == "log" ? rest(input) : "";
+      EXPECT_TRUE(within_timeout([&] {
+        return word == "stopped" ? harness_.has_stopped() : harness_.log().find(wanted) != std::string::npos;
       })) << "log:\n"
-          << stage_.log();
+          << harness_.log();
       return;
     }
     if (word == "closed") {
-      EXPECT_TRUE(within_patience([&] { return stage_.closed(peer); })) << "the connection is still open";
+      EXPECT_TRUE(within_timeout([&] { return harness_.is_closed(peer); })) << "the connection is still open";
       return;
     }
-    auto& waiting = seen_[peer];
+    auto& messages = received_messages_[peer];
     if (word == "nothing") {
-      collect(peer);
-      EXPECT_TRUE(waiting.empty()) << "came: " << waiting.front();
+      read_messages(peer);
+      EXPECT_TRUE(messages.empty()) << "received: " << messages.front();
       return;
     }
-    ASSERT_TRUE(within_patience([&] {
-      collect(peer);
-      return !waiting.empty();
-    })) << "nothing came";
-    const Seen seen = waiting.front();
-    waiting.pop_front();
-    EXPECT_EQ(seen.word, word) << "came: " << seen;
+    ASSERT_TRUE(within_timeout([&] {
+      read_messages(peer);
+      return !messages.empty();
+    })) << "no message was received";
+    const ReceivedMessage message = messages.front();
+    messages.pop_front();
+    EXPECT_EQ(message.word, word) << "received: " << message;
     if (is_operator(peer)) {
-      for (std::string line; in >> line;)
-        EXPECT_NE(seen.values.at("body").find("\n" + line + "\n"), std::string::npos)
-            << "no line " << line << " in" << seen.values.at("body");
+      for (std::string line; input >> line;)
+        EXPECT_NE(message.values.at("body").find("\n" + line + "\n"), std::string::npos)
+            << "no line " << line << " in" << message.values.at("body");
       return;
     }
     if (word != "get" && word != "gauges") {
-      in >> id;
-      EXPECT_EQ(seen.id, is_member(peer) ? sixteen(std::stoi(id)) : id) << "came: " << seen;
+      input >> id;
+      EXPECT_EQ(message.id, is_member(peer) ? hex_id(std::stoi(id)) : id) << "received: " << message;
     }
-    for (std::string field; in >> field;) {
+    for (std::string field; input >> field;) {
       if (field.rfind("body=", 0) == 0)
-        field += in.eof() ? "" : std::string(std::istreambuf_iterator<char>(in), {});
+        field += input.eof() ? "" : std::string(std::istreambuf_iterator<char>(input), {});
       if (field[0] == '!') {
-        EXPECT_EQ(seen.values.count(field.substr(1)), 0U) << "came: " << seen;
+        EXPECT_EQ(message.values.count(field.substr(1)), 0U) << "received: " << message;
         continue;
       }
       const std::size_t equals = field.find('=');
-      const auto found = seen.values.find(field.substr(0, equals));
-      ASSERT_NE(found, seen.values.end()) << "no field " << field << ", came: " << seen;
+      const auto found = message.values.find(field.substr(0, equals));
+      ASSERT_NE(found, message.values.end()) << "no field " << field << ", received: " << message;
       if (field.substr(equals + 1) != "*") {
-        EXPECT_EQ(found->second, field.substr(equals + 1)) << "came: " << seen;
+        EXPECT_EQ(found->second, field.substr(equals + 1)) << "received: " << message;
       }
     }
   }
 
-  void put(const std::string& peer, const std::string& bytes) {
+  void send_or_cork(const std::string& peer, const std::string& bytes) {
     const auto corked = corked_.find(peer);
     if (corked == corked_.end()) {
-      stage_.send(peer, bytes);
+      harness_.send(peer, bytes);
     } else {
       corked->second += bytes;
     }
   }
 
-  Stage& stage_;
+  ProxyHarness& harness_;
   std::map<std::string, std::string> corked_;
   std::map<std::string, std::string> bytes_;
-  std::map<std::string, std::deque<Seen>> seen_;
+  std::map<std::string, std::deque<ReceivedMessage>> received_messages_;
 };
 
 }  // namespace
 
-std::vector<std::string> ids_asked(const std::string& bytes) {
+std::vector<std::string> requested_ids(const std::string& bytes) {
   std::vector<std::string> ids;
   for (std::size_t at = 0; (at = bytes.find("serve ", at)) != std::string::npos; at += 6)
     ids.push_back(bytes.substr(at + 6, 16));
   return ids;
 }
 
-void play(Stage& stage, const std::string& scenario) {
-  Player player(stage);
-  std::istringstream in(scenario);
+void run_scenario(ProxyHarness& harness, const std::string& scenario) {
+  ScenarioRunner runner(harness);
+  std::istringstream input(scenario);
   int number = 0;
-  for (std::string line; std::getline(in, line);) {
+  for (std::string line; std::getline(input, line);) {
     SCOPED_TRACE("scenario line " + std::to_string(++number) + ": " + line);
-    player.line(line);
+    runner.run_line(line);
     if (::testing::Test::HasFatalFailure()) return;
   }
 }
 
-std::string listed(const std::string& id, const std::string& address, const std::string& phase,
-                   long long up_since_ms) {
+std::string member_json(const std::string& id, const std::string& address, const std::string& phase,
+                        long long up_since_ms) {
   const bool box = id.rfind("box", 0) == 0;
   const std::string flavor = box ? "small-box" : id == "main" ? "origin" : "parent";
   return R"({"id":")" + id + R"(","host_port":")" + address + R"(","locality":")" +
@@ -384,7 +395,7 @@
     return found == addresses.end() ? name + ":1" : found->second;
   };
   std::string list;
-  for (const std::string& id : members) list += (list.empty() ? "" : ",") + listed(id, address(id));
+  for (const std::string& id : members) list += (list.empty() ? "" : ",") + member_json(id, address(id));
   const std::string known =
       members.empty()
           ? R"({"no":0,"items":[]})"
--- a/tests/support/started_program.cpp
+++ b/tests/support/started_program.cpp
@@ -76,8 +76,8 @@
   ::close(ends[1]);
   log_pipe_ = ends[0];
   fcntl(log_pipe_, F_SETFL, O_NONBLOCK);
-  const auto until = Clock::now() + patience();
-  while (log_.find("listening") == std::string::npos && !stopped() && Clock::now() < until)
+  const auto until = Clock::now() + expectation_timeout();
+  while (log_.find("listening") == std::string::npos && !has_stopped() && Clock::now() < until)
     poll_once(std::chrono::milliseconds(5));
 }
 
@@ -137,28 +137,28 @@
             static_cast<ssize_t>(bytes.size()));
 }
 
-std::string StartedProgram::received(const std::string& peer) {
+std::string StartedProgram::take_received(const std::string& peer) {
   poll_once(std::chrono::milliseconds(0));
   return std::exchange(received_[peer], {});
 }
 
-void StartedProgram::close(const std::string& peer, Ends how) {
-  if (how == Ends::refusing) ::close(listeners_[peer]), listeners_.erase(peer);
-  if (how == Ends::not_at_all && deaf_.erase(peer) == 0) listen(peer);
-  if (how == Ends::deaf) deaf_.insert(peer);
-  if (how == Ends::half) {
+void StartedProgram::set_behavior(const std::string& peer, PeerBehavior how) {
+  if (how == PeerBehavior::refusing) ::close(listeners_[peer]), listeners_.erase(peer);
+  if (how == PeerBehavior::normal && deaf_.erase(peer) == 0) listen(peer);
+  if (how == PeerBehavior::not_reading) deaf_.insert(peer);
+  if (how == PeerBehavior::half_closed) {
     for (const int fd : sockets_[peer]) shutdown(fd, SHUT_WR);
   }
-  if (how != Ends::closed && how != Ends::reset && how != Ends::refusing) return;
+  if (how != PeerBehavior::closed && how != PeerBehavior::reset && how != PeerBehavior::refusing) return;
   for (const int fd : sockets_[peer]) {
     const linger at_once{1, 0};
-    if (how == Ends::reset) setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    if (how == PeerBehavior::reset) setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
     ::close(fd);
   }
   sockets_[peer].clear();
 }
 
-bool StartedProgram::closed(const std::string& peer) {
+bool StartedProgram::is_closed(const std::string& peer) {
   poll_once(std::chrono::milliseconds(0));
   return sockets_[peer].empty();
 }
@@ -211,7 +211,7 @@
   tell(pid_, SIGHUP);
 }
 
-bool StartedProgram::stopped() { return ended(pid_); }
+bool StartedProgram::has_stopped() { return ended(pid_); }
 
 bool StartedProgram::ended(int& pid) {
   if (pid <= 0) return true;
@@ -261,7 +261,7 @@
       if (size <= 0) usleep(1000);  // its end is always readable: no busy loop
     } else if (size > 0) {
       const std::string bytes(buffer.data(), static_cast<std::size_t>(size));
-      for (const std::string& id : ids_asked(bytes)) asked_on_[{peers[i], id}] = fd;
+      for (const std::string& id : requested_ids(bytes)) asked_on_[{peers[i], id}] = fd;
       received_[peers[i]] += bytes;
     } else {
       std::erase(sockets_[peers[i]], fd);
--- a/tests/support/started_program.h
+++ b/tests/support/started_program.h
@@ -12,7 +12,7 @@
 
 namespace edge_proxy::test {
 
-class StartedProgram : public Stage {
+class StartedProgram : public ProxyHarness {
  public:
   /// `edit` may change the configuration before the start; `descriptors`: what the system gives it, 0: as
   /// usual.
@@ -23,15 +23,15 @@
   StartedProgram& operator=(const StartedProgram&) = delete;
 
   void send(const std::string& peer, const std::string& bytes) override;
-  std::string received(const std::string& peer) override;
-  void close(const std::string& peer, Ends how) override;
-  bool closed(const std::string& peer) override;
+  std::string take_received(const std::string& peer) override;
+  void set_behavior(const std::string& peer, PeerBehavior how) override;
+  bool is_closed(const std::string& peer) override;
   void wait(std::chrono::milliseconds span) override;
   void terminate() override;
   void reload(const std::string& bulletin) override;
-  bool stopped() override;
+  bool has_stopped() override;
   std::string log() override { return log_; }
-  std::chrono::milliseconds patience() const override { return std::chrono::seconds(5); }
+  std::chrono::milliseconds expectation_timeout() const override { return std::chrono::seconds(5); }
 
   /// Starts another process with the same addresses but a second address of its own, as an upgrade does; from
   /// now on signals and operators' calls go to the new one, and `old` is the one before.
@@ -51,7 +51,7 @@
   void signal_it(int number);
   /// Nobody reads its log from now on, and its pipe holds little.
   void stall_log();
-  /// How it ended, once stopped() is true.
+  /// How it ended, once has_stopped() is true.
   [[nodiscard]] int exit_code() const { return exit_code_; }
 
  private:
--- a/tests/support/virtual_time.h
+++ b/tests/support/virtual_time.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Waiting in virtual time, for all worlds that have run(span).
+/// Waiting in virtual time, for every simulated world that has run(duration).
 #pragma once
 
 #include <chrono>
@@ -8,12 +8,14 @@
 
 namespace edge_proxy::test {
 
-/// Until `done`, asked every `step`; how long it took, or none within `most`.
+/// Runs the world in steps until `done` returns true. Returns the elapsed time, or none if that takes longer
+/// than `timeout`.
 template <typename World, typename Done>
-std::optional<std::chrono::microseconds> run_until(World& world, Done&& done, std::chrono::microseconds most,
+std::optional<std::chrono::microseconds> run_until(World& world, Done&& done,
+                                                   std::chrono::microseconds timeout,
                                                    std::chrono::microseconds step) {
-  for (std::chrono::microseconds passed{0}; passed <= most; passed += step) {
-    if (done()) return passed;
+  for (std::chrono::microseconds elapsed{0}; elapsed <= timeout; elapsed += step) {
+    if (done()) return elapsed;
     world.run(step);
   }
   return std::nullopt;
