--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -42,19 +42,19 @@
   if (connection_ != 0 || stopped_) return;
   connection_ = context_.connect(address_, ReadPriority::high);
   is_connected_ = has_data_ = false;
-  opened_at_ = last_heard_ = last_line_ = context_.now;
+  opened_at_ = last_byte_at_ = last_line_at_ = context_.now;
   event_count_ = 0;
   reader_ = {};
 }
 
 void DiscoveryClient::on_connected() {
   is_connected_ = true;
-  last_heard_ = last_line_ = context_.now;
+  last_byte_at_ = last_line_at_ = context_.now;
   context_.write(connection_, codec::write_stream_request(address_, kPath, std::to_string(last_event_)));
 }
 
 std::vector<codec::DiscoveryEvent> DiscoveryClient::on_bytes(std::string_view bytes) {
-  last_heard_ = context_.now;
+  last_byte_at_ = context_.now;
   has_data_ = true;
   timeout_ = initial_timeout_;
   std::vector<codec::DiscoveryEvent> events;
@@ -64,7 +64,7 @@
     std::optional<codec::DiscoveryEvent> event = parse(*frame);
     if (!event || event->number <= last_event_) continue;  // an event is never applied twice
     if (is_gap_before(*event)) {
-      end(CloseReason::bad_stream, ClosedBy::proxy);
+      close(CloseReason::bad_stream, ClosedBy::proxy);
       return events;
     }
     last_event_ = event->number;
@@ -72,8 +72,8 @@
     ++event_count_;
     events.push_back(std::move(*event));
   }
-  if (reader_.lines() != lines_before) last_line_ = context_.now;
-  if (reader_.error() != codec::StreamError::none) end(CloseReason::bad_stream, ClosedBy::proxy);
+  if (reader_.lines() != lines_before) last_line_at_ = context_.now;
+  if (reader_.error() != codec::StreamError::none) close(CloseReason::bad_stream, ClosedBy::proxy);
   return events;
 }
 
@@ -105,29 +105,29 @@
   address_ = address;
   backoff_ = kMinBackoff;
   timeout_ = initial_timeout_;
-  if (connection_ != 0) end(CloseReason::discovery_moved, ClosedBy::proxy);
+  if (connection_ != 0) close(CloseReason::discovery_moved, ClosedBy::proxy);
   open();
 }
 
-void DiscoveryClient::on_loop_stall() { opened_at_ = last_heard_ = last_line_ = context_.now; }
+void DiscoveryClient::on_loop_stall() { opened_at_ = last_byte_at_ = last_line_at_ = context_.now; }
 
-void DiscoveryClient::on_closed(CloseReason reason) { end(reason, ClosedBy::peer); }
+void DiscoveryClient::on_closed(CloseReason reason) { close(reason, ClosedBy::peer); }
 
 void DiscoveryClient::close_if_silent() {
   if (connection_ == 0) return;
-  const Time silence = context_.now - (is_connected_ ? last_heard_ : opened_at_);
+  const Time silence = context_.now - (is_connected_ ? last_byte_at_ : opened_at_);
   const bool is_silent = silence >= (has_data_ ? kSilenceTimeout : timeout_);
-  if (!is_silent && context_.now - last_line_ < kLineTimeout) return;
+  if (!is_silent && context_.now - last_line_at_ < kLineTimeout) return;
   timeout_ = std::min(timeout_ * 2, kSilenceTimeout);
-  end(is_connected_ ? CloseReason::silent : CloseReason::connect_timeout, ClosedBy::proxy);
+  close(is_connected_ ? CloseReason::silent : CloseReason::connect_timeout, ClosedBy::proxy);
 }
 
 void DiscoveryClient::stop() {
   stopped_ = true;
-  if (connection_ != 0) end(CloseReason::stopping, ClosedBy::proxy);
+  if (connection_ != 0) close(CloseReason::stopping, ClosedBy::proxy);
 }
 
-void DiscoveryClient::end(CloseReason reason, ClosedBy closed_by) {
+void DiscoveryClient::close(CloseReason reason, ClosedBy closed_by) {
   context_.log_closed({"bulletin", connection_, opened_at_, event_count_, {}}, reason, closed_by);
   connection_ = 0;
   if (stopped_) return;
@@ -135,16 +135,16 @@
   // is asked again at once. Guards it against a fleet that loses it at one moment and reconnects in step ever
   // after: within the shortest backoff, which is little beside the time after which invalidations bind, or
   // the second half of a longer one, each proxy connects at a moment of its own.
-  const bool was_broken_off = std::exchange(is_connected_, false) && context_.now - opened_at_ >= kMaxBackoff;
-  if (was_broken_off) backoff_ = Time{0};
-  const Time delay = was_broken_off ? jittered(kMinBackoff) : backoff_ - jittered(backoff_ / 2);
+  const bool was_lost = std::exchange(is_connected_, false) && context_.now - opened_at_ >= kMaxBackoff;
+  if (was_lost) backoff_ = Time{0};
+  const Time delay = was_lost ? random_delay(kMinBackoff) : backoff_ - random_delay(backoff_ / 2);
   context_.timers.add(context_.now + delay, Timer::of(TimerKind::discovery_connect));
   backoff_ = std::clamp(backoff_ * 2, kMinBackoff, kMaxBackoff);
 }
 
-Time DiscoveryClient::jittered(Time span) {
-  std::uniform_real_distribution<double> fraction(0, static_cast<double>(span.count()));
-  return Time{static_cast<std::int64_t>(fraction(random_))};
+Time DiscoveryClient::random_delay(Time max_delay) {
+  std::uniform_real_distribution<double> delay(0, static_cast<double>(max_delay.count()));
+  return Time{static_cast<std::int64_t>(delay(random_))};
 }
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/discovery/discovery_client.h
+++ b/src/proxy/discovery/discovery_client.h
@@ -34,7 +34,7 @@
   void on_loop_stall();
   /// Whether events arrive in time, as far as can be seen from here.
   [[nodiscard]] bool is_current() const {
-    return is_connected_ && has_data_ && context_.now - last_line_ < kDiscoverySilenceLimit;
+    return is_connected_ && has_data_ && context_.now - last_line_at_ < kDiscoverySilenceLimit;
   }
   /// The connection failed or was ended by the other side.
   void on_closed(CloseReason reason);
@@ -43,11 +43,11 @@
   void stop();
 
  private:
-  void end(CloseReason reason, ClosedBy closed_by);
+  void close(CloseReason reason, ClosedBy closed_by);
   std::optional<codec::DiscoveryEvent> parse(const codec::StreamEvent& frame);
   bool is_gap_before(const codec::DiscoveryEvent& event);
   /// A random part of `span`.
-  Time jittered(Time span);
+  Time random_delay(Time max_delay);
 
   Context& context_;
   std::string address_;
@@ -59,8 +59,8 @@
   bool has_data_ = false;  ///< on this connection
   bool stopped_ = false;
   Time opened_at_{0};
-  Time last_heard_{0};
-  Time last_line_{0};  ///< a complete line, or the connection was opened
+  Time last_byte_at_{0};
+  Time last_line_at_{0};  ///< a complete line, or the connection was opened
   Time backoff_;
   Time initial_timeout_;
   Time timeout_;  ///< with a connection that does not come up, or says nothing yet
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -52,10 +52,10 @@
   if (!closes_idle_clients_ || is_finished_) return;
   dependencies_.clients.drain_quiet();
   // Guards the end of the process against clients that never read their answers.
-  const bool flush_is_over = dependencies_.context.now >= *answer_deadline_ + kFlushAfterShutdown;
-  if (flush_is_over) dependencies_.clients.disconnect_idle();
-  const bool owes_nothing = dependencies_.clients.empty() && dependencies_.pending_requests.open_count() == 0;
-  if (!is_listening_ && owes_nothing) finish();
+  const bool is_flush_over = dependencies_.context.now >= *answer_deadline_ + kFlushAfterShutdown;
+  if (is_flush_over) dependencies_.clients.disconnect_idle();
+  const bool is_drained = dependencies_.clients.empty() && dependencies_.pending_requests.open_count() == 0;
+  if (!is_listening_ && is_drained) finish();
 }
 
 void GracefulShutdown::finish() {
--- a/src/proxy/local_cache.cpp
+++ b/src/proxy/local_cache.cpp
@@ -101,7 +101,7 @@
   if (is_invalidated_since(*created_at, key, group)) return;
   const auto cached = by_key_.find(key);
   if (cached != by_key_.end() && cached->second->created_at >= *created_at) return;
-  if (!has_come_before(key, fingerprint_of(*entity_tag, response.body))) return;
+  if (!was_seen_before(key, fingerprint_of(*entity_tag, response.body))) return;
   if (cached != by_key_.end()) erase(cached->second);
   lru_.push_front({key, group, response.body, std::string(*entity_tag), *created_at});
   by_key_[key] = lru_.begin();
@@ -111,7 +111,7 @@
 
 /// Guards against serving a corrupted body again and again: one that was corrupted on the way can't be told
 /// from an object, but does not come twice alike.
-bool LocalCache::has_come_before(const Key& key, std::uint64_t fingerprint) {
+bool LocalCache::was_seen_before(const Key& key, std::uint64_t fingerprint) {
   const auto seen = seen_once_.find(key);
   if (seen != seen_once_.end()) {
     if (seen->second.fingerprint == fingerprint) return true;
--- a/src/proxy/local_cache.h
+++ b/src/proxy/local_cache.h
@@ -73,7 +73,7 @@
 
   [[nodiscard]] bool is_invalidated_since(Time created_at, const Key& key, std::int64_t group) const;
   /// Whether the same response came before; else remembers this one.
-  bool has_come_before(const Key& key, std::uint64_t fingerprint);
+  bool was_seen_before(const Key& key, std::uint64_t fingerprint);
   void erase(LruList::iterator copy);
   void evict();
 
--- a/src/proxy/reducer.cpp
+++ b/src/proxy/reducer.cpp
@@ -91,7 +91,7 @@
       upstream_pool_.on_loop_stall();
     }
     // What has come goes before what is due: it may be an invalidation, or a client's end.
-    std::visit([this](const auto& typed_input) { on(typed_input); }, input);
+    std::visit([this](const auto& typed_input) { handle(typed_input); }, input);
     run_timers();
     membership_.run_timers();
     run_policy();
@@ -191,11 +191,11 @@
   }
 
   // Guards against a loop that wakes a moment early: the armed timer is used up, and is armed anew.
-  void on(const LoopTimerExpired&) { armed_for_ = Time{0}; }
+  void handle(const LoopTimerExpired&) { armed_for_ = Time{0}; }
 
   // ---- Connections: each input goes to the part that owns the connection ----
 
-  void on(const Accepted& input) {
+  void handle(const Accepted& input) {
     if (input.listener == kAdminListener) {
       admin_connections_.on_accepted(input.connection);
     } else {
@@ -203,7 +203,7 @@
     }
   }
 
-  void on(const BytesArrived& input) {
+  void handle(const BytesArrived& input) {
     if (client_connections_.owns(input.connection)) {
       client_calls_.on_bytes(input.connection, input.bytes);
     } else if (upstream_pool_.owns(input.connection)) {
@@ -218,7 +218,7 @@
     }
   }
 
-  void on(const WriteDrained& input) {
+  void handle(const WriteDrained& input) {
     if (client_connections_.owns(input.connection)) {
       client_connections_.on_write_drained(input.connection);
     } else if (upstream_pool_.owns(input.connection)) {
@@ -226,7 +226,7 @@
     }
   }
 
-  void on(const Connected& input) {
+  void handle(const Connected& input) {
     if (upstream_pool_.owns(input.connection)) {
       upstream_pool_.on_connected(input.connection);
     } else if (discovery_client_.owns(input.connection)) {
@@ -234,11 +234,11 @@
     }
   }
 
-  void on(const DescriptorsExhausted&) { client_connections_.free_descriptor(); }
+  void handle(const DescriptorsExhausted&) { client_connections_.free_descriptor(); }
 
-  void on(const ConnectFailed& input) { on_closed(input.connection, CloseReason::connect_refused); }
+  void handle(const ConnectFailed& input) { on_closed(input.connection, CloseReason::connect_refused); }
 
-  void on(const ConnectionClosed& input) {
+  void handle(const ConnectionClosed& input) {
     on_closed(input.connection, input.is_reset ? CloseReason::peer_reset : CloseReason::peer_closed);
   }
 
@@ -256,11 +256,11 @@
 
   // ---- Operators ----
 
-  void on(const ShutdownRequested&) { shutdown_.begin(); }
+  void handle(const ShutdownRequested&) { shutdown_.begin(); }
 
   /// Applies what can change while the proxy runs. Requests, connections and the place in the event stream
   /// are kept.
-  void on(const Reloaded& input) {
+  void handle(const Reloaded& input) {
     for (const std::string& key : config::restart_only_keys(config_, input.config)) {
       context_.log("reload kept key=" + key + " until the next start");
     }
@@ -274,9 +274,9 @@
   }
 
   // Guards against a faulty file ending what runs well.
-  void on(const ReloadFailed& input) { context_.log("reload failed, nothing changed: " + input.problem); }
+  void handle(const ReloadFailed& input) { context_.log("reload failed, nothing changed: " + input.problem); }
 
-  void on(const OverridesLoaded& input) {
+  void handle(const OverridesLoaded& input) {
     discovery_handler_.apply_overrides(endpoint_directory_.load_overrides(input.overrides));
   }
 
@@ -287,14 +287,14 @@
 
   // ---- The cluster ----
 
-  void on(const MembershipReady& input) {
+  void handle(const MembershipReady& input) {
     membership_.start(input.identity);
     policy_.start(input.identity);
   }
 
-  void on(const MembershipInput& input) { membership_.handle(input.input); }
+  void handle(const MembershipInput& input) { membership_.handle(input.input); }
 
-  void on(const ConsensusOutput& input) { policy_.handle(input); }
+  void handle(const ConsensusOutput& input) { policy_.handle(input); }
 
   /// Delivers members' messages and changes of the membership to the policy, runs its timers, and applies
   /// and answers what comes of it.
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -78,7 +78,7 @@
 
 void RequestDispatcher::notify_router(const Event& event) {
   for (const Action& action : dependencies_.router.handle(dependencies_.context.now, event)) {
-    std::visit([this](const auto& decided) { perform(decided); }, action);
+    std::visit([this](const auto& typed_action) { perform(typed_action); }, action);
   }
 }
 
--- a/src/proxy/upstream/connection_selection.cpp
+++ b/src/proxy/upstream/connection_selection.cpp
@@ -11,13 +11,14 @@
 
 bool can_take(const UpstreamConnection& connection, const SelectionCriteria& criteria) {
   return !connection.was_used_by(criteria.request) &&
-         connection.load() < criteria.max_requests_per_connection && !connection.is_suspicious(criteria.now);
+         connection.attempt_count() < criteria.max_requests_per_connection &&
+         !connection.is_unresponsive(criteria.now);
 }
 
 /// Whether the first takes an attempt rather than the second.
 bool is_preferred(const UpstreamConnection& connection, const UpstreamConnection& other) {
   if (connection.is_connected() != other.is_connected()) return connection.is_connected();
-  return connection.load() < other.load();
+  return connection.attempt_count() < other.attempt_count();
 }
 
 }  // namespace
@@ -32,9 +33,10 @@
     if (!best || is_preferred(connection, connections.at(*best))) best = id;
   }
   if (!best) return {};
-  const bool is_coming_up = std::any_of(candidates.begin(), candidates.end(),
-                                        [&](ConnectionId id) { return !connections.at(id).is_connected(); });
-  return {best, connections.at(*best).load() > 0 && !is_coming_up};
+  const bool is_being_opened = std::any_of(candidates.begin(), candidates.end(), [&](ConnectionId id) {
+    return !connections.at(id).is_connected();
+  });
+  return {best, connections.at(*best).attempt_count() > 0 && !is_being_opened};
 }
 
 std::size_t max_connections_per_endpoint(int max_connections, std::size_t connected_endpoints) {
@@ -47,7 +49,7 @@
   std::optional<ConnectionId> longest;
   for (const auto& [id, connection] : connections) {
     if (!connection.is_connected() || !connection.is_idle()) continue;
-    if (!longest || connection.active_at() < connections.at(*longest).active_at()) longest = id;
+    if (!longest || connection.last_active_at() < connections.at(*longest).last_active_at()) longest = id;
   }
   return longest;
 }
--- a/src/proxy/upstream/endpoint_directory.cpp
+++ b/src/proxy/upstream/endpoint_directory.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 // The words with which a stored override begins.
-constexpr std::string_view kSuspendedWord = "out ";
-constexpr std::string_view kResumedWord = "in ";
+constexpr std::string_view kSuspendedPrefix = "out ";
+constexpr std::string_view kResumedPrefix = "in ";
 
 }  // namespace
 
@@ -112,7 +112,7 @@
 std::string EndpointDirectory::serialized_overrides() const {
   std::string text;
   for (const auto& [id, entry] : overrides_) {
-    text.append(entry.is_suspended ? kSuspendedWord : kResumedWord);
+    text.append(entry.is_suspended ? kSuspendedPrefix : kResumedPrefix);
     text.append(std::to_string(entry.changed_at.count())).append(" ").append(id).append("\n");
   }
   return text;
@@ -124,9 +124,9 @@
   while (!text.empty() && overrides.size() < kMaxOverrides) {
     std::string_view line = text.substr(0, text.find('\n'));
     text.remove_prefix(std::min(line.size() + 1, text.size()));
-    const bool is_suspended = line.starts_with(kSuspendedWord);
-    if (!is_suspended && !line.starts_with(kResumedWord)) continue;
-    line.remove_prefix(is_suspended ? kSuspendedWord.size() : kResumedWord.size());
+    const bool is_suspended = line.starts_with(kSuspendedPrefix);
+    if (!is_suspended && !line.starts_with(kResumedPrefix)) continue;
+    line.remove_prefix(is_suspended ? kSuspendedPrefix.size() : kResumedPrefix.size());
     std::int64_t changed_at = 0;
     const auto [end, error] = std::from_chars(line.data(), line.data() + line.size(), changed_at);
     const auto digits = static_cast<std::size_t>(end - line.data());
--- a/src/proxy/upstream/load_report.cpp
+++ b/src/proxy/upstream/load_report.cpp
@@ -15,7 +15,7 @@
   return value;
 }
 
-void set_figure(LoadReport& report, std::string_view name, double value) {
+void set_field(LoadReport& report, std::string_view name, double value) {
   if (name == "inflight") report.in_flight = value;
   if (name == "queue") report.queued = value;
   if (name == "util") report.busy = value;
@@ -33,7 +33,7 @@
     const std::size_t colon = item.find(':');
     if (colon == std::string_view::npos) continue;
     if (const auto value = read_number(item.substr(colon + 1))) {
-      set_figure(report, item.substr(0, colon), *value);
+      set_field(report, item.substr(0, colon), *value);
     }
   }
   return report;
--- a/src/proxy/upstream/upstream_connection.cpp
+++ b/src/proxy/upstream/upstream_connection.cpp
@@ -9,12 +9,12 @@
   return open_attempts_.empty() && queued_attempts_.empty() && health_checks_.empty() && commands_.empty();
 }
 
-bool UpstreamConnection::is_suspicious(Time now) const {
-  return awaits_answer() && now - heard_at_ >= kSilenceLimit;
+bool UpstreamConnection::is_unresponsive(Time now) const {
+  return awaits_answer() && now - last_received_at_ >= kSilenceLimit;
 }
 
 bool UpstreamConnection::is_silent_since(Time since) const {
-  return is_connected_ && heard_at_ < since && awaits_answer();
+  return is_connected_ && last_received_at_ < since && awaits_answer();
 }
 
 bool UpstreamConnection::may_hold_unread_answers() const {
@@ -87,7 +87,7 @@
   AttemptKey key = std::move(queued_attempts_.front());
   queued_attempts_.pop_front();
   attempt_being_written_ = key;
-  if (open_attempts_.empty()) heard_at_ = now;  // silence counts from when something was asked
+  if (open_attempts_.empty()) last_received_at_ = now;  // silence counts from when something was asked
   open_attempts_[key.request] = key.attempt;
   ++request_count_;
   return key;
@@ -95,18 +95,18 @@
 
 void UpstreamConnection::on_write_started(Time now) {
   is_writing_ = true;
-  active_at_ = now;
+  last_active_at_ = now;
 }
 
 // ---- What happens to it ----
 
 void UpstreamConnection::on_connected(Time now) {
   is_connected_ = true;
-  heard_at_ = active_at_ = now;
+  last_received_at_ = last_active_at_ = now;
 }
 
 void UpstreamConnection::on_bytes(std::string_view bytes, Time now) {
-  heard_at_ = active_at_ = now;
+  last_received_at_ = last_active_at_ = now;
   unanswered_count_ = 0;
   reader_.feed(bytes);
 }
--- a/src/proxy/upstream/upstream_connection.h
+++ b/src/proxy/upstream/upstream_connection.h
@@ -29,13 +29,13 @@
 class UpstreamConnection {
  public:
   UpstreamConnection(std::string endpoint, Time now)
-      : endpoint_(std::move(endpoint)), opened_at_(now), active_at_(now), heard_at_(now) {}
+      : endpoint_(std::move(endpoint)), opened_at_(now), last_active_at_(now), last_received_at_(now) {}
 
   // ---- What it is ----
   [[nodiscard]] const std::string& endpoint() const { return endpoint_; }
   [[nodiscard]] Time opened_at() const { return opened_at_; }
   /// When something was last written or heard.
-  [[nodiscard]] Time active_at() const { return active_at_; }
+  [[nodiscard]] Time last_active_at() const { return last_active_at_; }
   /// Attempts written so far.
   [[nodiscard]] std::uint64_t request_count() const { return request_count_; }
 
@@ -44,7 +44,7 @@
   /// Nothing is written or waits to be written, and no answer is due.
   [[nodiscard]] bool is_idle() const;
   /// Something was asked, and nothing has been heard for kSilenceLimit.
-  [[nodiscard]] bool is_suspicious(Time now) const;
+  [[nodiscard]] bool is_unresponsive(Time now) const;
   /// It is up and was asked something, but nothing has been heard since before `since`.
   [[nodiscard]] bool is_silent_since(Time since) const;
   /// What was written wholly may have been answered already, in bytes that were not read yet.
@@ -53,7 +53,7 @@
   /// It was asked for this request before, and somebody may still wait for the answer.
   [[nodiscard]] bool was_used_by(const std::string& request) const { return used_by_.contains(request); }
   /// Attempts written or queued.
-  [[nodiscard]] std::size_t load() const { return open_attempts_.size() + queued_attempts_.size(); }
+  [[nodiscard]] std::size_t attempt_count() const { return open_attempts_.size() + queued_attempts_.size(); }
 
   // ---- Attempts ----
   /// Attempts not written yet, in the order in which they will be.
@@ -94,7 +94,7 @@
   [[nodiscard]] std::optional<codec::CacheResponse> next_response() { return reader_.next(); }
   [[nodiscard]] codec::LineError read_error() const { return reader_.error(); }
   /// The event loop stalled: bytes that came meanwhile are still to be read, so silence counts from now.
-  void on_loop_stall(Time now) { heard_at_ = now; }
+  void on_loop_stall(Time now) { last_received_at_ = now; }
   /// It ends for this reason, once what has come on it is read.
   void retire(CloseReason reason) { retired_for_ = reason; }
   [[nodiscard]] std::optional<CloseReason> retired_for() const { return retired_for_; }
@@ -107,8 +107,8 @@
 
   std::string endpoint_;
   Time opened_at_;
-  Time active_at_;
-  Time heard_at_;
+  Time last_active_at_;
+  Time last_received_at_;
   bool is_connected_ = false;
   bool is_writing_ = false;
   std::optional<AttemptKey> attempt_being_written_;
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -39,13 +39,13 @@
 }  // namespace
 
 UpstreamPool::UpstreamPool(Context& context, const config::Config& config,
-                           std::function<bool(const std::string&)> is_owed)
+                           std::function<bool(const std::string&)> is_pending)
     : context_(context),
       connect_timeout_(config.connect_timeout),
       idle_timeout_(std::max(config.connection_idle - kIdleCloseMargin, config.connection_idle / 2)),
       max_requests_per_connection_(static_cast<std::size_t>(config.requests_per_connection)),
-      cancellation_(config.settings.cancellation),
-      is_owed_(std::move(is_owed)),
+      supports_cancel_(config.settings.cancellation),
+      is_pending_(std::move(is_pending)),
       written_by_class_(config.settings.classes.size()) {}
 
 // ---- Endpoints ----
@@ -133,7 +133,7 @@
     return;
   }
   const ConnectionId id = attempt->connection.value();
-  connections_.at(id).abandon_open_attempt(key.request, cancellation_);
+  connections_.at(id).abandon_open_attempt(key.request, supports_cancel_);
   if (result == AttemptResult::cancelled) {
     complete(key, result);
   } else {
@@ -146,7 +146,7 @@
 /// not run any more. Guards caches against work for clients that have gone meanwhile, and the deduplication
 /// window of an idempotency key against a retry that waited too long.
 bool UpstreamPool::is_stale(const UpstreamRequest& request) const {
-  return is_past_send_limit(request, context_.now) || !is_owed_(request.request) || !can_send(request);
+  return is_past_send_limit(request, context_.now) || !is_pending_(request.request) || !can_send(request);
 }
 
 /// What is dropped was never sent.
@@ -292,13 +292,13 @@
 }
 
 void UpstreamPool::on_bytes(ConnectionId connection, std::string_view bytes) {
-  UpstreamConnection& from = connections_.at(connection);
-  from.on_bytes(bytes, context_.now);
-  while (auto response = from.next_response()) on_response(from, std::move(*response));
-  if (from.read_error() == codec::LineError::none) return;
+  UpstreamConnection& upstream = connections_.at(connection);
+  upstream.on_bytes(bytes, context_.now);
+  while (auto response = upstream.next_response()) on_response(upstream, std::move(*response));
+  if (upstream.read_error() == codec::LineError::none) return;
   // Guards against a peer that does not speak the protocol: where the next response begins is unknown.
-  context_.log("member unreadable answer member=" + from.endpoint() +
-               " error=" + std::string(name_of(from.read_error())));
+  context_.log("member unreadable answer member=" + upstream.endpoint() +
+               " error=" + std::string(name_of(upstream.read_error())));
   close(connection, CloseReason::malformed_response, ClosedBy::proxy);
 }
 
@@ -367,11 +367,11 @@
 
 void UpstreamPool::end_open_attempts(const UpstreamConnection& connection, CloseReason reason,
                                      ClosedBy closed_by) {
-  const bool is_ended_here = closed_by == ClosedBy::proxy || connection.retired_for();
+  const bool is_closed_by_proxy = closed_by == ClosedBy::proxy || connection.retired_for();
   for (const AttemptKey& key : connection.open_attempts()) {
     if (reason == CloseReason::malformed_response) {
       complete_later(key, AttemptResult::malformed_response);
-    } else if (is_ended_here) {
+    } else if (is_closed_by_proxy) {
       complete_later(key, AttemptResult::connection_lost);
     } else {
       complete(key, AttemptResult::connection_lost);
@@ -403,9 +403,9 @@
 /// Why the connection is to be closed, where it is.
 std::optional<CloseReason> UpstreamPool::expiry_of(const UpstreamConnection& connection) const {
   if (!connection.is_idle() || !connection.is_connected()) return std::nullopt;
-  if (connection.is_suspicious(context_.now)) return CloseReason::silent;
+  if (connection.is_unresponsive(context_.now)) return CloseReason::silent;
   if (!endpoints_.accepts_attempts(connection.endpoint())) return CloseReason::endpoint_left;
-  if (context_.now - connection.active_at() >= idle_timeout_) return CloseReason::idle;
+  if (context_.now - connection.last_active_at() >= idle_timeout_) return CloseReason::idle;
   return std::nullopt;
 }
 
--- a/src/proxy/upstream/upstream_pool.h
+++ b/src/proxy/upstream/upstream_pool.h
@@ -28,7 +28,7 @@
  public:
   /// `is_owed`: whether a client still waits for the answer to a request.
   UpstreamPool(Context& context, const config::Config& config,
-               std::function<bool(const std::string&)> is_owed);
+               std::function<bool(const std::string&)> is_pending);
 
   // ---- Endpoints ----
   /// Takes in a change of the endpoint list, or the complete list.
@@ -109,8 +109,8 @@
   Time connect_timeout_;
   Time idle_timeout_;
   std::size_t max_requests_per_connection_;
-  bool cancellation_;  // the endpoints understand it
-  std::function<bool(const std::string&)> is_owed_;
+  bool supports_cancel_;  // the endpoints understand it
+  std::function<bool(const std::string&)> is_pending_;
   EndpointTable endpoints_;
   UpstreamConnections connections_;
   AttemptTable attempts_;
