--- a/src/proxy/attempt_fields.cpp
+++ b/src/proxy/attempt_fields.cpp
@@ -6,7 +6,7 @@
 namespace edge_proxy::proxy {
 namespace {
 
-/// The words of the field `mode`, joined by `+`; empty where the attempt asks for nothing special.
+/// Returns the value of the field `mode`, its words joined by `+`; empty if no option is set.
 std::string mode_of(const Attempt& attempt) {
   std::string mode;
   if (attempt.join_fill) mode += "collapse+";
--- a/src/proxy/attempt_fields.h
+++ b/src/proxy/attempt_fields.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The fields of an attempt's command to a cache that are known when the attempt is decided.
+/// The fields of a command to a cache that are known when the router decides on the attempt.
 #pragma once
 
 #include "codec/cache_lines.h"
@@ -9,7 +9,7 @@
 
 namespace edge_proxy::proxy {
 
-/// Adds the fields of the request itself and of how the router wants it served.
+/// Adds the fields that describe the request and the way in which the router wants it served.
 void add_attempt_fields(codec::FieldList& fields, const PendingRequest& pending, const Attempt& attempt);
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/close_reason.h
+++ b/src/proxy/close_reason.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Why a connection ended, and who ended it.
+/// Why a connection was closed, and by which side.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace edge_proxy::proxy {
 
-/// Why a connection ended. Each ended connection leaves one log line with one of these; docs/oncall.md says
-/// what each means and what to do.
+/// Why a connection was closed. Each closed connection leaves one log line with a reason; docs/oncall.md
+/// describes the reasons and how to respond to them.
 enum class CloseReason : std::uint8_t {
   peer_closed,
   peer_reset,
@@ -30,10 +30,10 @@
   stopping
 };
 
-/// The reason's name in the log.
+/// Returns the name of the reason in the log.
 [[nodiscard]] std::string_view name_of(CloseReason reason);
 
-/// Which side ended a connection: one that the peer has ended is not closed again here.
+/// Which side closed a connection. The proxy does not close a connection again that the peer has closed.
 enum class ClosedBy : std::uint8_t { peer, proxy };
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/connection_id.h
+++ b/src/proxy/connection_id.h
@@ -7,13 +7,13 @@
 
 namespace edge_proxy::proxy {
 
-/// Identifies a connection, from its Connect or Accepted on; never used again. 0 is the listening socket.
-/// Accepted connections have odd identifiers, those that the reducer opens even ones: guards against one
-/// identifier for two connections, where a timer opens one in the same moment in which another is accepted.
+/// Identifies a connection from its Connect or Accepted on and is never reused. 0 is the listening socket.
+/// Accepted connections have odd identifiers and those that the reducer opens have even ones, so that a
+/// connection opened by a timer never shares its identifier with one that is accepted at the same time.
 using ConnectionId = std::uint64_t;
-/// Distance between two identifiers that are given out one after the other on the same side.
+/// Difference between consecutive identifiers of the same side.
 constexpr ConnectionId kConnectionIdStep = 2;
-/// One step before the first accepted connection, which is 1.
+/// One step before the identifier of the first accepted connection, which is 1.
 constexpr ConnectionId kBeforeFirstAccepted = ~ConnectionId{0};
 /// The socket that listens for clients.
 constexpr ConnectionId kListener = 0;
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -11,17 +11,18 @@
 using namespace std::chrono_literals;
 
 constexpr std::string_view kPath = "/bulletins";
-// A comment comes each second: a connection without a byte for this long is dead, though nobody says so.
+// The discovery service sends a comment every second. A connection without a byte for this long is dead.
 constexpr Time kSilenceTimeout = 2500ms;
-// So is one on which bytes come but no line ends. What the discovery service announces binds 7 s later at the
-// latest: there is time left to connect anew. Longer than the silence, since a long line may come in pieces.
+// A connection that receives bytes but no complete line for this long is dead, too. The limit is longer than
+// that for silence, since a long line may arrive in pieces. Announcements of the discovery service take
+// effect at most 7 s later, which leaves time to reconnect.
 constexpr Time kLineTimeout = 5s;
-// For a connection that does not come up, or on which nothing comes yet, at first: half the time after which
-// what is announced binds, within these bounds. Each further one is given twice the time, up to the silence
-// that means a dead connection. Guards against a slow discovery service: it would be disconnected for ever.
+// The initial timeout for opening a connection and for its first byte is half the time after which
+// announcements take effect, within these bounds. It doubles with each failed connection up to
+// kSilenceTimeout; with a fixed timeout, a slow discovery service would be disconnected forever.
 constexpr Time kMinInitialTimeout = 100ms;
 constexpr Time kMaxInitialTimeout = 500ms;
-constexpr Time kMinBackoff = 50ms;  // before the next attempt to connect; doubles up to the longest
+constexpr Time kMinBackoff = 50ms;  // delay before a reconnect; doubles up to kMaxBackoff
 constexpr Time kMaxBackoff = 800ms;
 
 }  // namespace
@@ -62,7 +63,7 @@
   reader_.feed(bytes);
   while (const auto frame = reader_.next()) {
     std::optional<codec::DiscoveryEvent> event = parse(*frame);
-    if (!event || event->number <= last_event_) continue;  // an event is never applied twice
+    if (!event || event->number <= last_event_) continue;  // no event is applied twice
     if (is_gap_before(*event)) {
       close(CloseReason::bad_stream, ClosedBy::proxy);
       return events;
@@ -77,7 +78,8 @@
   return events;
 }
 
-/// Guards against one malformed event ending the program or blocking those after it: it is skipped.
+/// Returns none for a malformed event, which is skipped: it must neither end the process nor block the events
+/// after it.
 std::optional<codec::DiscoveryEvent> DiscoveryClient::parse(const codec::StreamEvent& frame) {
   try {
     return codec::parse_discovery_event(frame.data, field_names_);
@@ -90,9 +92,10 @@
   return std::nullopt;
 }
 
-/// Guards against a gap: a lost invalidation or draining would break a rule. The next connection asks for
-/// what is missing. A discovery service that does not have it either would block all events for ever: then
-/// the gap is passed over.
+/// Returns whether events are missing before this one. A lost invalidation or drain would break a rule, so
+/// that the connection is closed and the next one requests the missing events. If the discovery service
+/// doesn't have them either, a second gap after the same event is accepted: otherwise all events would be
+/// blocked forever.
 bool DiscoveryClient::is_gap_before(const codec::DiscoveryEvent& event) {
   if (event.number == last_event_ + 1) return false;
   if (std::exchange(gap_after_, last_event_) == last_event_) return false;
@@ -131,10 +134,11 @@
   context_.log_closed({"bulletin", connection_, opened_at_, event_count_, {}}, reason, closed_by);
   connection_ = 0;
   if (stopped_) return;
-  // What a discovery service that broke the connection off has to announce may bind soon: one that was heard
-  // is asked again at once. Guards it against a fleet that loses it at one moment and reconnects in step ever
-  // after: within the shortest backoff, which is little beside the time after which invalidations bind, or
-  // the second half of a longer one, each proxy connects at a moment of its own.
+  // Announcements may take effect soon, so that the proxy reconnects without backoff after it has lost a
+  // connection that was opened at least kMaxBackoff ago. All proxies of a fleet may lose the discovery
+  // service at the same time; a random delay keeps them from reconnecting in step. After such a loss, the
+  // delay is at most the shortest backoff, which is short compared with the time after which invalidations
+  // take effect; otherwise, it is in the second half of the backoff.
   const bool was_lost = std::exchange(is_connected_, false) && context_.now - opened_at_ >= kMaxBackoff;
   if (was_lost) backoff_ = Time{0};
   const Time delay = was_lost ? random_delay(kMinBackoff) : backoff_ - random_delay(backoff_ / 2);
--- a/src/proxy/discovery/discovery_handler.cpp
+++ b/src/proxy/discovery/discovery_handler.cpp
@@ -19,7 +19,7 @@
   EventSource source = EventSource::configuration;
   for (const codec::DiscoveryEvent& event : events) {
     apply(event, source);
-    // Only the first list is the configuration's own: those after it are newer.
+    // Only the first list is part of the configuration itself; the following ones are newer.
     if (event.endpoints) source = EventSource::discovery_service;
   }
 }
@@ -30,8 +30,9 @@
   dependencies_.dispatcher.report_completions();
 }
 
-/// Guards against a list that is complete in name and empty, which would end all service: it names no
-/// endpoint that has left either, so no draining is missed with it. Where nothing was known, it is the list.
+/// Whether an empty list that is marked as complete would remove all endpoints. Such a list is ignored, since
+/// it would end all service; it names no endpoint that leaves, so that no drain is lost with it. It is
+/// applied if no endpoint is known.
 bool DiscoveryHandler::would_remove_all(const codec::EndpointUpdate& update) const {
   return update.is_complete && update.endpoints.empty() && dependencies_.upstream.endpoint_count() > 0;
 }
@@ -40,7 +41,7 @@
                              EventSource source) {
   Context& context = dependencies_.context;
   if (would_remove_all(update)) {
-    context.log("list empty no=" + std::to_string(event_number) + " passed over");
+    context.log("list empty no=" + std::to_string(event_number) + " ignored");
     return;
   }
   has_complete_list_ = has_complete_list_ || update.is_complete;
@@ -62,7 +63,7 @@
   dependencies_.dispatcher.report_completions();
 }
 
-/// Hands the endpoints, as they are to be treated from now on, to the connections and to the router.
+/// Passes the endpoints with their effective states to the upstream pool and to the router.
 void DiscoveryHandler::publish(const codec::EndpointUpdate& update, ListKind kind) {
   dependencies_.upstream.apply(update);
   EndpointList list{kind, {}};
--- a/src/proxy/discovery/discovery_handler.h
+++ b/src/proxy/discovery/discovery_handler.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Applies the discovery service's events - changes of the endpoint list and invalidations - to all parts
-/// that have to know of them.
+/// Applies the events of the discovery service, which are changes to the endpoint list and invalidations, to
+/// all parts that depend on them.
 #pragma once
 
 #include <cstdint>
@@ -25,19 +25,18 @@
     LocalCache& local_cache;
     RequestDispatcher& dispatcher;
   };
-  /// Where an event was read from. A list from the configuration may be older than the endpoints' states.
+  /// Where an event comes from. A list from the configuration may be older than the endpoints' states.
   enum class EventSource : std::uint8_t { configuration, discovery_service };
 
   explicit DiscoveryHandler(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
-  /// Applies the events that the configuration brings along.
+  /// Applies the events that the configuration contains.
   void apply_known_events(const std::vector<codec::DiscoveryEvent>& events);
   void apply(const codec::DiscoveryEvent& event, EventSource source);
-  /// Endpoints are to be treated otherwise from now on, for another reason than an event: an operator's or
-  /// the policy's.
+  /// Applies changes to endpoints that result from an admin override or from the policy.
   void apply_overrides(const codec::EndpointUpdate& changed);
 
-  /// Whether a complete endpoint list has been read.
+  /// Whether a complete endpoint list has been applied.
   [[nodiscard]] bool has_complete_list() const { return has_complete_list_; }
 
  private:
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -13,7 +13,8 @@
   context.log("stopping open=" + std::to_string(dependencies_.pending_requests.open_count()));
   context.effects.emplace_back(StopAccepting{});
   dependencies_.membership.stop();
-  // Guards against the end of the process with requests unanswered: deadlines differ by site and day.
+  // The wait follows the configured deadlines, which differ between sites and over time: a fixed wait could
+  // end the process with unanswered requests.
   const Time longest_wait = std::min(longest_deadline(dependencies_.settings), kMaxDeadlineAtShutdown);
   answer_deadline_ = context.now + longest_wait + kAnswerAfterDeadline;
   arm_timers();
@@ -27,7 +28,7 @@
   context.timers.add(close_idle_at, Timer::of(TimerKind::close_idle));
   context.timers.add(listen_until, Timer::of(TimerKind::stop_listening));
   context.timers.add(serve_until, Timer::of(TimerKind::stop_serving));
-  // Wakes the reducer for advance(), which looks at the time itself.
+  // This timer only wakes the reducer; advance() checks the time itself.
   context.timers.add(*answer_deadline_ + kFlushAfterShutdown, Timer::of(TimerKind::stop_flushing));
 }
 
@@ -51,7 +52,7 @@
 void GracefulShutdown::advance() {
   if (!closes_idle_clients_ || is_finished_) return;
   dependencies_.clients.drain_quiet();
-  // Guards the end of the process against clients that never read their answers.
+  // Clients that never read their answers must not keep the process from exiting.
   const bool is_flush_over = dependencies_.context.now >= *answer_deadline_ + kFlushAfterShutdown;
   if (is_flush_over) dependencies_.clients.disconnect_idle();
   const bool is_drained = dependencies_.clients.empty() && dependencies_.pending_requests.open_count() == 0;
--- a/src/proxy/graceful_shutdown.h
+++ b/src/proxy/graceful_shutdown.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The graceful shutdown after SIGTERM: the steps from the first notice to the end of the last connection.
+/// The graceful shutdown after SIGTERM, from the signal to the close of the last connection.
 ///
-/// New connections and requests keep coming for some time, since those who send them learn of the shutdown
-/// late. Each connection ends at the first moment at which it owes nothing; each accepted request is answered
-/// before the process may be killed. The spans stand in resource_limits.h.
+/// New connections and requests arrive for some time after the signal, since clients learn of the shutdown
+/// late. Each connection is closed at the first moment without a pending request, and each accepted request
+/// is answered before the process may be killed. The durations are in resource_limits.h.
 #pragma once
 
 #include <cstdint>
@@ -22,10 +22,10 @@
 
 class GracefulShutdown {
  public:
-  /// What it ends, or waits for.
+  /// The parts that the shutdown closes or waits for.
   struct Dependencies {
     Context& context;
-    const Settings& settings;  ///< as the policy in force has them
+    const Settings& settings;  ///< those of the policy in force
     ClientConnections& clients;
     const PendingRequests& pending_requests;
     UpstreamPool& upstream;
@@ -33,26 +33,26 @@
     DiscoveryClient& discovery;
     MembershipAdapter& membership;
   };
-  /// Whether there is a listener at the admin address, to be closed in the end.
+  /// Whether there is a listener at the admin address, which is closed at the end.
   enum class AdminListener : std::uint8_t { absent, open };
 
   GracefulShutdown(const Dependencies& dependencies, AdminListener admin_listener)
       : dependencies_(dependencies), admin_listener_(admin_listener) {}
 
-  /// SIGTERM; only the first counts.
+  /// Starts the shutdown; further calls have no effect.
   void begin();
-  /// One of the shutdown's own timers has expired; those of other kinds are ignored.
+  /// Handles an expired timer of the shutdown; timers of other kinds are ignored.
   void on_timer(TimerKind kind);
-  /// To be called after each input: closes what owes nothing any more and, once nobody is owed an answer,
-  /// everything.
+  /// Must be called after each input: closes the client connections without pending requests and, when no
+  /// request is pending, everything else.
   void advance();
 
   [[nodiscard]] bool is_stopping() const { return is_stopping_; }
   /// Whether new requests are still served.
   [[nodiscard]] bool accepts_requests() const { return accepts_requests_; }
-  /// By when each request has to be answered; none while the proxy doesn't stop.
+  /// The time by which each request must be answered; none if no shutdown has started.
   [[nodiscard]] std::optional<Time> answer_deadline() const { return answer_deadline_; }
-  /// All connections have been closed.
+  /// Whether all connections have been closed.
   [[nodiscard]] bool is_finished() const { return is_finished_; }
 
  private:
@@ -63,7 +63,7 @@
   AdminListener admin_listener_;
   std::optional<Time> answer_deadline_;
   bool is_stopping_ = false;
-  bool closes_idle_clients_ = false;  // clients' connections end as soon as they owe nothing
+  bool closes_idle_clients_ = false;  // client connections without pending requests are closed
   bool is_listening_ = true;
   bool accepts_requests_ = true;
   bool is_finished_ = false;
--- a/src/proxy/local_cache.cpp
+++ b/src/proxy/local_cache.cpp
@@ -14,7 +14,7 @@
 
 constexpr double kMaxTransferSlots = 64;
 constexpr std::uint64_t kFingerprintMultiplier = 0x9e3779b97f4a7c15;  // 2^64 / the golden ratio
-/// How far a cache's clock may be ahead of this one's.
+/// How far the clock of a cache may be ahead of the proxy's clock.
 constexpr std::int64_t kMaxClockSkewMs = 1000;
 constexpr int kInvalidationRetentionFactor = 2;
 
@@ -23,14 +23,14 @@
   return hash(body) * kFingerprintMultiplier + hash(entity_tag);
 }
 
-/// How many transfers the link carries at once.
+/// Returns how many concurrent transfers the link carries.
 std::size_t transfer_slot_count(const config::Config& config) {
   if (config.flow_bytes_per_s <= 0) return 0;
   const double slots = config.link_bytes_per_s / config.flow_bytes_per_s;
   return static_cast<std::size_t>(std::clamp(slots, 0.0, kMaxTransferSlots));
 }
 
-/// When a response says that its copy was created; none where it doesn't say, or names an impossible time.
+/// Returns when the copy in a response was created; none if the response has no valid creation time.
 std::optional<Time> creation_time_of(const codec::CacheResponse& response, Time now) {
   const auto field = codec::field_in(response.fields, "born");
   if (!field) return std::nullopt;
@@ -59,7 +59,7 @@
   const auto found = by_key_.find(key);
   if (found == by_key_.end()) return nullptr;
   const CachedCopy& copy = *found->second;
-  // Guards against a reply that is just too old by the time it counts as written.
+  // The margin covers the time until the reply is written, at which its age counts.
   if (max_age.count() > 0 && now - copy.created_at >= max_age - kLocalCopyAgeMargin) {
     erase(found->second);
     return nullptr;
@@ -97,7 +97,7 @@
   const auto entity_tag = codec::field_in(response.fields, "ver");
   const auto created_at = creation_time_of(response, now);
   if (!entity_tag || !created_at) return;
-  // Guards the rule on invalidations: the response may have been under way when one was announced.
+  // The response may have been sent before an invalidation was announced and have arrived after it.
   if (is_invalidated_since(*created_at, key, group)) return;
   const auto cached = by_key_.find(key);
   if (cached != by_key_.end() && cached->second->created_at >= *created_at) return;
@@ -109,8 +109,8 @@
   evict();
 }
 
-/// Guards against serving a corrupted body again and again: one that was corrupted on the way can't be told
-/// from an object, but does not come twice alike.
+/// A body that was corrupted in transit can't be recognized, but is unlikely to arrive twice with the same
+/// corruption. Caching only repeated responses keeps a corrupted body from being served again and again.
 bool LocalCache::was_seen_before(const Key& key, std::uint64_t fingerprint) {
   const auto seen = seen_once_.find(key);
   if (seen != seen_once_.end()) {
--- a/src/proxy/local_cache.h
+++ b/src/proxy/local_cache.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Copies of objects that the edge proxy caches itself, and the use of its own link, on which they go out. A
-/// response is cached when it has come twice alike; the copy used longest ago is evicted first.
+/// The edge proxy's own cache of objects, and the utilization of its link, on which the copies are sent. A
+/// response is cached when the same response has arrived twice; the least recently used copy is evicted
+/// first.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,7 @@
 
 class LocalCache {
  public:
-  /// A part of an object, as requests of one class ask for it.
+  /// Identifies a part of an object for requests of one class.
   struct Key {
     std::size_t request_class = 0;
     std::uint64_t object = 0;
@@ -35,54 +36,54 @@
   };
 
   explicit LocalCache(const config::Config& config);
-  /// After a reload: the memory of the whole proxy, of which the cache takes a fixed part, may have changed.
+  /// Changes the size after a reload; the cache uses a fixed fraction of the proxy's memory limit.
   void resize(std::size_t memory_bytes);
 
-  /// The copy that may be served now, if there is one: younger than `max_age`, unless that is 0. Valid until
-  /// the next call.
+  /// Returns a copy that may be served now, or null. It is younger than `max_age`; 0 means no limit. The
+  /// pointer is valid until the next call of a member function.
   const CachedCopy* find(const Key& key, Time now, Time max_age);
-  /// How long a transfer would wait for the link.
+  /// Returns how long a new transfer would wait for the link.
   [[nodiscard]] Time transfer_wait(Time now) const;
-  /// That many bytes go out on the link from now on.
+  /// Records that a transfer of this size starts on the link now.
   void record_sent(std::size_t bytes, Time now);
 
-  /// Caches the response of an upstream cache, where it may and should be.
+  /// Caches the response of an upstream cache if it is cacheable and has arrived twice.
   void insert(const Key& key, std::int64_t group, const codec::CacheResponse& response, Time now);
-  /// Drops the copies created up to when the invalidation was issued, and caches no such one any more.
+  /// Drops the copies that were created until the invalidation was issued, and caches no such copy later.
   void invalidate(const codec::Invalidation& invalidation, Time now);
 
-  /// Entries of all tables.
+  /// Total number of entries in all tables.
   [[nodiscard]] std::size_t table_entries() const {
     return lru_.size() + seen_once_.size() + invalidations_.size();
   }
 
  private:
   using LruList = std::list<CachedCopy>;
-  /// What an invalidation concerns: one object, or all of a group.
+  /// Whether an invalidation applies to one object or to a group of objects.
   enum class Scope : std::uint8_t { group, object };
   struct InvalidationKey {
     Scope scope = Scope::group;
     std::uint64_t id = 0;
     auto operator<=>(const InvalidationKey&) const = default;
   };
-  /// A response that came once.
+  /// A response that has arrived once.
   struct SeenResponse {
     std::uint64_t fingerprint = 0;
     std::list<Key>::iterator position;  // in seen_once_order_
   };
 
   [[nodiscard]] bool is_invalidated_since(Time created_at, const Key& key, std::int64_t group) const;
-  /// Whether the same response came before; else remembers this one.
+  /// Returns whether the same response has arrived before; if not, remembers it.
   bool was_seen_before(const Key& key, std::uint64_t fingerprint);
   void erase(LruList::iterator copy);
   void evict();
 
-  double flow_bytes_per_s_;  // of one transfer; 0: nothing is cached
-  // When each of the transfers that the link carries at once will be over.
+  double flow_bytes_per_s_;  // rate of one transfer; 0: nothing is cached
+  // One entry for each concurrent transfer of the link: the time at which it will be finished.
   std::vector<Time> transfer_slots_free_at_;
   std::size_t max_bytes_;
   Time invalidation_retention_;
-  LruList lru_;  // the copy used last comes first
+  LruList lru_;  // most recently used copy first
   std::map<Key, LruList::iterator> by_key_;
   std::size_t bytes_ = 0;
   std::map<Key, SeenResponse> seen_once_;
--- a/src/proxy/readiness.h
+++ b/src/proxy/readiness.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Whether the proxy is ready for traffic, as clients' readiness checks and the admin address report it.
+/// Decides whether the proxy is ready for traffic, for clients' readiness checks and the admin address.
 #pragma once
 
 #include "proxy/cluster/policy_controller.h"
@@ -15,7 +15,8 @@
             const PolicyController& policy)
       : discovery_(discovery), shutdown_(shutdown), policy_(policy) {}
 
-  /// It knows where requests can go, doesn't stop, and holds a lease on the policy where there is one.
+  /// The proxy is ready if it has a complete endpoint list, is not shutting down and, where a policy is
+  /// configured, may decide under it.
   [[nodiscard]] bool is_ready() const {
     return discovery_.has_complete_list() && !shutdown_.is_stopping() && policy_.can_decide();
   }
--- a/src/proxy/reducer.cpp
+++ b/src/proxy/reducer.cpp
@@ -28,7 +28,7 @@
 
 using namespace std::chrono_literals;
 
-/// How often connections that should have ended by now are looked for.
+/// Interval between searches for connections whose time limits have passed.
 constexpr Time kSweepInterval = 100ms;
 constexpr Time kStatsInterval = 1s;
 
@@ -39,8 +39,8 @@
 
 }  // namespace
 
-/// Dispatches each input to the part that it concerns, and calls the parts in a fixed order. The parts keep
-/// their own state; what is left here is the running configuration and the timer that is armed.
+/// Dispatches each input to the responsible part and calls the parts in a fixed order. Each part has its own
+/// state; this class holds the running configuration and the time of the armed timer.
 class State::Impl {
  public:
   Impl(const config::Config& config, Time now)
@@ -82,7 +82,7 @@
 
   std::vector<Effect> reduce(Time now, const Input& input) {
     const bool was_stalled = advance_clock(now);
-    // The policy and the quota go before all decisions: a lease may have run out meanwhile.
+    // Policy and quota are updated before all decisions, since a lease may have expired since the last input.
     policy_.run_timers();
     apply_changed_policy();
     apply_changed_quota();
@@ -90,7 +90,7 @@
       discovery_client_.on_loop_stall();
       upstream_pool_.on_loop_stall();
     }
-    // What has come goes before what is due: it may be an invalidation, or a client's end.
+    // The input is applied before expired timers: it may be an invalidation or a client's disconnect.
     std::visit([this](const auto& typed_input) { handle(typed_input); }, input);
     run_timers();
     membership_.run_timers();
@@ -105,13 +105,13 @@
  private:
   // ---- Time and timers ----
 
-  /// Returns whether the event loop stalled: nothing was heard for longer than it ever sleeps. Guards against
-  /// taking the proxy's own stall for the silence of others: the discovery service would be connected to
-  /// anew, and attempts go on without what it has announced meanwhile.
+  /// Returns whether the event loop stalled, which is the case if no input arrived for longer than it ever
+  /// sleeps. Without this check, the proxy would mistake its own stall for the silence of its peers: it would
+  /// reconnect to the discovery service and send attempts without the events that arrived during the stall.
   bool advance_clock(Time now) {
     const Time pause = now - context_.now;
     const bool was_stalled = pause >= kLoopStallThreshold;
-    if (was_stalled) context_.log("stood still ms=" + std::to_string(pause.count() / 1000));
+    if (was_stalled) context_.log("event loop stalled ms=" + std::to_string(pause.count() / 1000));
     context_.now = std::max(context_.now, now);
     return was_stalled;
   }
@@ -158,7 +158,7 @@
     }
   }
 
-  /// Ends the connections that should have ended by now.
+  /// Closes the connections whose time limits have passed.
   void sweep() {
     client_calls_.close_expired();
     upstream_pool_.close_expired();
@@ -190,7 +190,8 @@
     context_.effects.emplace_back(ArmTimer{*due});
   }
 
-  // Guards against a loop that wakes a moment early: the armed timer is used up, and is armed anew.
+  // The event loop may wake early. Its timer is no longer armed then, so that arm_timer() has to arm it
+  // again.
   void handle(const LoopTimerExpired&) { armed_for_ = Time{0}; }
 
   // ---- Connections: each input goes to the part that owns the connection ----
@@ -258,11 +259,11 @@
 
   void handle(const ShutdownRequested&) { shutdown_.begin(); }
 
-  /// Applies what can change while the proxy runs. Requests, connections and the place in the event stream
-  /// are kept.
+  /// Applies the settings that can change at run time. Requests, connections and the position in the event
+  /// stream are kept.
   void handle(const Reloaded& input) {
     for (const std::string& key : config::restart_only_keys(config_, input.config)) {
-      context_.log("reload kept key=" + key + " until the next start");
+      context_.log("reload ignored key=" + key + ": the change needs a restart");
     }
     config_.discovery_address = input.config.discovery_address;
     config_.max_descriptors = input.config.max_descriptors;
@@ -273,7 +274,7 @@
     discovery_client_.set_address(config_.discovery_address);
   }
 
-  // Guards against a faulty file ending what runs well.
+  // A running proxy keeps its configuration if the new file is invalid.
   void handle(const ReloadFailed& input) { context_.log("reload failed, nothing changed: " + input.problem); }
 
   void handle(const OverridesLoaded& input) {
@@ -296,8 +297,8 @@
 
   void handle(const ConsensusOutput& input) { policy_.handle(input); }
 
-  /// Delivers members' messages and changes of the membership to the policy, runs its timers, and applies
-  /// and answers what comes of it.
+  /// Delivers members' messages and membership changes to the policy, runs its timers, applies a changed
+  /// policy and sends the pending replies to operators.
   void run_policy() {
     if (!policy_.is_enabled()) return;
     for (const membership::UserMessageReceived& message : membership_.take_user_messages()) {
@@ -311,7 +312,7 @@
     }
   }
 
-  /// The router takes another policy as one event, between two requests.
+  /// Passes a changed policy to the router as one event, so that no request sees parts of two policies.
   void apply_changed_policy() {
     auto terms = policy_.take_changed_terms();
     if (!terms) return;
@@ -322,8 +323,8 @@
         endpoint_directory_.set_policy_suspended(std::move(terms->suspended_endpoints), context_.now));
   }
 
-  /// Guards the other proxies' quota: one whose lease has run out, while it stalled or was cut off, uses no
-  /// more of it.
+  /// Passes a changed quota to the router. A proxy whose quota lease expired during a stall or a network
+  /// partition must not use its share any longer, since other proxies may hold it now.
   void apply_changed_quota() {
     const auto zone = static_cast<std::size_t>(settings_.zone);
     const auto& routers_by_zone = settings_.routers_by_zone;
@@ -333,7 +334,7 @@
     }
   }
 
-  config::Config config_;  // as reloaded; its settings are those of the start or of the policy in force
+  config::Config config_;  // last reload; its settings are those of the start or of the policy in force
   const Settings& settings_;
   Router router_;
   Context context_;
--- a/src/proxy/reducer.h
+++ b/src/proxy/reducer.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The one place where the edge proxy's state changes: (state, now, input) -> effects. It does no I/O and
-/// reads no clock, so it runs in virtual time in tests. What to do with a request is decided by the router
-/// (edge_proxy/router.h); the reducer translates between the router's events and actions and the connections.
+/// The reducer of the edge proxy, the only place where its state changes: (state, now, input) -> effects. It
+/// does no I/O and reads no clock, so that tests run it in virtual time. The router (edge_proxy/router.h)
+/// decides how requests are served; the reducer translates between the router's events and actions and the
+/// connections.
 #pragma once
 
 #include <memory>
@@ -19,7 +20,7 @@
 /// The state of an edge proxy.
 class State {
  public:
-  /// `now`, here and below: Unix time in microseconds that never runs backwards.
+  /// `now`, here and below, is Unix time in microseconds and never decreases.
   State(const config::Config& config, Time now);
   ~State();
   State(State&&) noexcept;
@@ -31,7 +32,7 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// Applies one input to the state; the effects are to be carried out in order.
+/// Applies one input to the state. The caller carries out the returned effects in order.
 [[nodiscard]] std::vector<Effect> reduce(State& state, Time now, const Input& input);
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -10,7 +10,7 @@
 namespace edge_proxy::proxy {
 namespace {
 
-/// A reply that says that the client's copy is still good costs this part of sending the copy.
+/// A reply that confirms the client's copy counts as 1 / this of the size of the copy.
 constexpr std::size_t kNotModifiedCostDivisor = 20;
 
 LocalCache::Key cache_key_of(const Request& request) {
@@ -36,8 +36,8 @@
   report_completions();
 }
 
-/// Guards the rule on invalidations: while the discovery service is not heard, a copy may be older than an
-/// invalidation that counts as announced.
+/// Without current events from the discovery service, a copy may be older than an invalidation that has
+/// already been announced, so that no local copy is used.
 bool RequestDispatcher::has_usable_local_copy(const PendingRequest& pending) const {
   const Request& request = pending.request;
   if (request.write || !pending.key.empty() || !pending.body.empty()) return false;
@@ -67,7 +67,7 @@
   notify_router(RequestCancelled{request});
 }
 
-/// A line for each decision, for those who compare the decisions of all proxies.
+/// Logs a decision; tools compare the decisions of all proxies by these lines.
 void RequestDispatcher::trace(std::string_view decision, const std::string& request, std::uint64_t epoch) {
   Context& context = dependencies_.context;
   context.log("decided what=" + std::string(decision) + " request=" + request +
@@ -109,8 +109,7 @@
   notify_router(outcome);
 }
 
-/// Guards clients against a reply that their copy is still good where they hold none, and against a body
-/// that such a reply can't have.
+/// A "not modified" response is malformed if the client has no copy or if the response has a body.
 AttemptResult RequestDispatcher::checked_result(const AttemptCompletion& completion) const {
   if (completion.result != AttemptResult::served) return completion.result;
   if (completion.response.status != codec::CacheResponseStatus::not_modified) return completion.result;
@@ -120,7 +119,7 @@
   return contradicts_request ? AttemptResult::malformed_response : completion.result;
 }
 
-/// Gives a served response to the client that waits for it, if one does.
+/// Sends a served response to the client, unless the client no longer waits for it.
 void RequestDispatcher::deliver(const AttemptCompletion& completion) {
   const PendingRequest* pending = dependencies_.pending_requests.find(completion.request);
   if (pending == nullptr) return;
@@ -143,7 +142,7 @@
   upstream_request.endpoint = attempt.endpoint;
   upstream_request.source = attempt.source.empty() ? attempt.endpoint : attempt.source;
   upstream_request.decided_at = now;
-  upstream_request.expires_at = now;  // not sent, unless somebody waits for it
+  upstream_request.expires_at = now;  // not sent unless the request is still pending
   upstream_request.max_copy_age = attempt.max_copy_age;
   if (PendingRequest* pending = dependencies_.pending_requests.find(attempt.request)) {
     fill_from_pending(upstream_request, attempt, *pending);
@@ -163,7 +162,7 @@
   if (attempt.timeout > Time{0}) {
     upstream_request.expires_at = std::min(upstream_request.expires_at, now + attempt.timeout);
   }
-  // Guards the next epoch against attempts under the one before: they are not sent.
+  // No attempt of a request that was accepted in a previous epoch is sent in the next one.
   if (!dependencies_.policy.can_attempt(pending.accepted_epoch)) upstream_request.expires_at = now;
   if (dependencies_.policy.is_tracing()) {
     trace(upstream_request.expires_at > now ? "attempt" : "unsent", attempt.request, pending.accepted_epoch);
@@ -214,7 +213,7 @@
 }
 
 void RequestDispatcher::perform(const LogMessage& message) {
-  dependencies_.context.log("remark " + message.text);
+  dependencies_.context.log("router " + message.text);
 }
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/request_dispatcher.h
+++ b/src/proxy/request_dispatcher.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The course of a request between its acceptance and its final answer: what happens to it is reported to
-/// the router, and the router's actions are carried out on the upstream connections and towards the client.
+/// Processes a request from its acceptance to its final answer: reports events to the router and carries out
+/// the router's actions on the upstream connections and for the client.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
  public:
   struct Dependencies {
     Context& context;
-    const Settings& settings;  ///< as the policy in force has them
+    const Settings& settings;  ///< those of the policy in force
     Router& router;
     PendingRequests& pending_requests;
     UpstreamPool& upstream;
@@ -34,17 +34,18 @@
   };
   explicit RequestDispatcher(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
-  /// Hands the router one event and carries out the actions that it decides on.
+  /// Passes one event to the router and carries out the actions that it returns.
   void notify_router(const Event& event);
-  /// Reports to the router what has ended upstream meanwhile, until nothing is left to report.
+  /// Reports all completed attempts and health checks to the router, including those that its actions
+  /// complete.
   void report_completions();
 
-  /// A request that was admitted: from now on it is owed a final answer.
+  /// Accepts an admitted request, which is certain to get a final answer from now on.
   void accept(PendingRequest pending);
-  /// The client waits no longer: no answer is owed.
+  /// Cancels a request for which the client no longer waits; it gets no answer.
   void cancel(const std::string& request);
-  /// The request's time is over. Guards the rule that each request has a final answer, should the router not
-  /// have given one by then.
+  /// Fails a request whose deadline has passed, so that each request gets a final answer even if the router
+  /// has not given one.
   void expire(const std::string& request);
 
  private:
@@ -64,7 +65,7 @@
   void perform(const SetTimer& timer);
   void perform(const CheckHealth& check);
   void perform(const LogMessage& message);
-  // The discovery service reports each change of the endpoint list by itself.
+  // The discovery service sends each change of the endpoint list without a request.
   void perform(const FetchEndpointList&) {}
   void perform(const SubscribeEndpointList&) {}
 
--- a/src/proxy/upstream/attempt_table.h
+++ b/src/proxy/upstream/attempt_table.h
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The attempts that have not ended yet, and how those that have did: each attempt that was added gives
-/// exactly one completion.
+/// The outstanding attempts and the completions of ended ones. Each added attempt has exactly one completion.
 #pragma once
 
 #include <cstddef>
@@ -14,37 +13,38 @@
 
 namespace edge_proxy::proxy {
 
-/// An attempt without an end so far.
+/// An attempt that has not ended.
 struct OutstandingAttempt {
   UpstreamRequest request;
-  std::optional<ConnectionId> connection;  ///< none: no connection could take it
-  bool is_written = false;                 ///< it was handed to the connection's socket
+  std::optional<ConnectionId> connection;  ///< none: no connection was available
+  bool is_written = false;                 ///< passed to the connection's socket
 };
 
-/// Outstanding attempts by key, and two queues of completions: those to be taken and those held back.
+/// Outstanding attempts by key, and two queues of completions: those ready to be taken and the delayed ones.
 class AttemptTable {
  public:
   void add(const AttemptKey& key, OutstandingAttempt attempt) { attempts_[key] = std::move(attempt); }
-  /// Null where there is none of this key, or it has ended.
+  /// Returns null if there is no attempt with this key or it has ended.
   [[nodiscard]] const OutstandingAttempt* find(const AttemptKey& key) const;
   [[nodiscard]] OutstandingAttempt& at(const AttemptKey& key) { return attempts_.at(key); }
 
-  /// Guards against a response from a copy older than an invalidation: lowers the age that is allowed to
-  /// attempts that were decided before it and are not written yet.
+  /// Lowers the maximum copy age of the attempts that are not written yet, so that none of them is answered
+  /// from a copy older than the invalidation.
   void apply(const codec::Invalidation& invalidation, Time now);
 
-  /// Ends the attempt, which has to be in the table.
+  /// Removes the attempt, which must be in the table, and returns its completion.
   [[nodiscard]] AttemptCompletion remove(const AttemptKey& key, AttemptResult result, Time now);
   void add_completion(AttemptCompletion completion) { completions_.push_back(std::move(completion)); }
-  /// Holds the completion back until the next call of release_delayed_completion() that finds it the oldest.
+  /// Adds a completion that a later call of release_delayed_completion() makes available.
   void add_delayed_completion(AttemptCompletion completion) {
     delayed_completions_.push_back(std::move(completion));
   }
+  /// Makes the oldest delayed completion available.
   void release_delayed_completion();
-  /// Takes out the oldest completion that is not held back.
+  /// Removes and returns the oldest available completion.
   [[nodiscard]] std::optional<AttemptCompletion> take_completion();
 
-  /// Attempts without a completion, those with one that is held back included.
+  /// Number of attempts without an available completion.
   [[nodiscard]] std::size_t in_flight() const { return attempts_.size() + delayed_completions_.size(); }
 
  private:
--- a/src/proxy/upstream/connection_selection.cpp
+++ b/src/proxy/upstream/connection_selection.cpp
@@ -15,7 +15,7 @@
          !connection.is_unresponsive(criteria.now);
 }
 
-/// Whether the first takes an attempt rather than the second.
+/// Whether `connection` is a better choice than `other`.
 bool is_preferred(const UpstreamConnection& connection, const UpstreamConnection& other) {
   if (connection.is_connected() != other.is_connected()) return connection.is_connected();
   return connection.attempt_count() < other.attempt_count();
--- a/src/proxy/upstream/endpoint_directory.cpp
+++ b/src/proxy/upstream/endpoint_directory.cpp
@@ -10,7 +10,7 @@
 namespace edge_proxy::proxy {
 namespace {
 
-// The words with which a stored override begins.
+// The prefixes of a stored override.
 constexpr std::string_view kSuspendedPrefix = "out ";
 constexpr std::string_view kResumedPrefix = "in ";
 
@@ -25,9 +25,9 @@
   if (is_policy_suspended || found->second.is_suspended) {
     if (endpoint.state == EndpointState::running) endpoint.state = EndpointState::draining;
   } else {
-    // Guards against overloading an endpoint that was restarted while it was suspended, of which discovery
-    // may not have sent an event yet: it warms up from the moment it was resumed. Harm: one that was not
-    // restarted gets less than it could bear for a while.
+    // The endpoint may have been restarted while it was suspended, and the discovery service may not have
+    // reported that yet. It is warmed up from the time it was resumed, so that it is not overloaded. An
+    // endpoint that was not restarted gets less traffic than it could serve for a while.
     endpoint.started = std::max(endpoint.started, found->second.changed_at);
   }
   return effective;
@@ -90,7 +90,7 @@
 std::optional<codec::EndpointUpdate> EndpointDirectory::suspend(const std::string& id, Time now) {
   const bool is_full = overrides_.size() >= kMaxOverrides && !overrides_.contains(id);
   if (!is_known(id) || is_full) return std::nullopt;
-  if (!is_suspended(id)) overrides_[id] = {true, now};  // repeated, the call changes nothing
+  if (!is_suspended(id)) overrides_[id] = {true, now};  // a repeated call has no effect
   return update_for(id);
 }
 
@@ -100,7 +100,7 @@
   return update_for(id);
 }
 
-/// Guards the memory: once an endpoint that was resumed has warmed up anyway, its override has no effect.
+/// Limits memory: the override of a resumed endpoint has no effect after the endpoint has warmed up.
 void EndpointDirectory::drop_expired_overrides(Time now) {
   std::erase_if(overrides_, [now](const auto& item) {
     return !item.second.is_suspended && now - item.second.changed_at >= kOverrideRetention;
@@ -118,7 +118,7 @@
   return text;
 }
 
-/// Guards against a file that was cut off: a line that can't be read is passed over.
+/// Skips malformed lines, since the file may be truncated.
 EndpointDirectory::Overrides EndpointDirectory::parse_overrides(std::string_view text) {
   Overrides overrides;
   while (!text.empty() && overrides.size() < kMaxOverrides) {
--- a/src/proxy/upstream/endpoint_directory.h
+++ b/src/proxy/upstream/endpoint_directory.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The endpoint list as discovery sends it, with the overrides laid over it: endpoints that operators
-/// suspended, and those that the policy of the cluster suspends.
+/// The endpoint list of the discovery service combined with the overrides: endpoints that operators have
+/// suspended, and those that the cluster's policy suspends.
 #pragma once
 
 #include <cstddef>
@@ -16,35 +16,35 @@
 
 namespace edge_proxy::proxy {
 
-/// Each function that changes something returns the endpoints whose effective state may have changed: all
-/// parts have to be notified of them.
+/// Each modifying function returns the endpoints whose effective state may have changed. The caller must
+/// notify all parts of them.
 class EndpointDirectory {
  public:
-  /// Takes in an update from discovery; returns it with the overrides laid over it.
+  /// Applies an update from the discovery service and returns it with the overrides applied.
   codec::EndpointUpdate apply(const codec::EndpointUpdate& update, Time now);
 
-  /// An operator suspends the endpoint, or resumes it. None where no such endpoint was ever listed, or
-  /// kMaxOverrides are suspended already.
+  /// Suspends or resumes the endpoint by an admin override. Returns none if no such endpoint is known or, for
+  /// suspend(), if there are kMaxOverrides overrides already.
   std::optional<codec::EndpointUpdate> suspend(const std::string& id, Time now);
   std::optional<codec::EndpointUpdate> resume(const std::string& id, Time now);
 
-  /// The endpoints that the policy suspends. One that it resumes counts as started at that moment, as where
-  /// an operator does.
+  /// Sets the endpoints that the policy suspends. Those that it resumes count as started now, as after an
+  /// operator's call.
   codec::EndpointUpdate set_policy_suspended(std::set<std::string> suspended, Time now);
 
-  /// The operators' overrides, for a process that is started later.
+  /// Returns the admin overrides in the form in which they are stored for other processes.
   [[nodiscard]] std::string serialized_overrides() const;
-  /// Takes over what another process has stored meanwhile.
+  /// Replaces the admin overrides by those that another process has stored.
   codec::EndpointUpdate load_overrides(std::string_view text);
 
-  /// Whether an operator suspended the endpoint.
+  /// Whether the endpoint is suspended by an admin override.
   [[nodiscard]] bool is_suspended(const std::string& id) const {
     const auto found = overrides_.find(id);
     return found != overrides_.end() && found->second.is_suspended;
   }
 
  private:
-  /// What an operator last did with an endpoint.
+  /// The last call of an operator for an endpoint.
   struct AdminOverride {
     bool is_suspended = false;
     Time changed_at{0};
@@ -64,7 +64,7 @@
   std::map<std::string, codec::ListedEndpoint> endpoints_;
   Overrides overrides_;
   std::set<std::string> policy_suspended_;
-  std::deque<std::string> recently_removed_;  // ids, the latest at the back
+  std::deque<std::string> recently_removed_;  // ids, the most recent one last
 };
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/upstream/endpoint_table.h
+++ b/src/proxy/upstream/endpoint_table.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The endpoints to which attempts can go now, and the connections to each.
+/// The current endpoints and the connections to each of them.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
 
 namespace edge_proxy::proxy {
 
-/// The endpoints by id, as the endpoint directory last sent them.
+/// The endpoints by id, in the state that the endpoint directory last reported.
 class EndpointTable {
  public:
   struct Entry {
@@ -24,27 +24,29 @@
     std::set<ConnectionId> connections;
   };
 
-  /// Before a complete list is taken in: an endpoint that is not in it is removed.
+  /// Marks all endpoints as removed; called before a complete list is applied, which updates those it
+  /// contains.
   void mark_all_removed();
-  /// Whether the listed endpoint has another process or address than the one known by its id. Guards against
-  /// an id that was given to another one: the old connections, which may be silent for ever, are not its own.
+  /// Whether the listed endpoint has another process or address than the known endpoint with the same id. The
+  /// connections of the known one must not be used any more; they may remain silent forever.
   [[nodiscard]] bool is_replaced_by(const codec::ListedEndpoint& listed) const;
   void update(const codec::ListedEndpoint& listed);
-  /// Those that were marked as removed, or listed so.
+  /// Returns the ids of the endpoints in the state `removed`.
   [[nodiscard]] std::vector<std::string> removed() const;
-  /// Guards the memory against endpoints that are replaced for days: those marked as removed are forgotten.
+  /// Erases the endpoints in the state `removed`; without this, endpoints that are replaced over days would
+  /// use more and more memory.
   void erase_removed();
 
-  /// Null where no endpoint of this id is listed.
+  /// Returns null if no endpoint with this id is listed.
   [[nodiscard]] Entry* find(const std::string& id);
-  /// Whether new attempts may go to the endpoint, or by way of it.
+  /// Whether new attempts may use the endpoint, either as the target or as the source.
   [[nodiscard]] bool accepts_attempts(const std::string& id) const;
-  /// The connection does not count as one of the endpoint's any more.
+  /// Removes the connection from those of the endpoint.
   void remove_connection(const std::string& id, ConnectionId connection);
 
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
   [[nodiscard]] std::size_t not_running_count() const;
-  /// Endpoints to which there is a connection.
+  /// Number of endpoints with at least one connection.
   [[nodiscard]] std::size_t connected_count() const;
 
  private:
--- a/src/proxy/upstream/health_check_results.h
+++ b/src/proxy/upstream/health_check_results.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The results of health checks, until the reducer takes them for the router.
+/// The results of health checks that have not been reported to the router yet.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,16 @@
 
 namespace edge_proxy::proxy {
 
-/// A queue of results, the oldest first.
+/// A first-in, first-out queue of results.
 class HealthCheckResults {
  public:
-  /// A tag by which the response to the next health check is recognized; none is used twice.
+  /// Returns a unique tag that identifies the response to the next health check.
   [[nodiscard]] std::string next_tag();
-  /// The endpoint responded, `duration` after the health check was sent.
+  /// Adds the result of a health check to which the endpoint responded after `duration`.
   void add_response(const std::string& endpoint, const codec::CacheResponse& response, Time duration);
-  /// One failed health check for each duration.
+  /// Adds one failed health check for each duration.
   void add_failures(const std::string& endpoint, const std::vector<Time>& durations);
-  /// Takes out the oldest result.
+  /// Removes and returns the oldest result.
   [[nodiscard]] std::optional<HealthChecked> take();
 
  private:
--- a/src/proxy/upstream/load_report.h
+++ b/src/proxy/upstream/load_report.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Reads the load report that an endpoint sends with the answer to a health check.
+/// Reads the load report that an endpoint sends with its response to a health check.
 #pragma once
 
 #include <string_view>
@@ -9,7 +9,8 @@
 
 namespace edge_proxy::proxy {
 
-/// `name:value;name:value`. Items that are unknown or can't be read are passed over, and keep the default.
+/// Reads a report of the form `name:value;name:value`. Unknown and malformed items are ignored; their fields
+/// keep the default values.
 [[nodiscard]] LoadReport read_load_report(std::string_view text);
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/upstream/upstream_connection.cpp
+++ b/src/proxy/upstream/upstream_connection.cpp
@@ -87,7 +87,7 @@
   AttemptKey key = std::move(queued_attempts_.front());
   queued_attempts_.pop_front();
   attempt_being_written_ = key;
-  if (open_attempts_.empty()) last_received_at_ = now;  // silence counts from when something was asked
+  if (open_attempts_.empty()) last_received_at_ = now;  // silence counts from the first open attempt
   open_attempts_[key.request] = key.attempt;
   ++request_count_;
   return key;
@@ -98,7 +98,7 @@
   last_active_at_ = now;
 }
 
-// ---- What happens to it ----
+// ---- Events ----
 
 void UpstreamConnection::on_connected(Time now) {
   is_connected_ = true;
--- a/src/proxy/upstream/upstream_connection.h
+++ b/src/proxy/upstream/upstream_connection.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The state of one connection to an endpoint: what waits to be written on it, what is being written, what
-/// was written and has no answer yet, and when something was last heard.
+/// The state of one connection to an endpoint: the attempts that are queued, being written or without an
+/// answer, and the time of the last received byte.
 #pragma once
 
 #include <cstddef>
@@ -19,90 +19,90 @@
 
 namespace edge_proxy::proxy {
 
-/// A connection that has been silent for this long although an answer is due takes nothing new: the machine
-/// may have vanished, and only a new connection tells.
+/// A connection that has been silent for this long although an answer is due takes no new attempts: the host
+/// may be gone, which only a new connection can show.
 constexpr Time kSilenceLimit = std::chrono::seconds(1);
-/// A health check without an answer for this long has failed.
+/// A health check fails if no response arrives within this time.
 constexpr Time kHealthCheckTimeout = std::chrono::milliseconds(250);
 
-/// Does no I/O: the pool writes what it takes out here.
+/// Does no I/O; the pool writes the bytes that it takes from here.
 class UpstreamConnection {
  public:
   UpstreamConnection(std::string endpoint, Time now)
       : endpoint_(std::move(endpoint)), opened_at_(now), last_active_at_(now), last_received_at_(now) {}
 
-  // ---- What it is ----
+  // ---- Properties ----
   [[nodiscard]] const std::string& endpoint() const { return endpoint_; }
   [[nodiscard]] Time opened_at() const { return opened_at_; }
-  /// When something was last written or heard.
+  /// The time of the last write or received byte.
   [[nodiscard]] Time last_active_at() const { return last_active_at_; }
-  /// Attempts written so far.
+  /// Number of attempts written so far.
   [[nodiscard]] std::uint64_t request_count() const { return request_count_; }
 
   // ---- Predicates ----
   [[nodiscard]] bool is_connected() const { return is_connected_; }
-  /// Nothing is written or waits to be written, and no answer is due.
+  /// Whether no write is queued or in progress, and no answer is due.
   [[nodiscard]] bool is_idle() const;
-  /// Something was asked, and nothing has been heard for kSilenceLimit.
+  /// Whether an answer is due, and nothing has been received for kSilenceLimit.
   [[nodiscard]] bool is_unresponsive(Time now) const;
-  /// It is up and was asked something, but nothing has been heard since before `since`.
+  /// Whether the connection is established and an answer is due, but nothing has been received after `since`.
   [[nodiscard]] bool is_silent_since(Time since) const;
-  /// What was written wholly may have been answered already, in bytes that were not read yet.
+  /// Whether attempts were written completely, so that unread bytes may contain their answers.
   [[nodiscard]] bool may_hold_unread_answers() const;
   [[nodiscard]] bool can_write() const { return is_connected_ && !is_writing_; }
-  /// It was asked for this request before, and somebody may still wait for the answer.
+  /// Whether an attempt of this request was written here, and a client may still wait for the answer.
   [[nodiscard]] bool was_used_by(const std::string& request) const { return used_by_.contains(request); }
-  /// Attempts written or queued.
+  /// Number of attempts that are queued or without an answer.
   [[nodiscard]] std::size_t attempt_count() const { return open_attempts_.size() + queued_attempts_.size(); }
 
   // ---- Attempts ----
-  /// Attempts not written yet, in the order in which they will be.
+  /// Returns the attempts not written yet, in the order of writing.
   [[nodiscard]] const std::deque<AttemptKey>& queued_attempts() const { return queued_attempts_; }
-  /// Attempts written and without an answer, in the order of their requests.
+  /// Returns the attempts that were written and have no answer, ordered by request.
   [[nodiscard]] std::vector<AttemptKey> open_attempts() const;
   [[nodiscard]] std::optional<AttemptKey> find_open_attempt(const std::string& request) const;
-  /// The attempt in what is being written; none where nothing is, or only commands are.
+  /// Returns the attempt that is being written; none if there is no write or it contains only commands.
   [[nodiscard]] std::optional<AttemptKey> attempt_being_written() const;
   void queue_attempt(const AttemptKey& key) { queued_attempts_.push_back(key); }
   void remove_queued_attempt(const AttemptKey& key) { std::erase(queued_attempts_, key); }
   void remove_open_attempt(const std::string& request) { open_attempts_.erase(request); }
-  /// An attempt that was written is given up: its answer may still come.
+  /// Abandons a written attempt, whose answer may still arrive.
   void abandon_open_attempt(const std::string& request, bool send_cancel);
 
   // ---- Health checks ----
   void queue_health_check(const std::string& tag, Time now);
-  /// Takes out the health check with this tag: for how long it has been under way.
+  /// Removes the health check with this tag and returns the time since it was sent.
   [[nodiscard]] std::optional<Time> take_health_check(const std::string& tag, Time now);
-  /// Takes out those that have timed out: for how long each has been under way.
+  /// Removes the health checks that have timed out and returns the time since each was sent.
   [[nodiscard]] std::vector<Time> take_expired_health_checks(Time now);
-  /// Takes out all of them, for a connection that ends; likewise.
+  /// Removes all health checks because the connection closes, and returns the time since each was sent.
   [[nodiscard]] std::vector<Time> take_all_health_checks(Time now);
 
   // ---- Writing ----
-  /// Starts the next write: takes out the commands to be written.
+  /// Starts the next write: removes and returns the queued commands.
   [[nodiscard]] std::string take_commands();
-  /// Moves the first of the queued attempts to the open ones, for this write; none where none is queued.
+  /// Moves the first queued attempt to the open ones for this write; returns none if none is queued.
   [[nodiscard]] std::optional<AttemptKey> take_queued_attempt(Time now);
-  /// Until when the request counts as one that used this connection.
+  /// Sets the time until which was_used_by() holds for the request.
   void set_used_until(const std::string& request, Time until) { used_by_[request] = until; }
   void on_write_started(Time now);
   void on_write_drained() { is_writing_ = false; }
 
-  // ---- What happens to it ----
+  // ---- Events ----
   void on_connected(Time now);
   void on_bytes(std::string_view bytes, Time now);
   [[nodiscard]] std::optional<codec::CacheResponse> next_response() { return reader_.next(); }
   [[nodiscard]] codec::LineError read_error() const { return reader_.error(); }
-  /// The event loop stalled: bytes that came meanwhile are still to be read, so silence counts from now.
+  /// Restarts the silence timeout after an event loop stall, since bytes that arrived during it are unread.
   void on_loop_stall(Time now) { last_received_at_ = now; }
-  /// It ends for this reason, once what has come on it is read.
+  /// Marks the connection as closing for this reason after the bytes that have arrived are read.
   void retire(CloseReason reason) { retired_for_ = reason; }
   [[nodiscard]] std::optional<CloseReason> retired_for() const { return retired_for_; }
-  /// Drops requests for which nobody waits any longer.
+  /// Removes the uses by requests for which no client waits any longer.
   void forget_expired_uses(Time now);
 
  private:
-  /// An answer is due.
+  /// Whether an answer is due.
   [[nodiscard]] bool awaits_answer() const { return unanswered_count_ > 0 || !open_attempts_.empty(); }
 
   std::string endpoint_;
@@ -114,13 +114,13 @@
   std::optional<AttemptKey> attempt_being_written_;
   std::optional<CloseReason> retired_for_;
   std::uint64_t request_count_ = 0;
-  int unanswered_count_ = 0;  // attempts given up or timed out since anything was heard
+  int unanswered_count_ = 0;  // attempts abandoned since the last received byte
   codec::CacheResponseReader reader_;
   std::map<std::string, int> open_attempts_;  // attempt numbers by request
   std::deque<AttemptKey> queued_attempts_;
   std::string commands_;                       // cancels and health checks to be written
-  std::map<std::string, Time> health_checks_;  // when sent, by tag
-  std::map<std::string, Time> used_by_;        // until when somebody waits, by request
+  std::map<std::string, Time> health_checks_;  // send times by tag
+  std::map<std::string, Time> used_by_;        // end of the wait for the answer, by request
 };
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -9,10 +9,10 @@
 
 using namespace std::chrono_literals;
 
-/// An idle connection is closed this much before the endpoint would close it.
+/// An idle connection is closed this long before the endpoint would close it.
 constexpr Time kIdleCloseMargin = 2s;
-/// An attempt that this side ended counts as in flight until the other side has read of it, and the next
-/// attempt travels on another connection: its completion is held back for this long.
+/// Delay of the completion of an attempt that the proxy ended. The attempt counts as in flight until the
+/// endpoint has read the cancel, since the next attempt uses another connection and could arrive before it.
 constexpr Time kCancelDelay = 10ms;
 
 AttemptResult result_of(codec::CacheResponseStatus status) {
@@ -63,12 +63,13 @@
   for (const ConnectionId id : connection_ids()) {
     close_if_writing(id, [this](const UpstreamRequest& request) { return !can_send(request); });
   }
-  // Their connections have ended, or will within a moment, and with them all attempts on them.
+  // The connections of removed endpoints are closed or being drained, and all attempts on them end with them.
   endpoints_.erase_removed();
 }
 
-/// The endpoint's process has gone, or is another one now. Guards responses that it gave before against being
-/// lost unread: the list is read before them. What is not written wholly can't have been answered.
+/// Closes the connections to an endpoint whose process is gone or was replaced. The list is read before other
+/// sockets, so that responses of that process may have arrived and be unread: connections that may hold such
+/// responses are drained first. An attempt that is not written completely can't have a response.
 void UpstreamPool::retire_connections(const std::string& endpoint, CloseReason reason) {
   EndpointTable::Entry& entry = *endpoints_.find(endpoint);
   for (const ConnectionId id : std::set(entry.connections)) {
@@ -108,7 +109,7 @@
   if (can_send(request) && expires_at > context_.now) id = connection_for(request.endpoint, request.request);
   attempts_.add(key, {.request = std::move(request), .connection = id});
   if (!id) {
-    // Also for want of a descriptor, which is no evidence against the endpoint.
+    // The cause may be a lack of descriptors, which is no failure of the endpoint.
     complete(key, AttemptResult::not_sent);
     return;
   }
@@ -142,14 +143,14 @@
   write_next(id);
 }
 
-/// Guards the rule on drains: what waits for a connection goes neither to nor by way of an endpoint that does
-/// not run any more. Guards caches against work for clients that have gone meanwhile, and the deduplication
-/// window of an idempotency key against a retry that waited too long.
+/// Whether a queued attempt must not be written any more: its endpoint or source is no longer running, its
+/// client no longer waits, or its time limit has passed. The limit keeps a retry with an idempotency key
+/// within the deduplication window.
 bool UpstreamPool::is_stale(const UpstreamRequest& request) const {
   return is_past_send_limit(request, context_.now) || !is_pending_(request.request) || !can_send(request);
 }
 
-/// What is dropped was never sent.
+/// Completes stale queued attempts as `not_sent`.
 void UpstreamPool::drop_stale_queued(UpstreamConnection& connection) {
   std::vector<AttemptKey> stale;
   for (const AttemptKey& key : connection.queued_attempts()) {
@@ -158,9 +159,9 @@
   for (const AttemptKey& key : stale) complete(key, AttemptResult::not_sent);
 }
 
-/// What is being written on a connection that takes no more bytes may begin much later. Where the attempt in
-/// it must not be sent any more, the connection is closed. Guards the rules on drains and invalidations
-/// against an endpoint that does not read for a while. Harm: what else is open there is lost.
+/// Closes the connection if the attempt that is being written on it must not be sent any more. An endpoint
+/// that does not read for a while could otherwise start the attempt much later, after a drain or an
+/// invalidation. The other attempts on the connection are lost.
 void UpstreamPool::close_if_writing(ConnectionId id, const RequestPredicate& is_stale) {
   const auto key = connections_.at(id).attempt_being_written();
   if (!key) return;
@@ -168,7 +169,7 @@
   if (attempt != nullptr && is_stale(attempt->request)) close(id, CloseReason::stalled, ClosedBy::proxy);
 }
 
-/// Takes the attempt out of the table and off its connection; none where it has ended already.
+/// Removes the attempt from the table and from its connection; returns none if it has already ended.
 std::optional<AttemptCompletion> UpstreamPool::end_attempt(const AttemptKey& key, AttemptResult result) {
   const OutstandingAttempt* attempt = attempts_.find(key);
   if (attempt == nullptr) return std::nullopt;
@@ -176,7 +177,7 @@
   return attempts_.remove(key, result, context_.now);
 }
 
-/// Takes the attempt off its connection, where that is still open.
+/// Removes the attempt from its connection if that is still open.
 void UpstreamPool::detach(const AttemptKey& key, const OutstandingAttempt& attempt) {
   const auto connection = connections_.find(*attempt.connection);
   if (connection == connections_.end()) return;
@@ -194,7 +195,7 @@
   attempts_.add_completion(std::move(*completion));
 }
 
-/// For an attempt that this side ended: see kCancelDelay.
+/// Completes an attempt that the proxy ended, after kCancelDelay.
 void UpstreamPool::complete_later(const AttemptKey& key, AttemptResult result) {
   auto completion = end_attempt(key, result);
   if (!completion) return;
@@ -235,7 +236,7 @@
   const auto [best, should_open_another] = select_connection(
       entry.connections, connections_, {request, max_requests_per_connection_, context_.now});
   if (!should_open_another || !can_open_connection(entry)) return best;
-  // Only an attempt that no connection can take makes room for a new one.
+  // An idle connection is closed for a new one only if no existing connection can take the attempt.
   if (!has_free_connection() && (best || !close_longest_idle())) return best;
   const ConnectionId opened = open_connection(entry);
   return best.value_or(opened);
@@ -258,8 +259,8 @@
   return id;
 }
 
-/// Writes the next of what waits once all before it has gone: an attempt counts as sent from its first byte,
-/// so what is left here can still be checked against drains, invalidations and clients that have gone.
+/// Starts the next write after the previous one has drained. An attempt counts as sent from its first byte
+/// on; queued attempts can still be dropped because of drains, invalidations and disconnected clients.
 void UpstreamPool::write_next(ConnectionId id) {
   UpstreamConnection& connection = connections_.at(id);
   if (!connection.can_write()) return;
@@ -271,7 +272,8 @@
   context_.write(id, std::move(bytes));
 }
 
-/// The bytes of the connection's next attempt, which counts as written from now on; empty where none waits.
+/// Returns the bytes of the connection's next attempt, which counts as written from now on; empty if none is
+/// queued.
 std::string UpstreamPool::take_attempt_bytes(UpstreamConnection& connection) {
   const auto key = connection.take_queued_attempt(context_.now);
   if (!key) return {};
@@ -284,7 +286,7 @@
   return bytes;
 }
 
-// ---- What happens on connections ----
+// ---- Events of connections ----
 
 void UpstreamPool::on_connected(ConnectionId connection) {
   connections_.at(connection).on_connected(context_.now);
@@ -296,7 +298,7 @@
   upstream.on_bytes(bytes, context_.now);
   while (auto response = upstream.next_response()) on_response(upstream, std::move(*response));
   if (upstream.read_error() == codec::LineError::none) return;
-  // Guards against a peer that does not speak the protocol: where the next response begins is unknown.
+  // The start of the next response is unknown after a malformed one, so that the connection is closed.
   context_.log("member unreadable answer member=" + upstream.endpoint() +
                " error=" + std::string(name_of(upstream.read_error())));
   close(connection, CloseReason::malformed_response, ClosedBy::proxy);
@@ -339,8 +341,8 @@
   close(connection, CloseReason::connect_timeout, ClosedBy::proxy);
   const EndpointTable::Entry* entry = endpoints_.find(endpoint);
   if (entry == nullptr) return;
-  // Guards against work that waits on a vanished machine until its clients leave: a new connection does not
-  // come up, and on an old one nothing was heard since it was tried.
+  // The endpoint's host is probably gone: a new connection was not established, and nothing was received on
+  // the old ones since it was tried. Attempts on them would otherwise wait until their clients give up.
   for (const ConnectionId id : std::set(entry->connections)) {
     if (connections_.at(id).is_silent_since(opened_at)) close(id, CloseReason::silent, ClosedBy::proxy);
   }
@@ -348,7 +350,7 @@
 
 // ---- Closing ----
 
-/// What was written on the connection may have run; what was not never did.
+/// Closes the connection and completes its attempts. Written attempts may have run; queued ones have not.
 void UpstreamPool::close(ConnectionId id, CloseReason reason, ClosedBy closed_by) {
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
@@ -379,7 +381,7 @@
   }
 }
 
-/// Closes the connection that has served nobody for longest, so that one to another endpoint can come up.
+/// Closes the connection that has been idle for the longest time, so that another one can be opened.
 bool UpstreamPool::close_longest_idle() {
   const auto id = find_longest_idle(connections_);
   if (id) close(*id, CloseReason::too_many, ClosedBy::proxy);
@@ -400,7 +402,7 @@
   for (const auto& [id, reason] : expired) close(id, reason, ClosedBy::proxy);
 }
 
-/// Why the connection is to be closed, where it is.
+/// Returns why the connection should be closed now; none if it should stay open.
 std::optional<CloseReason> UpstreamPool::expiry_of(const UpstreamConnection& connection) const {
   if (!connection.is_idle() || !connection.is_connected()) return std::nullopt;
   if (connection.is_unresponsive(context_.now)) return CloseReason::silent;
--- a/src/proxy/upstream/upstream_pool.h
+++ b/src/proxy/upstream/upstream_pool.h
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The connections to endpoints, and the attempts and health checks on them. The pool holds the parts
-/// together: the endpoint table, the connections, the attempt table, and the rules by which a connection is
-/// selected (connection_selection.h).
+/// The connections to endpoints, and the attempts and health checks on them. The pool combines the endpoint
+/// table, the connections, the attempt table, and the selection of connections (connection_selection.h).
 #pragma once
 
 #include <cstddef>
@@ -23,37 +22,37 @@
 
 namespace edge_proxy::proxy {
 
-/// Coordinates the parts; all effects go to the context.
+/// Adds all of its effects to the context.
 class UpstreamPool {
  public:
-  /// `is_owed`: whether a client still waits for the answer to a request.
+  /// `is_pending` returns whether a client still waits for the answer to a request.
   UpstreamPool(Context& context, const config::Config& config,
                std::function<bool(const std::string&)> is_pending);
 
   // ---- Endpoints ----
-  /// Takes in a change of the endpoint list, or the complete list.
+  /// Applies a change to the endpoint list, or a complete list.
   void apply(const codec::EndpointUpdate& update);
-  /// No attempt that is written from now on may be answered from a copy older than the invalidation.
+  /// Ensures that no attempt written from now on is answered from a copy older than the invalidation.
   void invalidate(const codec::Invalidation& invalidation);
   [[nodiscard]] std::size_t endpoint_count() const { return endpoints_.size(); }
-  /// Listed endpoints to which nothing new goes, because they drain or are suspended.
+  /// Number of listed endpoints that get no new attempts because they are draining or suspended.
   [[nodiscard]] std::size_t not_running_count() const { return endpoints_.not_running_count(); }
 
   // ---- Attempts and health checks ----
   void start_attempt(UpstreamRequest request);
   void cancel_attempt(const std::string& request, int number);
   void time_out_attempt(const std::string& request, int number);
-  /// Sends a health check, or reports at once that none could be sent.
+  /// Sends a health check; its result is an immediate failure if it can't be sent.
   void check_health(const std::string& endpoint);
-  /// Takes out the oldest completion; false where there is none.
+  /// Removes the oldest completion; returns false if there is none.
   [[nodiscard]] bool take_completion(AttemptCompletion& completion);
-  /// Takes out the oldest result of a health check; false where there is none.
+  /// Removes the oldest result of a health check; returns false if there is none.
   [[nodiscard]] bool take_health_result(HealthChecked& result);
-  /// The timer of the oldest completion that was held back is due.
+  /// Makes the oldest delayed completion available; called when its timer expires.
   void release_delayed_completion() { attempts_.release_delayed_completion(); }
-  /// Attempts without a completion so far.
+  /// Number of attempts without a completion.
   [[nodiscard]] std::size_t attempts_in_flight() const { return attempts_.in_flight(); }
-  /// Attempts written so far, by class.
+  /// Number of attempts written so far, by request class.
   [[nodiscard]] const std::vector<std::uint64_t>& written_by_class() const { return written_by_class_; }
 
   // ---- Connections ----
@@ -61,12 +60,12 @@
   void on_connected(ConnectionId connection);
   void on_bytes(ConnectionId connection, std::string_view bytes);
   void on_write_drained(ConnectionId connection);
-  /// The connection failed or was closed by the other side.
+  /// Handles a connection that failed or was closed by the endpoint.
   void on_closed(ConnectionId connection, CloseReason reason);
-  /// The event loop stalled: what came on the connections meanwhile is still to be read.
+  /// Restarts the silence timeouts after an event loop stall, since bytes that arrived during it are unread.
   void on_loop_stall();
   void on_connect_timeout(ConnectionId connection);
-  /// Fails the health checks that have timed out; closes idle and silent connections.
+  /// Fails the health checks that have timed out, and closes idle and silent connections.
   void close_expired();
   /// Closes all connections.
   void stop();
@@ -109,7 +108,7 @@
   Time connect_timeout_;
   Time idle_timeout_;
   std::size_t max_requests_per_connection_;
-  bool supports_cancel_;  // the endpoints understand it
+  bool supports_cancel_;  // the endpoints accept cancel commands
   std::function<bool(const std::string&)> is_pending_;
   EndpointTable endpoints_;
   UpstreamConnections connections_;
--- a/src/proxy/upstream/upstream_request.cpp
+++ b/src/proxy/upstream/upstream_request.cpp
@@ -7,7 +7,8 @@
 namespace edge_proxy::proxy {
 namespace {
 
-/// The span in milliseconds as a field's text, 1 at least: a 0 would mean that there is no limit.
+/// Returns the duration in milliseconds as the text of a field, at least 1, since 0 means that there is no
+/// limit.
 std::string positive_milliseconds(Time duration) {
   const std::int64_t milliseconds = std::chrono::floor<std::chrono::milliseconds>(duration).count();
   return std::to_string(std::max<std::int64_t>(1, milliseconds));
--- a/src/proxy/upstream/upstream_request.h
+++ b/src/proxy/upstream/upstream_request.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// One attempt of a request at an endpoint: what it asks for, how it ended, and until when it may be sent.
+/// One attempt of a request at an endpoint: its content, its result, and the time until which it may be sent.
 #pragma once
 
 #include <compare>
@@ -14,51 +14,50 @@
 
 namespace edge_proxy::proxy {
 
-/// Names one attempt of one request. Orders by request, then by attempt number.
+/// Identifies one attempt of one request; ordered by request, then by attempt number.
 struct AttemptKey {
   std::string request;
   int attempt = 0;
   auto operator<=>(const AttemptKey&) const = default;
 };
 
-/// What one attempt asks for. The texts are the bytes that the client sent.
+/// The content of one attempt. Its strings are the bytes that the client sent.
 struct UpstreamRequest {
   std::string request;
   int attempt = 0;
-  std::string endpoint;     ///< that the attempt is sent to
-  std::string source;       ///< where that endpoint fetches from; the endpoint itself: its own copy
-  codec::FieldList fields;  ///< all but the ones that depend on the moment of writing
+  std::string endpoint;     ///< to which the attempt is sent
+  std::string source;       ///< from which the endpoint fetches; the endpoint itself: its own copy
+  codec::FieldList fields;  ///< all but those that depend on the time of writing
   std::string body;
   std::size_t request_class = 0;
   std::uint64_t object = 0;
   std::int64_t group = 0;
   Time decided_at{0};
-  Time expires_at{0};    ///< nobody waits for the answer any longer
-  Time send_before{0};   ///< it may not be written later; 0: until expires_at
-  Time max_copy_age{0};  ///< as decided; 0: the class's fresh time
+  Time expires_at{0};    ///< no client waits for the answer any longer
+  Time send_before{0};   ///< must not be written later; 0: the limit is expires_at
+  Time max_copy_age{0};  ///< decided by the router; 0: the fresh time of the class
 };
 
-/// How an attempt ended. Each UpstreamRequest that was handed in gives exactly one.
+/// The result of an attempt. Each UpstreamRequest has exactly one completion.
 struct AttemptCompletion {
   std::string request;
   int attempt = 0;
   std::string endpoint, source;
   AttemptResult result = AttemptResult::not_sent;
-  Time duration{0};               ///< since the attempt was decided
-  codec::CacheResponse response;  ///< of a served one
+  Time duration{0};               ///< since the router decided on the attempt
+  codec::CacheResponse response;  ///< set if the result is `served`
 };
 
-/// Whether it is too late to write the request: nobody waits for an answer, or the moment until which it may
-/// be sent has passed.
+/// Whether it is too late to write the request: no client waits for the answer, or `send_before` has passed.
 [[nodiscard]] bool is_past_send_limit(const UpstreamRequest& request, Time now);
 
-/// Whether the invalidation names the object of the request, or its group.
+/// Whether the invalidation applies to the object of the request or to its group.
 [[nodiscard]] bool is_invalidated_by(const UpstreamRequest& request, const codec::Invalidation& invalidation);
 
-/// Lowers the age of a copy that may answer the request, so that none from before the invalidation does.
+/// Lowers the maximum copy age, so that no copy from before the invalidation answers the request.
 void limit_copy_age(UpstreamRequest& request, const codec::Invalidation& invalidation, Time now);
 
-/// The bytes to be written at `now`, with the fields that depend on that moment.
+/// Returns the bytes to be written at `now`, including the fields that depend on that time.
 [[nodiscard]] std::string encode(const UpstreamRequest& request, Time now);
 
 }  // namespace edge_proxy::proxy
--- a/tests/cluster/cluster.cpp
+++ b/tests/cluster/cluster.cpp
@@ -329,7 +329,7 @@
     for (std::string line; std::getline(lines, line);) {
       if (line.find(" peer") != std::string::npos || line.find(" policy ") != std::string::npos ||
           line.find("error") != std::string::npos || line.find("stood still") != std::string::npos ||
-          line.find("field '") != std::string::npos)
+          line.find("event loop stalled") != std::string::npos || line.find("field '") != std::string::npos)
         out << "   " << line << "\n";
     }
   }
--- a/tests/proxy/reducer_test.cpp
+++ b/tests/proxy/reducer_test.cpp
@@ -412,7 +412,7 @@
     anna expect served 1
     wait 200
     bulletin expect nothing
-    edge expect log stood still ms=4000
+    edge expect log event loop stalled ms=4000
   )");
 }
 
@@ -489,7 +489,7 @@
   VirtualTimeHarness stage;
   run_scenario(stage,
                "bulletin send head\n" + roster(2, "", true) +
-                   "edge expect log list empty no=2 passed over\nanna send 1 pages\nbox-1 expect serve 1\n");
+                   "edge expect log list empty no=2 ignored\nanna send 1 pages\nbox-1 expect serve 1\n");
   VirtualTimeHarness nothing_known{std::vector<std::string>()};
   run_scenario(nothing_known,
                "bulletin send head\n" + roster(1, "", true) + "anna send probe 1\nanna expect ready 1\n");
