--- a/src/proxy/upstream/endpoint_directory.cpp
+++ b/src/proxy/upstream/endpoint_directory.cpp
@@ -10,9 +10,9 @@
 namespace edge_proxy::proxy {
 namespace {
 
-// The words with which a stored override begins.
-constexpr std::string_view kSuspendedWord = "out ";
-constexpr std::string_view kResumedWord = "in ";
+// The prefixes of a stored override.
+constexpr std::string_view kSuspendedPrefix = "out ";
+constexpr std::string_view kResumedPrefix = "in ";
 
 }  // namespace
 
@@ -25,9 +25,9 @@
   if (is_policy_suspended || found->second.is_suspended) {
     if (endpoint.state == EndpointState::running) endpoint.state = EndpointState::draining;
   } else {
-    // Guards against overloading an endpoint that was restarted while it was suspended, of which discovery
-    // may not have sent an event yet: it warms up from the moment it was resumed. Harm: one that was not
-    // restarted gets less than it could bear for a while.
+    // The endpoint may have been restarted while it was suspended, and the discovery service may not have
+    // reported that yet. It is warmed up from the time it was resumed, so that it is not overloaded. An
+    // endpoint that was not restarted gets less traffic than it could serve for a while.
     endpoint.started = std::max(endpoint.started, found->second.changed_at);
   }
   return effective;
@@ -90,7 +90,7 @@
 std::optional<codec::EndpointUpdate> EndpointDirectory::suspend(const std::string& id, Time now) {
   const bool is_full = overrides_.size() >= kMaxOverrides && !overrides_.contains(id);
   if (!is_known(id) || is_full) return std::nullopt;
-  if (!is_suspended(id)) overrides_[id] = {true, now};  // repeated, the call changes nothing
+  if (!is_suspended(id)) overrides_[id] = {true, now};  // a repeated call has no effect
   return update_for(id);
 }
 
@@ -100,7 +100,7 @@
   return update_for(id);
 }
 
-/// Guards the memory: once an endpoint that was resumed has warmed up anyway, its override has no effect.
+/// Limits memory: the override of a resumed endpoint has no effect after the endpoint has warmed up.
 void EndpointDirectory::drop_expired_overrides(Time now) {
   std::erase_if(overrides_, [now](const auto& item) {
     return !item.second.is_suspended && now - item.second.changed_at >= kOverrideRetention;
@@ -112,21 +112,21 @@
 std::string EndpointDirectory::serialized_overrides() const {
   std::string text;
   for (const auto& [id, entry] : overrides_) {
-    text.append(entry.is_suspended ? kSuspendedWord : kResumedWord);
+    text.append(entry.is_suspended ? kSuspendedPrefix : kResumedPrefix);
     text.append(std::to_string(entry.changed_at.count())).append(" ").append(id).append("\n");
   }
   return text;
 }
 
-/// Guards against a file that was cut off: a line that can't be read is passed over.
+/// Skips malformed lines, since the file may be truncated.
 EndpointDirectory::Overrides EndpointDirectory::parse_overrides(std::string_view text) {
   Overrides overrides;
   while (!text.empty() && overrides.size() < kMaxOverrides) {
     std::string_view line = text.substr(0, text.find('\n'));
     text.remove_prefix(std::min(line.size() + 1, text.size()));
-    const bool is_suspended = line.starts_with(kSuspendedWord);
-    if (!is_suspended && !line.starts_with(kResumedWord)) continue;
-    line.remove_prefix(is_suspended ? kSuspendedWord.size() : kResumedWord.size());
+    const bool is_suspended = line.starts_with(kSuspendedPrefix);
+    if (!is_suspended && !line.starts_with(kResumedPrefix)) continue;
+    line.remove_prefix(is_suspended ? kSuspendedPrefix.size() : kResumedPrefix.size());
     std::int64_t changed_at = 0;
     const auto [end, error] = std::from_chars(line.data(), line.data() + line.size(), changed_at);
     const auto digits = static_cast<std::size_t>(end - line.data());
