--- a/src/routing/attempt_feedback.h
+++ b/src/routing/attempt_feedback.h
@@ -14,7 +14,7 @@
 namespace edge_proxy::routing {
 
 /// What takes in the feedback. All have to outlive it.
-struct FeedbackParts {
+struct FeedbackDependencies {
   EndpointTable& endpoints;
   SlowStart& slow_start;
   FillPolicy& fills;
@@ -23,27 +23,27 @@
 
 /// The open attempts of a request at its latency objective.
 struct OverdueAttempts {
-  bool has_new_fill = false;    ///< a fill is overdue that was not before
-  bool is_at_capacity = false;  ///< an endpoint or source is at its concurrency limit
+  bool has_newly_overdue_fill = false;  ///< a fill is overdue that was not before
+  bool is_at_capacity = false;          ///< an endpoint or source is at its concurrency limit
 };
 
 class AttemptFeedback {
  public:
-  explicit AttemptFeedback(const FeedbackParts& parts) : parts_(parts) {}
+  explicit AttemptFeedback(const FeedbackDependencies& dependencies) : deps_(dependencies) {}
 
   /// An open attempt of the request has ended.
   void record_outcome(Time now, const PendingRequest& pending, AttemptRecord& attempt,
                       const Outcome& outcome);
 
   /// Counts attempts that have been silent for the hedge delay as slow, each once.
-  void record_silence(Time now, PendingRequest& pending);
+  void record_silent_attempts(Time now, PendingRequest& pending);
 
   /// Counts open attempts as late, each once.
-  OverdueAttempts record_overdue(Time now, PendingRequest& pending);
+  OverdueAttempts record_overdue_attempts(Time now, PendingRequest& pending);
 
  private:
   /// An outcome with what it belongs to.
-  struct Ended {
+  struct EndedAttempt {
     Time now{0};
     const PendingRequest& pending;
     const AttemptRecord& attempt;
@@ -54,14 +54,14 @@
   };
 
   [[nodiscard]] FillKind fill_kind_of(const AttemptRecord& attempt) const;
-  void close(const AttemptRecord& attempt);
-  void record_result(const Ended& ended);
-  void record_served(const Ended& ended);
-  void record_served_fill(const Ended& ended, double relative_latency);
-  void record_refused(const Ended& ended);
-  static void blame_endpoint_or_source(const Ended& ended);
+  void decrement_in_flight(const AttemptRecord& attempt);
+  void record_result(const EndedAttempt& ended);
+  void record_served(const EndedAttempt& ended);
+  void record_served_fill(const EndedAttempt& ended, double relative_latency);
+  void record_failed(const EndedAttempt& ended);
+  static void blame_endpoint_or_source(const EndedAttempt& ended);
 
-  FeedbackParts parts_;
+  FeedbackDependencies deps_;
 };
 
 }  // namespace edge_proxy::routing
--- a/src/routing/attempt_planner.cpp
+++ b/src/routing/attempt_planner.cpp
@@ -12,10 +12,11 @@
 
 /// Endpoints (or sources) of the earlier attempts, which the next one leaves out. One whose response could
 /// not be read is not left out: the request has run there, and its copy is there now.
-std::vector<std::size_t> used(const PendingRequest& pending, std::size_t AttemptRecord::*index) {
+std::vector<std::size_t> earlier_indices(const PendingRequest& pending,
+                                         std::size_t AttemptRecord::*index_field) {
   std::vector<std::size_t> indices;
   for (const AttemptRecord& attempt : pending.attempts) {
-    if (!attempt.is_malformed) indices.push_back(attempt.*index);
+    if (!attempt.is_malformed) indices.push_back(attempt.*index_field);
   }
   return indices;
 }
@@ -23,22 +24,22 @@
 }  // namespace
 
 std::optional<Route> AttemptPlanner::plan(Time now, const PendingRequest& pending, double work) {
-  if (!has_attempt_left(now, pending)) return std::nullopt;
-  const auto route = runs_at_origin(parts_.settings, pending.request) ? plan_at_origin(now, pending, work)
-                                                                      : plan_cacheable(now, pending, work);
-  if (!route || !parts_.safety.may_attempt(now, pending, route->endpoint)) return std::nullopt;
+  if (!has_attempts_left(now, pending)) return std::nullopt;
+  const auto route = runs_at_origin(deps_.settings, pending.request) ? plan_at_origin(now, pending, work)
+                                                                     : plan_cacheable(now, pending, work);
+  if (!route || !deps_.safety.may_attempt(now, pending, route->endpoint)) return std::nullopt;
   return route;
 }
 
-bool AttemptPlanner::has_attempt_left(Time now, const PendingRequest& pending) const {
-  return !pending.is_finished && static_cast<int>(pending.attempts.size()) < parts_.settings.max_attempts &&
-         now < pending.request.expires - parts_.settings.tick;
+bool AttemptPlanner::has_attempts_left(Time now, const PendingRequest& pending) const {
+  return !pending.is_finished && static_cast<int>(pending.attempts.size()) < deps_.settings.max_attempts &&
+         now < pending.request.expires - deps_.settings.tick;
 }
 
 std::optional<Route> AttemptPlanner::plan_at_origin(Time now, const PendingRequest& pending,
                                                     double work) const {
-  const auto origin = parts_.endpoints.origin();
-  const auto endpoint = parts_.settings.direct_to_sources ? origin : choose_cache(now, pending, work);
+  const auto origin = deps_.endpoints.origin();
+  const auto endpoint = deps_.settings.direct_to_sources ? origin : choose_cache(now, pending, work);
   if (!endpoint || !origin) return std::nullopt;
   return Route{.endpoint = *endpoint, .source = *origin, .work = work};
 }
@@ -46,7 +47,7 @@
 std::optional<Route> AttemptPlanner::plan_cacheable(Time now, const PendingRequest& pending, double work) {
   const auto [source, is_cached_only] = choose_source(now, pending, work);
   auto endpoint = choose_cache(now, pending, work);
-  if (!endpoint && parts_.settings.direct_to_sources) endpoint = source;
+  if (!endpoint && deps_.settings.direct_to_sources) endpoint = source;
   if (!endpoint) return std::nullopt;
   // Without a source, because all are full, what the cache holds is served and no fill is added.
   return Route{.endpoint = *endpoint,
@@ -61,20 +62,21 @@
 /// asked for what it has cached.
 AttemptPlanner::SourceChoice AttemptPlanner::choose_source(Time now, const PendingRequest& pending,
                                                            double work) {
-  const auto origin = parts_.endpoints.origin();
-  const auto parent = parts_.selector.select(now, {.role = Role::parent,
-                                                   .key = splitmix64(pending.request.object),
-                                                   .work = work,
-                                                   .excluded = used(pending, &AttemptRecord::source),
-                                                   .capacity_ratio = parts_.fills.capacity_ratio(pending)});
+  const auto origin = deps_.endpoints.origin();
+  const auto parent =
+      deps_.selector.select(now, {.role = Role::parent,
+                                  .key = splitmix64(pending.request.object),
+                                  .work = work,
+                                  .excluded = earlier_indices(pending, &AttemptRecord::source),
+                                  .capacity_ratio = deps_.fills.capacity_ratio(pending)});
   if (parent) {
-    if (parts_.fills.admit(now, FillKind::parent, pending)) return {.source = parent};
-    if (parts_.fills.admit(now, FillKind::parent_cached, pending)) {
+    if (deps_.fills.admit(now, FillKind::parent, pending)) return {.source = parent};
+    if (deps_.fills.admit(now, FillKind::parent_cached, pending)) {
       return {.source = parent, .is_cached_only = true};
     }
     return {};
   }
-  if (origin && is_below_limit(*origin) && parts_.fills.admit(now, FillKind::origin, pending)) {
+  if (origin && is_below_limit(*origin) && deps_.fills.admit(now, FillKind::origin, pending)) {
     return {.source = origin};
   }
   return {};
@@ -82,41 +84,41 @@
 
 std::optional<std::size_t> AttemptPlanner::choose_cache(Time now, const PendingRequest& pending,
                                                         double work) const {
-  return parts_.selector.select(now, {.role = Role::cache,
-                                      .key = pending.part_key,
-                                      .work = work,
-                                      .excluded = used(pending, &AttemptRecord::endpoint)});
+  return deps_.selector.select(now, {.role = Role::cache,
+                                     .key = pending.part_key,
+                                     .work = work,
+                                     .excluded = earlier_indices(pending, &AttemptRecord::endpoint)});
 }
 
 bool AttemptPlanner::is_below_limit(std::size_t endpoint) const {
-  const EndpointStats& stats = parts_.endpoints[endpoint];
+  const EndpointStats& stats = deps_.endpoints[endpoint];
   return stats.in_flight < stats.limit.value();
 }
 
-Attempt AttemptPlanner::build(Time now, const PendingRequest& pending, const Route& route) const {
+Attempt AttemptPlanner::build_attempt(Time now, const PendingRequest& pending, const Route& route) const {
   const Request& request = pending.request;
-  const EndpointStats& endpoint = parts_.endpoints[route.endpoint];
-  const EndpointStats& source = parts_.endpoints[route.source];
-  const bool is_at_cache = endpoint.role == Role::cache;
-  const bool is_uncached = pending.rank == Rank::uncached;
+  const EndpointStats& endpoint = deps_.endpoints[route.endpoint];
+  const EndpointStats& source = deps_.endpoints[route.source];
+  const bool is_sent_to_cache = endpoint.role == Role::cache;
+  const bool is_rank_uncached = pending.rank == Rank::uncached;
   const bool adds_fill = route.source != route.endpoint && !route.is_cached_only;
   Attempt attempt;
   attempt.request = request.id;
   attempt.endpoint = endpoint.endpoint.id;
   attempt.source = source.endpoint.id;
-  attempt.rank = is_at_cache ? pending.rank : Rank::uncached;
+  attempt.rank = is_sent_to_cache ? pending.rank : Rank::uncached;
   attempt.max_copy_age =
-      parts_.copy_age.max_copy_age(now, request, adds_fill ? GraceTime::excluded : GraceTime::included);
-  attempt.parent_uncached = is_uncached && source.role == Role::parent;
+      deps_.copy_age.max_copy_age(now, request, adds_fill ? GraceTime::excluded : GraceTime::included);
+  attempt.parent_uncached = is_rank_uncached && source.role == Role::parent;
   attempt.stale_while_revalidate =
-      is_at_cache && !is_uncached && class_of(parts_.settings, request).max_age.count() > 0;
-  attempt.join_fill = is_at_cache && !runs_at_origin(parts_.settings, request);
+      is_sent_to_cache && !is_rank_uncached && class_of(deps_.settings, request).max_age.count() > 0;
+  attempt.join_fill = is_sent_to_cache && !runs_at_origin(deps_.settings, request);
   attempt.cached_only = route.is_cached_only;
-  attempt.send_within = parts_.safety.send_within(now, pending);
+  attempt.send_within = deps_.safety.send_within(now, pending);
   // A parent that is asked directly gives only what it has cached unless the origin is named as its source.
-  const auto origin = parts_.endpoints.origin();
+  const auto origin = deps_.endpoints.origin();
   if (route.endpoint == route.source && endpoint.role == Role::parent && !attempt.cached_only && origin) {
-    attempt.source = parts_.endpoints[*origin].endpoint.id;
+    attempt.source = deps_.endpoints[*origin].endpoint.id;
   }
   return attempt;
 }
--- a/src/routing/attempt_planner.h
+++ b/src/routing/attempt_planner.h
@@ -25,7 +25,7 @@
 };
 
 /// The parts from which routes are planned. They have to outlive the planner.
-struct PlannerParts {
+struct PlannerDependencies {
   const Settings& settings;
   const EndpointTable& endpoints;
   const EndpointSelector& selector;
@@ -36,13 +36,13 @@
 
 class AttemptPlanner {
  public:
-  explicit AttemptPlanner(const PlannerParts& parts) : parts_(parts) {}
+  explicit AttemptPlanner(const PlannerDependencies& dependencies) : deps_(dependencies) {}
 
   /// The next attempt's route; nothing where there is none. `work`: size of the request for slow start.
   [[nodiscard]] std::optional<Route> plan(Time now, const PendingRequest& pending, double work);
 
   /// The attempt for a route, before it is among the request's attempts.
-  [[nodiscard]] Attempt build(Time now, const PendingRequest& pending, const Route& route) const;
+  [[nodiscard]] Attempt build_attempt(Time now, const PendingRequest& pending, const Route& route) const;
 
  private:
   struct SourceChoice {
@@ -50,7 +50,7 @@
     bool is_cached_only = false;
   };
 
-  [[nodiscard]] bool has_attempt_left(Time now, const PendingRequest& pending) const;
+  [[nodiscard]] bool has_attempts_left(Time now, const PendingRequest& pending) const;
   [[nodiscard]] std::optional<Route> plan_at_origin(Time now, const PendingRequest& pending,
                                                     double work) const;
   [[nodiscard]] std::optional<Route> plan_cacheable(Time now, const PendingRequest& pending, double work);
@@ -59,7 +59,7 @@
                                                         double work) const;
   [[nodiscard]] bool is_below_limit(std::size_t endpoint) const;
 
-  PlannerParts parts_;
+  PlannerDependencies deps_;
 };
 
 }  // namespace edge_proxy::routing
--- a/src/routing/copy_age.cpp
+++ b/src/routing/copy_age.cpp
@@ -8,18 +8,18 @@
 
 namespace edge_proxy::routing {
 
-void CopyAge::record(Time now, const Invalidation& invalidation) {
+void CopyAge::record_invalidation(Time now, const Invalidation& invalidation) {
   const Time invalidated_at = now - invalidation.age;
   Time& newest = invalidation.object ? by_object_[*invalidation.object] : by_group_[invalidation.group];
   newest = std::max(newest, invalidated_at);
-  const auto has_settled = [this, now](const auto& entry) { return !is_effective(now, entry.second); };
-  std::erase_if(by_object_, has_settled);
-  std::erase_if(by_group_, has_settled);
+  const auto is_expired = [this, now](const auto& entry) { return !is_in_effect(now, entry.second); };
+  std::erase_if(by_object_, is_expired);
+  std::erase_if(by_group_, is_expired);
 }
 
 /// Twice the time in which older copies disappear, so that none that was in flight at the invalidation slips
 /// through.
-bool CopyAge::is_effective(Time now, Time invalidated_at) const {
+bool CopyAge::is_in_effect(Time now, Time invalidated_at) const {
   return now - invalidated_at < 2 * settings_.invalidation_settled_after;
 }
 
@@ -34,9 +34,9 @@
   const bool has_age_limit = request_class.max_age.count() > 0;
   const bool adds_grace = grace == GraceTime::included && has_age_limit;
   const Time class_limit = request_class.max_age + (adds_grace ? request_class.grace : Time{0});
-  if (!newest || !is_effective(now, *newest)) return class_limit;
-  const Time since = std::max(Time{1}, now - *newest);
-  return class_limit.count() > 0 ? std::min(class_limit, since) : since;
+  if (!newest || !is_in_effect(now, *newest)) return class_limit;
+  const Time since_invalidation = std::max(Time{1}, now - *newest);
+  return class_limit.count() > 0 ? std::min(class_limit, since_invalidation) : since_invalidation;
 }
 
 }  // namespace edge_proxy::routing
--- a/src/routing/copy_age.h
+++ b/src/routing/copy_age.h
@@ -21,7 +21,7 @@
   /// `settings` has to outlive this object.
   explicit CopyAge(const Settings& settings) : settings_(settings) {}
 
-  void record(Time now, const Invalidation& invalidation);
+  void record_invalidation(Time now, const Invalidation& invalidation);
 
   /// 0: no bound but the class's own.
   [[nodiscard]] Time max_copy_age(Time now, const Request& request, GraceTime grace) const;
@@ -30,7 +30,7 @@
   [[nodiscard]] std::size_t size() const { return by_object_.size() + by_group_.size(); }
 
  private:
-  [[nodiscard]] bool is_effective(Time now, Time invalidated_at) const;
+  [[nodiscard]] bool is_in_effect(Time now, Time invalidated_at) const;
 
   const Settings& settings_;
   std::map<std::uint64_t, Time> by_object_;
--- a/src/routing/endpoint_health.cpp
+++ b/src/routing/endpoint_health.cpp
@@ -14,12 +14,12 @@
 constexpr double kErrorRateGain = 0.05;         // weight of a new attempt in the error rate
 constexpr int kFailuresToEject = 3;             // in a row
 constexpr Time kMaxEjection = 8s;               // the backoff doubles up to this
-constexpr double kSlowThreshold = 2;            // times the reference latency from which an endpoint is slow
+constexpr double kSlowLatencyRatio = 2;         // times the reference latency from which an endpoint is slow
 constexpr double kMinReferenceLatency = 0.05;   // guards the quotient against a reference of nearly nothing
 
 }  // namespace
 
-void EndpointHealth::sample_latency(double relative_latency) {
+void EndpointHealth::record_latency(double relative_latency) {
   relative_latency_ += kLatencyGain * (std::min(relative_latency, kWorstLatency) - relative_latency_);
 }
 
@@ -27,7 +27,7 @@
   if (std::exchange(last_failure_at_, now) == now) return;
   ++consecutive_failures_;
   if (consecutive_failures_ < 2) return;
-  sample_latency(kWorstLatency);
+  record_latency(kWorstLatency);
   if (!has_failed_repeatedly()) return;
   ejected_until_ = now + ejection_backoff_;
   ejection_backoff_ = std::min(ejection_backoff_ * 2, kMaxEjection);
@@ -43,19 +43,19 @@
   error_rate_ += kErrorRateGain * ((is_error ? 1 : 0) - error_rate_);
 }
 
-void EndpointHealth::reset_for_new_process() {
+void EndpointHealth::reset_for_restart() {
   relative_latency_ = 0;
   record_success();
 }
 
-void EndpointHealth::recover_towards(double reference) {
+void EndpointHealth::decay_latency_towards(double reference) {
   relative_latency_ += kLatencyRecoveryRatio * std::min(0.0, reference - relative_latency_);
 }
 
 bool EndpointHealth::has_failed_repeatedly() const { return consecutive_failures_ >= kFailuresToEject; }
 
 double EndpointHealth::slowness(double reference) const {
-  return std::max(1.0, relative_latency_ / std::max(reference, kMinReferenceLatency) / kSlowThreshold);
+  return std::max(1.0, relative_latency_ / std::max(reference, kMinReferenceLatency) / kSlowLatencyRatio);
 }
 
 }  // namespace edge_proxy::routing
--- a/src/routing/endpoint_health.h
+++ b/src/routing/endpoint_health.h
@@ -14,7 +14,7 @@
 class EndpointHealth {
  public:
   /// Takes in a response time divided by the request's latency objective.
-  void sample_latency(double relative_latency);
+  void record_latency(double relative_latency);
 
   /// A failed connection. What is lost at one moment is one failure, and one alone changes nothing: guards
   /// against ejecting a healthy endpoint for one broken connection that carried several attempts.
@@ -27,11 +27,11 @@
   void record_attempt(bool is_error);
 
   /// The endpoint is a new process: what was learnt of the old one no longer holds.
-  void reset_for_new_process();
+  void reset_for_restart();
 
   /// Moves a latency above `reference` towards it. Guards against an endpoint that counts as slow for ever:
   /// it gets few requests and could not show that it has recovered.
-  void recover_towards(double reference);
+  void decay_latency_towards(double reference);
 
   [[nodiscard]] bool is_ejected(Time now) const { return now < ejected_until_; }
   [[nodiscard]] bool has_failed_repeatedly() const;
--- a/src/routing/endpoint_selection.cpp
+++ b/src/routing/endpoint_selection.cpp
@@ -18,29 +18,31 @@
 std::optional<std::size_t> EndpointSelector::select(Time now, const SelectionQuery& query) const {
   const auto group = endpoints_.running(query.role);
   const double reference = reference_latency(endpoints_, group);
-  const Candidates all = candidates(now, query, group, reference);
-  for (const Candidate& candidate : all.ordered) {
+  const Candidates candidates = find_candidates(now, query, group, reference);
+  for (const Candidate& candidate : candidates.ordered) {
     const EndpointStats& stats = endpoints_[candidate.index];
-    if (stats.in_flight < std::max(1.0, load_bound(stats, query, all, reference))) return candidate.index;
+    if (stats.in_flight < std::max(1.0, load_bound(stats, query, candidates, reference))) {
+      return candidate.index;
+    }
   }
   return std::nullopt;
 }
 
-EndpointSelector::Candidates EndpointSelector::candidates(Time now, const SelectionQuery& query,
-                                                          const std::vector<std::size_t>& group,
-                                                          double reference) const {
-  Candidates all;
+EndpointSelector::Candidates EndpointSelector::find_candidates(Time now, const SelectionQuery& query,
+                                                               const std::vector<std::size_t>& group,
+                                                               double reference) const {
+  Candidates candidates;
   for (const std::size_t index : group) {
     EndpointStats& stats = endpoints_[index];
-    all.share_sum += weight_of(settings_, stats.endpoint) / stats.health.slowness(reference);
-    all.in_flight += stats.in_flight;
+    candidates.share_sum += weight_of(settings_, stats.endpoint) / stats.health.slowness(reference);
+    candidates.in_flight += stats.in_flight;
     if (!is_usable(now, stats, query.work)) continue;
     if (std::find(query.excluded.begin(), query.excluded.end(), index) != query.excluded.end()) continue;
-    all.ordered.push_back({.score = score(stats, query.key, reference), .index = index});
+    candidates.ordered.push_back({.score = score(stats, query.key, reference), .index = index});
   }
-  std::sort(all.ordered.begin(), all.ordered.end(),
+  std::sort(candidates.ordered.begin(), candidates.ordered.end(),
             [](const Candidate& left, const Candidate& right) { return left.score > right.score; });
-  return all;
+  return candidates;
 }
 
 bool EndpointSelector::is_usable(Time now, EndpointStats& stats, double work) const {
@@ -56,11 +58,11 @@
 }
 
 double EndpointSelector::load_bound(const EndpointStats& stats, const SelectionQuery& query,
-                                    const Candidates& all, double reference) const {
+                                    const Candidates& candidates, double reference) const {
   const double slowness = stats.health.slowness(reference);
   if (query.role == Role::parent) return query.capacity_ratio * stats.limit.value() / slowness;
-  const double share = weight_of(settings_, stats.endpoint) / slowness / all.share_sum;
-  return std::min(kLoadBound * (all.in_flight + 1) * share, stats.limit.value());
+  const double share = weight_of(settings_, stats.endpoint) / slowness / candidates.share_sum;
+  return std::min(kLoadBound * (candidates.in_flight + 1) * share, stats.limit.value());
 }
 
 }  // namespace edge_proxy::routing
--- a/src/routing/endpoint_selection.h
+++ b/src/routing/endpoint_selection.h
@@ -47,12 +47,12 @@
     std::vector<Candidate> ordered;
   };
 
-  [[nodiscard]] Candidates candidates(Time now, const SelectionQuery& query,
-                                      const std::vector<std::size_t>& group, double reference) const;
+  [[nodiscard]] Candidates find_candidates(Time now, const SelectionQuery& query,
+                                           const std::vector<std::size_t>& group, double reference) const;
   [[nodiscard]] bool is_usable(Time now, EndpointStats& stats, double work) const;
   [[nodiscard]] double score(const EndpointStats& stats, std::uint64_t key, double reference) const;
   [[nodiscard]] double load_bound(const EndpointStats& stats, const SelectionQuery& query,
-                                  const Candidates& all, double reference) const;
+                                  const Candidates& candidates, double reference) const;
 
   const Settings& settings_;
   EndpointTable& endpoints_;
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -11,64 +11,64 @@
   if (list.kind != ListKind::changes) {  // an endpoint that a complete list lacks is gone
     for (EndpointStats& stats : endpoints_) stats.endpoint.state = EndpointState::removed;
   }
-  for (const Endpoint& endpoint : list.endpoints) update(endpoint);
-  for (std::size_t index = 0; index < endpoints_.size(); ++index) forget_if_unused(index);
+  for (const Endpoint& endpoint : list.endpoints) update_endpoint(endpoint);
+  for (std::size_t index = 0; index < endpoints_.size(); ++index) remove_if_unused(index);
 }
 
-void EndpointTable::update(const Endpoint& endpoint) {
+void EndpointTable::update_endpoint(const Endpoint& endpoint) {
   if (endpoint.state == EndpointState::removed && !index_by_id_.contains(endpoint.id)) return;
   EndpointStats& stats = endpoints_[find_or_add(endpoint.id)];
-  if (endpoint.started != stats.endpoint.started) stats.health.reset_for_new_process();
+  if (endpoint.started != stats.endpoint.started) stats.health.reset_for_restart();
   stats.endpoint = endpoint;
   stats.role = role_of(endpoint);
 }
 
 std::size_t EndpointTable::find_or_add(const std::string& id) {
-  const std::size_t next = free_.empty() ? endpoints_.size() : free_.back();
-  const auto [found, is_new] = index_by_id_.emplace(id, next);
+  const std::size_t new_index = free_indices_.empty() ? endpoints_.size() : free_indices_.back();
+  const auto [found, is_new] = index_by_id_.emplace(id, new_index);
   if (!is_new) return found->second;
-  if (free_.empty()) {
+  if (free_indices_.empty()) {
     endpoints_.emplace_back();
   } else {
-    free_.pop_back();
+    free_indices_.pop_back();
   }
-  endpoints_[next] = EndpointStats();
-  endpoints_[next].hash = splitmix64(fnv1a(id));
-  return next;
+  endpoints_[new_index] = EndpointStats();
+  endpoints_[new_index].hash = splitmix64(fnv1a(id));
+  return new_index;
 }
 
 Role EndpointTable::role_of(const Endpoint& endpoint) const {
   if (endpoint.kind == settings_.origin_kind) return Role::origin;
   if (endpoint.kind == settings_.parent_kind) return Role::parent;
-  return endpoint.zone == settings_.zone ? Role::cache : Role::elsewhere;
+  return endpoint.zone == settings_.zone ? Role::cache : Role::other_zone;
 }
 
 void EndpointTable::remove_reference(std::size_t index) {
   --endpoints_[index].references;
-  forget_if_unused(index);
+  remove_if_unused(index);
 }
 
 /// Guards the memory where endpoints are replaced for ever: what is known of a removed one is dropped with
 /// the last request that names it, and its entry is used again.
-void EndpointTable::forget_if_unused(std::size_t index) {
+void EndpointTable::remove_if_unused(std::size_t index) {
   const EndpointStats& stats = endpoints_[index];
   if (stats.endpoint.state != EndpointState::removed || stats.references > 0) return;
   if (index_by_id_.erase(stats.endpoint.id) == 0) return;  // forgotten before
-  free_.push_back(index);
+  free_indices_.push_back(index);
 }
 
 std::vector<std::size_t> EndpointTable::running(Role role) const {
-  std::vector<std::size_t> found;
+  std::vector<std::size_t> indices;
   for (std::size_t index = 0; index < endpoints_.size(); ++index) {
-    if (endpoints_[index].role == role && endpoints_[index].is_running()) found.push_back(index);
+    if (endpoints_[index].role == role && endpoints_[index].is_running()) indices.push_back(index);
   }
-  return found;
+  return indices;
 }
 
 std::optional<std::size_t> EndpointTable::origin() const {
-  const auto found = running(Role::origin);
-  if (found.empty()) return std::nullopt;
-  return found.front();
+  const auto indices = running(Role::origin);
+  if (indices.empty()) return std::nullopt;
+  return indices.front();
 }
 
 std::size_t EndpointTable::ejected_count(Time now) const {
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -18,14 +18,14 @@
 
 namespace edge_proxy::routing {
 
-/// `elsewhere`: a cache of another zone, which gets no requests.
-enum class Role { cache, parent, origin, elsewhere };
+/// `other_zone`: a cache of another zone, which gets no requests.
+enum class Role { cache, parent, origin, other_zone };
 
 /// What this router knows of one endpoint.
 struct EndpointStats {
   Endpoint endpoint;
   std::uint64_t hash = 0;  ///< of its id: its place in the rendezvous order
-  Role role = Role::elsewhere;
+  Role role = Role::other_zone;
   int references = 0;  ///< attempts of pending requests that name it
   int in_flight = 0;   ///< own attempts out at it, and fills that name it as source
   EndpointHealth health;
@@ -62,14 +62,14 @@
   [[nodiscard]] std::size_t ejected_count(Time now) const;
 
  private:
-  void update(const Endpoint& endpoint);
+  void update_endpoint(const Endpoint& endpoint);
   std::size_t find_or_add(const std::string& id);
   [[nodiscard]] Role role_of(const Endpoint& endpoint) const;
-  void forget_if_unused(std::size_t index);
+  void remove_if_unused(std::size_t index);
 
   const Settings& settings_;
   std::vector<EndpointStats> endpoints_;
-  std::vector<std::size_t> free_;
+  std::vector<std::size_t> free_indices_;
   std::map<std::string, std::size_t> index_by_id_;
 };
 
--- a/src/routing/fill_policy.cpp
+++ b/src/routing/fill_policy.cpp
@@ -11,17 +11,17 @@
 
 using admission::FillAdmission;
 
-constexpr double kMeanGain = 0.02;              // weight of a new request in the moving means
-constexpr double kLowValueCapacityRatio = 0.5;  // for fills of less than the usual value for their size
-constexpr double kLinkGain = 0.3;               // weight of the newest report of the link
-constexpr double kLinkOverload = 1.5;           // utilization from which fewer fills are admitted
-constexpr double kMinValue = 1e-6;              // guards the cost against a division by nothing
+constexpr double kMeanGain = 0.02;                // weight of a new request in the moving means
+constexpr double kLowValueCapacityRatio = 0.5;    // for fills of less than the usual value for their size
+constexpr double kLinkUtilizationGain = 0.3;      // weight of the newest report of the link
+constexpr double kLinkOverloadUtilization = 1.5;  // utilization from which fewer fills are admitted
+constexpr double kMinValue = 1e-6;                // guards the cost against a division by nothing
 
 }  // namespace
 
 void FillPolicy::record_request(const PendingRequest& pending) {
-  usual_work_ += kMeanGain * (pending.work - usual_work_);
-  usual_value_ += kMeanGain * (expected_value(pending) - usual_value_);
+  mean_work_ += kMeanGain * (pending.work - mean_work_);
+  mean_value_ += kMeanGain * (expected_value(pending) - mean_value_);
 }
 
 /// What a fill is expected to score: a slow source leaves classes with a short objective no chance.
@@ -32,19 +32,19 @@
 
 bool FillPolicy::admit(Time now, FillKind kind, const PendingRequest& pending) {
   const double cost = (pending.work + fill_delay_seconds_) / std::max(expected_value(pending), kMinValue);
-  const double max_ratio = kLinkOverload / std::max(link_utilization_, kLinkOverload);
+  const double max_ratio = kLinkOverloadUtilization / std::max(link_utilization_, kLinkOverloadUtilization);
   return admission_for(kind).admit(now, cost, max_ratio);
 }
 
 double FillPolicy::capacity_ratio(const PendingRequest& pending) const {
   const double value = expected_value(pending);
   const bool is_low_value =
-      value * (usual_work_ + fill_delay_seconds_) < usual_value_ * (pending.work + fill_delay_seconds_);
+      value * (mean_work_ + fill_delay_seconds_) < mean_value_ * (pending.work + fill_delay_seconds_);
   return is_low_value ? kLowValueCapacityRatio : 1;
 }
 
 void FillPolicy::record_link_utilization(double utilization) {
-  link_utilization_ += kLinkGain * (utilization - link_utilization_);
+  link_utilization_ += kLinkUtilizationGain * (utilization - link_utilization_);
 }
 
 void FillPolicy::record_attempt_ended(Time now, FillKind kind) {
@@ -98,7 +98,7 @@
   double& in_time_ratio = in_time_ratio_by_class_[class_index(pending.request)];
   in_time_ratio += kMeanGain * ((is_in_time ? 1 : 0) - in_time_ratio);
   // A full link slows large fills most: only small ones show the delay of the source.
-  if (pending.work < usual_work_) {
+  if (pending.work < mean_work_) {
     fill_delay_seconds_ += kMeanGain * (to_seconds(delay) - fill_delay_seconds_);
   }
 }
--- a/src/routing/fill_policy.h
+++ b/src/routing/fill_policy.h
@@ -59,8 +59,8 @@
   std::vector<double> in_time_ratio_by_class_;  // of the attempts with a source
   double fill_delay_seconds_ = 0;               // to the first byte of a fill, moving mean
   double link_utilization_ = 0;                 // transfers on the link over those that fit
-  double usual_work_ = 0;                       // of a request, moving mean
-  double usual_value_ = 0;
+  double mean_work_ = 0;                        // of a request, moving mean
+  double mean_value_ = 0;
 };
 
 }  // namespace edge_proxy::routing
--- a/src/routing/peer_group.cpp
+++ b/src/routing/peer_group.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::ptrdiff_t kQuartiles = 4;
-constexpr double kOwnErrorExcess = 0.3;  // error rate above that of the best of the group
+constexpr double kOutlierErrorRateExcess = 0.3;  // error rate above that of the best of the group
 
 }  // namespace
 
@@ -22,12 +22,12 @@
   return *quartile;
 }
 
-bool has_own_errors(const EndpointTable& endpoints, const EndpointStats& stats) {
+bool has_outlier_error_rate(const EndpointTable& endpoints, const EndpointStats& stats) {
   double lowest = 1;
   for (const std::size_t index : endpoints.running(stats.role)) {
     lowest = std::min(lowest, endpoints[index].health.error_rate());
   }
-  return stats.health.error_rate() > lowest + kOwnErrorExcess;
+  return stats.health.error_rate() > lowest + kOutlierErrorRateExcess;
 }
 
 }  // namespace edge_proxy::routing
--- a/src/routing/peer_group.h
+++ b/src/routing/peer_group.h
@@ -16,6 +16,6 @@
 
 /// Whether the errors of an endpoint are its own, where no response says so: those of a source come back from
 /// all caches alike. Guards the sources, and all fills, against paying for one cache that fails fast.
-[[nodiscard]] bool has_own_errors(const EndpointTable& endpoints, const EndpointStats& stats);
+[[nodiscard]] bool has_outlier_error_rate(const EndpointTable& endpoints, const EndpointStats& stats);
 
 }  // namespace edge_proxy::routing
--- a/src/routing/pending_request.h
+++ b/src/routing/pending_request.h
@@ -15,12 +15,12 @@
 struct AttemptRecord {
   std::size_t endpoint = 0;  ///< index in the endpoint table
   std::size_t source = 0;    ///< the endpoint itself: no fill
-  Time sent{0};
-  bool is_open = true;              ///< no outcome yet
-  bool is_latency_sampled = false;  ///< its silence has counted as a latency already
-  bool is_overdue = false;          ///< it has counted as late already
-  bool is_malformed = false;        ///< its response could not be read, through no fault of its endpoint
-  bool is_cached_only = false;      ///< its source was asked only for what it has cached
+  Time sent_at{0};
+  bool is_open = true;               ///< no outcome yet
+  bool is_latency_recorded = false;  ///< its silence has counted as a latency already
+  bool is_overdue = false;           ///< it has counted as late already
+  bool is_malformed = false;         ///< its response could not be read, through no fault of its endpoint
+  bool is_cached_only = false;       ///< its source was asked only for what it has cached
 
   [[nodiscard]] bool has_source() const { return source != endpoint; }
 };
--- a/src/routing/popularity.cpp
+++ b/src/routing/popularity.cpp
@@ -23,7 +23,7 @@
 Popularity::Popularity(const Settings& settings)
     : settings_(settings), counts_(window_of(settings), kMaxCountedRequests) {}
 
-void Popularity::recompute(Time now) {
+void Popularity::update_gold_parts(Time now) {
   counts_.trim(now);
   gold_.clear();
   for (const std::uint64_t part_key : counts_.top(kGoldParts)) gold_.insert(part_key);
--- a/src/routing/popularity.h
+++ b/src/routing/popularity.h
@@ -23,7 +23,7 @@
   void start(Time now) { started_at_ = now; }
 
   /// Chooses the gold parts anew from the counts in the window.
-  void recompute(Time now);
+  void update_gold_parts(Time now);
 
   /// Counts a request for `part_key` unless it repeats an earlier one, and ranks the part: gold is
   /// `Rank::middle`, silver `Rank::low`, bronze `Rank::uncached`.
--- a/src/routing/retry_safety.cpp
+++ b/src/routing/retry_safety.cpp
@@ -16,11 +16,11 @@
 }  // namespace
 
 void RetrySafety::record_result(const std::string& request_id, AttemptResult result) {
-  if (may_have_run_after(result)) executed_.insert(request_id);
+  if (may_have_run_after(result)) possibly_run_requests_.insert(request_id);
 }
 
 bool RetrySafety::may_have_run(const PendingRequest& pending) const {
-  return pending.has_open_attempt() || executed_.contains(pending.request.id);
+  return pending.has_open_attempt() || possibly_run_requests_.contains(pending.request.id);
 }
 
 bool RetrySafety::may_attempt(Time now, const PendingRequest& pending, std::size_t endpoint) const {
@@ -36,7 +36,7 @@
 
 bool RetrySafety::is_duplicate_discarded(Time now, const RequestClass& request_class,
                                          const AttemptRecord& earlier, const Endpoint& endpoint) const {
-  if (now - earlier.sent >= request_class.deduplication_window) return false;
+  if (now - earlier.sent_at >= request_class.deduplication_window) return false;
   const Endpoint& earlier_endpoint = endpoints_[earlier.endpoint].endpoint;
   switch (request_class.deduplication_scope) {
     case DeduplicationScope::all:
@@ -52,7 +52,7 @@
 Time RetrySafety::send_within(Time now, const PendingRequest& pending) const {
   const RequestClass& request_class = class_of(settings_, pending.request);
   if (request_class.idempotency != Idempotency::with_key || pending.attempts.empty()) return Time{0};
-  return request_class.deduplication_window - (now - pending.attempts.front().sent);
+  return request_class.deduplication_window - (now - pending.attempts.front().sent_at);
 }
 
 bool RetrySafety::may_reject(const PendingRequest& pending) const {
--- a/src/routing/retry_safety.h
+++ b/src/routing/retry_safety.h
@@ -23,7 +23,7 @@
 
   /// An attempt of the request has ended.
   void record_result(const std::string& request_id, AttemptResult result);
-  void forget(const std::string& request_id) { executed_.erase(request_id); }
+  void forget(const std::string& request_id) { possibly_run_requests_.erase(request_id); }
 
   /// Whether one more attempt may go to `endpoint`: always where idempotent; with an idempotency key only
   /// within the scope and the window in which duplicates of each earlier attempt are discarded; else only
@@ -38,7 +38,7 @@
   [[nodiscard]] bool may_reject(const PendingRequest& pending) const;
 
   /// Requests of which an attempt may have run.
-  [[nodiscard]] std::size_t size() const { return executed_.size(); }
+  [[nodiscard]] std::size_t size() const { return possibly_run_requests_.size(); }
 
  private:
   [[nodiscard]] bool may_have_run(const PendingRequest& pending) const;
@@ -47,7 +47,7 @@
 
   const Settings& settings_;
   const EndpointTable& endpoints_;
-  std::set<std::string> executed_;
+  std::set<std::string> possibly_run_requests_;
 };
 
 }  // namespace edge_proxy::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -42,17 +42,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr Time kRecomputeInterval = 1s;      // between recomputations of gold parts, usual load and latencies
+constexpr Time kPeriodicUpdateInterval =
+    1s;                                      // between recomputations of gold parts, usual load and latencies
 constexpr Time kSubscribeRetryDelay = 1s;    // after a failed call for the endpoint list
 constexpr double kRetryAfterRatio = 0.5;     // part of the longest Retry-After that clients follow
 constexpr double kLocalCopyTimeRatio = 0.7;  // part of the latency objective in which a local copy is sent
 constexpr std::size_t kLocalCopyMaxCount = 2;  // a part asked for more often is in the caches anyway
 
-constexpr std::int64_t kTimerToken = 1;
+constexpr std::int64_t kWakeUpTimerToken = 1;
 
-enum class TimerKind { hedge, latency_objective, deadline, recompute, subscribe };
+enum class TimerKind { hedge, latency_objective, deadline, periodic_update, subscribe };
 struct Timer {
-  TimerKind kind = TimerKind::recompute;
+  TimerKind kind = TimerKind::periodic_update;
   std::string request_id;  // empty where the timer is for no single request
 };
 
@@ -73,17 +74,20 @@
         endpoints_(settings_),
         slow_start_(settings_, endpoints_, seed),
         selector_(settings_, endpoints_, slow_start_),
-        work_(settings_),
-        fills_(settings_),
+        work_estimate_(settings_),
+        fill_policy_(settings_),
         copy_age_(settings_),
-        safety_(settings_, endpoints_),
+        retry_safety_(settings_, endpoints_),
         planner_({.settings = settings_,
                   .endpoints = endpoints_,
                   .selector = selector_,
-                  .safety = safety_,
+                  .safety = retry_safety_,
                   .copy_age = copy_age_,
-                  .fills = fills_}),
-        feedback_({.endpoints = endpoints_, .slow_start = slow_start_, .fills = fills_, .work = work_}) {}
+                  .fills = fill_policy_}),
+        feedback_({.endpoints = endpoints_,
+                   .slow_start = slow_start_,
+                   .fills = fill_policy_,
+                   .work = work_estimate_}) {}
 
   std::vector<Action> handle(Time now, const Event& event);
   [[nodiscard]] Router::Stats stats() const;
@@ -94,19 +98,19 @@
   void run_timers();
   void run_timer(const Timer& timer);
   void schedule_wake_up();
-  void recompute();
+  void run_periodic_update();
 
   // Events.
-  void on(const TimerFired&) {}
-  void on(const HealthChecked&) {}
-  void on(const EndpointList& list);
-  void on(const Request& request);
-  void on(const Outcome& outcome);
-  void on(const RequestCancelled& cancelled);
-  void on(const StreamStarted& started);
-  void on(const Invalidation& invalidation) { copy_age_.record(now_, invalidation); }
-  void on(const QuotaChanged& quota) { slow_start_.set_quota(quota); }
-  void on(const SettingsChanged& changed) { settings_ = changed.settings; }
+  void on_event(const TimerFired&) {}
+  void on_event(const HealthChecked&) {}
+  void on_event(const EndpointList& list);
+  void on_event(const Request& request);
+  void on_event(const Outcome& outcome);
+  void on_event(const RequestCancelled& cancelled);
+  void on_event(const StreamStarted& started);
+  void on_event(const Invalidation& invalidation) { copy_age_.record_invalidation(now_, invalidation); }
+  void on_event(const QuotaChanged& quota) { slow_start_.set_quota(quota); }
+  void on_event(const SettingsChanged& changed) { settings_ = changed.settings; }
 
   // Timers of a request.
   void on_hedge_delay(const std::string& request_id);
@@ -116,16 +120,16 @@
   // Steps in the course of a request.
   [[nodiscard]] PendingRequest make_pending(const Request& request);
   void estimate_work(PendingRequest& pending);
-  [[nodiscard]] bool is_local_copy_better(const PendingRequest& pending) const;
-  bool attempt(PendingRequest& pending);
-  bool attempt_within_budget(PendingRequest& pending);
+  [[nodiscard]] bool should_serve_local_copy(const PendingRequest& pending) const;
+  bool send_next_attempt(PendingRequest& pending);
+  bool send_extra_attempt(PendingRequest& pending);
   void send(PendingRequest& pending, const Route& route);
   void record_sent(std::size_t endpoint, double work);
   void retry_or_give_up(PendingRequest& pending, AttemptResult result);
   [[nodiscard]] bool is_retry_useful(const AttemptRecord& last) const;
   void give_up(PendingRequest& pending);
   void finish(PendingRequest& pending);
-  void drop_if_done(const std::string& request_id);
+  void remove_if_done(const std::string& request_id);
   [[nodiscard]] PendingRequest* find_waiting(const std::string& request_id);
   [[nodiscard]] Time retry_after() const;
 
@@ -143,10 +147,10 @@
   EndpointTable endpoints_;
   SlowStart slow_start_;
   EndpointSelector selector_;
-  WorkEstimate work_;
-  FillPolicy fills_;
+  WorkEstimate work_estimate_;
+  FillPolicy fill_policy_;
   CopyAge copy_age_;
-  RetrySafety safety_;
+  RetrySafety retry_safety_;
   AttemptPlanner planner_;
   AttemptFeedback feedback_;
 };
@@ -156,7 +160,7 @@
   actions_.clear();
   if (!has_started_) start();
   run_timers();
-  std::visit([this](const auto& specific_event) { on(specific_event); }, event);
+  std::visit([this](const auto& specific_event) { on_event(specific_event); }, event);
   run_timers();
   schedule_wake_up();
   return std::move(actions_);
@@ -172,7 +176,7 @@
   stats.ejected = endpoints_.ejected_count(now_);
   stats.endpoints = endpoints_.known_count();
   stats.table_entries =
-      endpoints_.entry_count() + pending_.size() + safety_.size() + copy_age_.size() + timers_.size();
+      endpoints_.entry_count() + pending_.size() + retry_safety_.size() + copy_age_.size() + timers_.size();
   return stats;
 }
 
@@ -182,7 +186,7 @@
   has_started_ = true;
   popularity_.start(now_);
   slow_start_.start(now_);
-  timers_.add(now_ + kRecomputeInterval, {TimerKind::recompute, {}});
+  timers_.add(now_ + kPeriodicUpdateInterval, {TimerKind::periodic_update, {}});
   if (settings_.subscription_required) actions_.emplace_back(SubscribeEndpointList{});
 }
 
@@ -201,8 +205,8 @@
     case TimerKind::deadline:
       on_deadline(timer.request_id);
       break;
-    case TimerKind::recompute:
-      recompute();
+    case TimerKind::periodic_update:
+      run_periodic_update();
       break;
     case TimerKind::subscribe:
       actions_.emplace_back(SubscribeEndpointList{});
@@ -214,23 +218,23 @@
   const auto due = timers_.next_due();
   if (!due || (wake_up_at_ > now_ && wake_up_at_ <= *due)) return;
   wake_up_at_ = *due;
-  actions_.emplace_back(SetTimer{*due - now_, kTimerToken});
+  actions_.emplace_back(SetTimer{*due - now_, kWakeUpTimerToken});
 }
 
-void Router::Impl::recompute() {
-  popularity_.recompute(now_);
-  slow_start_.update_usual_load(now_);
+void Router::Impl::run_periodic_update() {
+  popularity_.update_gold_parts(now_);
+  slow_start_.update_mean_load(now_);
   for (const Role role : {Role::cache, Role::parent}) {
     const auto group = endpoints_.running(role);
     const double reference = reference_latency(endpoints_, group);
-    for (const std::size_t index : group) endpoints_[index].health.recover_towards(reference);
+    for (const std::size_t index : group) endpoints_[index].health.decay_latency_towards(reference);
   }
-  timers_.add(now_ + kRecomputeInterval, {TimerKind::recompute, {}});
+  timers_.add(now_ + kPeriodicUpdateInterval, {TimerKind::periodic_update, {}});
 }
 
 // ---- Events ----
 
-void Router::Impl::on(const EndpointList& list) {
+void Router::Impl::on_event(const EndpointList& list) {
   if (list.kind != ListKind::failed) {
     endpoints_.apply(list);
   } else if (settings_.subscription_required) {
@@ -238,51 +242,51 @@
   }
 }
 
-void Router::Impl::on(const Request& request) {
+void Router::Impl::on_event(const Request& request) {
   PendingRequest arrived = make_pending(request);
   if (class_index(request) >= settings_.classes.size()) {
     actions_.emplace_back(Reject{request.id, retry_after()});
     return;
   }
   estimate_work(arrived);
-  if (is_local_copy_better(arrived)) {
+  if (should_serve_local_copy(arrived)) {
     actions_.emplace_back(ServeFromLocalCache{request.id});
     return;
   }
-  fills_.record_request(arrived);
+  fill_policy_.record_request(arrived);
   retry_budget_.record_request();
   timers_.add(request.expires - settings_.tick, {TimerKind::deadline, request.id});
   if (!runs_at_origin(settings_, request)) {
     timers_.add(now_ + arrived.latency_objective, {TimerKind::latency_objective, request.id});
   }
   PendingRequest& pending = pending_[request.id] = std::move(arrived);
-  if (!attempt(pending)) give_up(pending);
-  drop_if_done(request.id);
+  if (!send_next_attempt(pending)) give_up(pending);
+  remove_if_done(request.id);
 }
 
-void Router::Impl::on(const Outcome& outcome) {
+void Router::Impl::on_event(const Outcome& outcome) {
   const auto found = pending_.find(outcome.request);
   if (found == pending_.end() || outcome.attempt < 0) return;
   PendingRequest& pending = found->second;
-  const auto number = static_cast<std::size_t>(outcome.attempt);
-  if (number >= pending.attempts.size() || !pending.attempts[number].is_open) return;
-  feedback_.record_outcome(now_, pending, pending.attempts[number], outcome);
-  safety_.record_result(outcome.request, outcome.result);
+  const auto attempt_number = static_cast<std::size_t>(outcome.attempt);
+  if (attempt_number >= pending.attempts.size() || !pending.attempts[attempt_number].is_open) return;
+  feedback_.record_outcome(now_, pending, pending.attempts[attempt_number], outcome);
+  retry_safety_.record_result(outcome.request, outcome.result);
   if (outcome.request_finished) finish(pending);
   if (!pending.is_finished && outcome.result != AttemptResult::served) {
     retry_or_give_up(pending, outcome.result);
   }
-  drop_if_done(outcome.request);
+  remove_if_done(outcome.request);
 }
 
-void Router::Impl::on(const RequestCancelled& cancelled) {
+void Router::Impl::on_event(const RequestCancelled& cancelled) {
   const auto found = pending_.find(cancelled.request);
   if (found == pending_.end()) return;
   finish(found->second);
-  drop_if_done(cancelled.request);
+  remove_if_done(cancelled.request);
 }
 
-void Router::Impl::on(const StreamStarted& started) {
+void Router::Impl::on_event(const StreamStarted& started) {
   const auto found = pending_.find(started.request);
   if (found != pending_.end()) found->second.is_streaming = true;
 }
@@ -295,10 +299,10 @@
 void Router::Impl::on_hedge_delay(const std::string& request_id) {
   PendingRequest* pending = find_waiting(request_id);
   if (pending == nullptr) return;
-  feedback_.record_silence(now_, *pending);
-  const auto open = std::count_if(pending->attempts.begin(), pending->attempts.end(),
-                                  [](const AttemptRecord& attempt) { return attempt.is_open; });
-  if (open <= 1) attempt_within_budget(*pending);
+  feedback_.record_silent_attempts(now_, *pending);
+  const auto open_count = std::count_if(pending->attempts.begin(), pending->attempts.end(),
+                                        [](const AttemptRecord& attempt) { return attempt.is_open; });
+  if (open_count <= 1) send_extra_attempt(*pending);
 }
 
 /// Past its latency objective a request is given up where its endpoints are at capacity: what it would still
@@ -308,12 +312,12 @@
 void Router::Impl::on_latency_objective(const std::string& request_id) {
   PendingRequest* pending = find_waiting(request_id);
   if (pending == nullptr) return;
-  const OverdueAttempts overdue = feedback_.record_overdue(now_, *pending);
-  if (overdue.has_new_fill) {
+  const OverdueAttempts overdue = feedback_.record_overdue_attempts(now_, *pending);
+  if (overdue.has_newly_overdue_fill) {
     timers_.add(now_ + pending->latency_objective, {TimerKind::latency_objective, request_id});
   } else if (overdue.is_at_capacity) {
     give_up(*pending);
-    drop_if_done(request_id);
+    remove_if_done(request_id);
   }
 }
 
@@ -321,7 +325,7 @@
   PendingRequest* pending = find_waiting(request_id);
   if (pending == nullptr) return;
   give_up(*pending);
-  drop_if_done(request_id);
+  remove_if_done(request_id);
 }
 
 // ---- Steps in the course of a request ----
@@ -339,42 +343,43 @@
   const RequestClass& request_class = class_of(settings_, request);
   pending.is_size_known = request.size_kb > 0 && settings_.transfer_kb_per_s > 0;
   pending.work = pending.is_size_known ? request.size_kb / settings_.transfer_kb_per_s
-                                       : work_.mean(class_index(request));
-  if (pending.is_size_known) work_.record(class_index(request), pending.work);
-  const Time for_transfer = from_seconds(request_class.latency_objective_per_transfer_time * pending.work);
+                                       : work_estimate_.mean(class_index(request));
+  if (pending.is_size_known) work_estimate_.record(class_index(request), pending.work);
+  const Time transfer_allowance =
+      from_seconds(request_class.latency_objective_per_transfer_time * pending.work);
   pending.latency_objective =
-      std::min(request_class.latency_objective + for_transfer, request_class.deadline);
+      std::min(request_class.latency_objective + transfer_allowance, request_class.deadline);
 }
 
 /// A local copy spares a fill that would be late or expensive. The router's own link is narrow: for parts
 /// that are asked for often, which the caches have, it is used only while it is free.
-bool Router::Impl::is_local_copy_better(const PendingRequest& pending) const {
+bool Router::Impl::should_serve_local_copy(const PendingRequest& pending) const {
   const auto& wait = pending.request.local_copy_wait;
   if (!wait) return false;
-  const Time time_limit = from_seconds(kLocalCopyTimeRatio * to_seconds(pending.latency_objective));
-  if (*wait + from_seconds(pending.work) > time_limit) return false;
+  const Time max_local_copy_time = from_seconds(kLocalCopyTimeRatio * to_seconds(pending.latency_objective));
+  if (*wait + from_seconds(pending.work) > max_local_copy_time) return false;
   return wait->count() == 0 || popularity_.count(pending.part_key) <= kLocalCopyMaxCount;
 }
 
 /// Sends the next attempt; false where there is none.
-bool Router::Impl::attempt(PendingRequest& pending) {
-  const auto route = planner_.plan(now_, pending, work_.slow_start_work(pending.request));
+bool Router::Impl::send_next_attempt(PendingRequest& pending) {
+  const auto route = planner_.plan(now_, pending, work_estimate_.slow_start_work(pending.request));
   if (!route) return false;
   send(pending, *route);
   return true;
 }
 
-bool Router::Impl::attempt_within_budget(PendingRequest& pending) {
-  if (!retry_budget_.has_retry() || !attempt(pending)) return false;
+bool Router::Impl::send_extra_attempt(PendingRequest& pending) {
+  if (!retry_budget_.has_retry() || !send_next_attempt(pending)) return false;
   retry_budget_.take_retry();
   return true;
 }
 
 void Router::Impl::send(PendingRequest& pending, const Route& route) {
-  Attempt attempt = planner_.build(now_, pending, route);
+  Attempt attempt = planner_.build_attempt(now_, pending, route);
   pending.attempts.push_back({.endpoint = route.endpoint,
                               .source = route.source,
-                              .sent = now_,
+                              .sent_at = now_,
                               .is_cached_only = route.is_cached_only});
   endpoints_.add_reference(route.endpoint);
   endpoints_.add_reference(route.source);
@@ -393,8 +398,8 @@
 
 void Router::Impl::retry_or_give_up(PendingRequest& pending, AttemptResult result) {
   // What a connection lost is no sign of overload: its retry takes nothing from the budget.
-  if (is_connection_fault(result) && attempt(pending)) return;
-  if (is_retry_useful(pending.attempts.back()) && attempt_within_budget(pending)) return;
+  if (is_connection_fault(result) && send_next_attempt(pending)) return;
+  if (is_retry_useful(pending.attempts.back()) && send_extra_attempt(pending)) return;
   if (!pending.has_open_attempt()) give_up(pending);
 }
 
@@ -408,7 +413,7 @@
 /// The final answer of a request that is not served.
 void Router::Impl::give_up(PendingRequest& pending) {
   if (pending.is_finished) return;
-  if (safety_.may_reject(pending)) {
+  if (retry_safety_.may_reject(pending)) {
     actions_.emplace_back(Reject{pending.request.id, retry_after()});
   } else {
     actions_.emplace_back(Fail{pending.request.id});
@@ -420,21 +425,21 @@
 void Router::Impl::finish(PendingRequest& pending) {
   if (std::exchange(pending.is_finished, true)) return;
   if (!settings_.cancellation || pending.is_streaming) return;
-  for (std::size_t number = 0; number < pending.attempts.size(); ++number) {
-    if (pending.attempts[number].is_open) {
-      actions_.emplace_back(Cancel{pending.request.id, static_cast<int>(number)});
+  for (std::size_t attempt_number = 0; attempt_number < pending.attempts.size(); ++attempt_number) {
+    if (pending.attempts[attempt_number].is_open) {
+      actions_.emplace_back(Cancel{pending.request.id, static_cast<int>(attempt_number)});
     }
   }
 }
 
 /// Forgets a request that has its final answer and the outcomes of all its attempts.
-void Router::Impl::drop_if_done(const std::string& request_id) {
+void Router::Impl::remove_if_done(const std::string& request_id) {
   const auto found = pending_.find(request_id);
   if (found == pending_.end()) return;
   if (!found->second.is_finished || found->second.has_open_attempt()) return;
   const std::vector<AttemptRecord> attempts = std::move(found->second.attempts);
   pending_.erase(found);
-  safety_.forget(request_id);
+  retry_safety_.forget(request_id);
   for (const AttemptRecord& attempt : attempts) {
     endpoints_.remove_reference(attempt.endpoint);
     endpoints_.remove_reference(attempt.source);
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -12,16 +12,16 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kBudgetUse = 0.7;  // part of the budget that is used
+constexpr double kBudgetUtilization = 0.7;  // part of the budget that is used
 // The same while the process that this router replaces may still send.
-constexpr double kBudgetUseDuringHandover = 0.3;
-constexpr Time kHandoverTime = 4s;  // from this router's start
-constexpr double kLoadGain = 0.1;   // weight of the newest second in the usual load
+constexpr double kHandoverBudgetUtilization = 0.3;
+constexpr Time kHandoverTime = 4s;     // from this router's start
+constexpr double kMeanLoadGain = 0.1;  // weight of the newest second in the usual load
 constexpr double kMinWeightSum = 1e-3;
 
 }  // namespace
 
-SlowStart::Rule SlowStart::rule_for(Role role) const {
+SlowStart::RoleSettings SlowStart::settings_for(Role role) const {
   if (role == Role::parent) {
     return {.initial_capacity = settings_.parent_initial_capacity,
             .overload_factor = settings_.parent_overload_factor,
@@ -34,15 +34,17 @@
 
 bool SlowStart::is_warming_up(Time now, const EndpointStats& stats) const {
   const Time started = stats.endpoint.started;
-  return started.count() != 0 && now - started < rule_for(stats.role).warm_up_time;
+  return started.count() != 0 && now - started < settings_for(stats.role).warm_up_time;
 }
 
 bool SlowStart::admits(Time now, EndpointStats& stats, double work) const {
   if (!is_warming_up(now, stats)) return true;
-  const double budget_now = budget(now, stats);
-  if (budget_now >= work) return stats.warm_up_work.sum(now, settings_.overload_window) + work <= budget_now;
-  if (budget_now <= 0) return false;
-  return admits_single(now, stats, work, budget_now);
+  const double current_budget = budget(now, stats);
+  if (current_budget >= work) {
+    return stats.warm_up_work.sum(now, settings_.overload_window) + work <= current_budget;
+  }
+  if (current_budget <= 0) return false;
+  return admits_spaced_request(now, stats, work, current_budget);
 }
 
 /// This router's share of the load that the endpoint would have when warm: of its size where the list tells
@@ -54,38 +56,41 @@
   if (has_endpoint_sizes(settings_)) {
     return weight / std::max(1, is_parent ? settings_.router_count : routers_in_zone(settings_));
   }
-  double weights = 0;
+  double weight_sum = 0;
   for (const std::size_t index : endpoints_.running(stats.role)) {
-    weights += weight_of(settings_, endpoints_[index].endpoint);
+    weight_sum += weight_of(settings_, endpoints_[index].endpoint);
   }
-  return (is_parent ? parents_ : caches_).usual * weight / std::max(weights, kMinWeightSum);
+  return (is_parent ? parents_ : caches_).mean * weight / std::max(weight_sum, kMinWeightSum);
 }
 
 /// Work that may be sent within the overload window: the load share, times the least part of its capacity
 /// that the endpoint has by its age, times the factor at which it is overloaded, with a margin.
 double SlowStart::budget(Time now, const EndpointStats& stats) const {
-  const Rule rule = rule_for(stats.role);
-  const double initial = rule.initial_capacity;
-  const double age = std::max(0.0, to_seconds(now - stats.endpoint.started) / to_seconds(rule.warm_up_time));
+  const RoleSettings role_settings = settings_for(stats.role);
+  const double initial_capacity = role_settings.initial_capacity;
+  const double age =
+      std::max(0.0, to_seconds(now - stats.endpoint.started) / to_seconds(role_settings.warm_up_time));
   double load = load_share(stats);
   load *= stats.role == Role::parent ? quota_.parent_share : quota_.cache_share;
-  const double use = now - started_at_ < kHandoverTime ? kBudgetUseDuringHandover : kBudgetUse;
-  return use * rule.overload_factor * (initial + (1 - initial) * age) * load *
-         to_seconds(settings_.overload_window);
+  const double utilization =
+      now - started_at_ < kHandoverTime ? kHandoverBudgetUtilization : kBudgetUtilization;
+  return utilization * role_settings.overload_factor * (initial_capacity + (1 - initial_capacity) * age) *
+         load * to_seconds(settings_.overload_window);
 }
 
 /// Less than one request in the overload window is one request in a longer interval, counted from a moment of
 /// this router's own. Else hundreds of routers would send nothing until the endpoint counts as warm, and then
 /// all at once.
-bool SlowStart::admits_single(Time now, const EndpointStats& stats, double work, double budget) const {
-  const double warm_up = to_seconds(rule_for(stats.role).warm_up_time);
+bool SlowStart::admits_spaced_request(Time now, const EndpointStats& stats, double work,
+                                      double budget) const {
+  const double warm_up = to_seconds(settings_for(stats.role).warm_up_time);
   const Time interval =
       from_seconds(std::min(to_seconds(settings_.overload_window) * work / budget, warm_up));
   const double phase = top_53_bits(splitmix64(stats.hash ^ seed_)) / kTwoTo53;
   const Time started = stats.endpoint.started;
   const Time last_sent = stats.last_sent_in_warm_up_at;
-  const Time wait = last_sent < started ? from_seconds(phase * to_seconds(interval)) : interval;
-  return now - std::max(last_sent, started) >= wait;
+  const Time min_wait = last_sent < started ? from_seconds(phase * to_seconds(interval)) : interval;
+  return now - std::max(last_sent, started) >= min_wait;
 }
 
 void SlowStart::record_sent(Time now, EndpointStats& stats, double work) const {
@@ -95,19 +100,21 @@
 }
 
 void SlowStart::record_served(Role role, double work) {
-  if (role == Role::cache) caches_.this_second += work;
-  if (role == Role::parent) parents_.this_second += work;
+  if (role == Role::cache) caches_.current_second += work;
+  if (role == Role::parent) parents_.current_second += work;
 }
 
-void SlowStart::update_usual_load(Time now) {
+void SlowStart::update_mean_load(Time now) {
   // Seconds in which most of a group is warming up, or fails though it is listed, do not show what its
   // endpoints can do: after a restart of all, budgets that followed them would fall to nothing.
-  if (is_mostly_warm(now, Role::cache)) caches_.usual += kLoadGain * (caches_.this_second - caches_.usual);
+  if (is_mostly_warm(now, Role::cache)) {
+    caches_.mean += kMeanLoadGain * (caches_.current_second - caches_.mean);
+  }
   if (is_mostly_warm(now, Role::parent)) {
-    parents_.usual += kLoadGain * (parents_.this_second - parents_.usual);
+    parents_.mean += kMeanLoadGain * (parents_.current_second - parents_.mean);
   }
-  caches_.this_second = 0;
-  parents_.this_second = 0;
+  caches_.current_second = 0;
+  parents_.current_second = 0;
 }
 
 bool SlowStart::is_mostly_warm(Time now, Role role) const {
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -36,25 +36,26 @@
   void record_served(Role role, double work);
 
   /// Folds what was served since the last call, one second ago, into the usual load.
-  void update_usual_load(Time now);
+  void update_mean_load(Time now);
 
  private:
   /// The site's rule for the role of an endpoint.
-  struct Rule {
+  struct RoleSettings {
     double initial_capacity = 1;
     double overload_factor = 0;
     Time warm_up_time{0};
   };
   /// Work served by the endpoints of a role, in seconds of transfer for each second.
   struct ServedLoad {
-    double this_second = 0;
-    double usual = 0;
+    double current_second = 0;
+    double mean = 0;
   };
 
-  [[nodiscard]] Rule rule_for(Role role) const;
+  [[nodiscard]] RoleSettings settings_for(Role role) const;
   [[nodiscard]] double load_share(const EndpointStats& stats) const;
   [[nodiscard]] double budget(Time now, const EndpointStats& stats) const;
-  [[nodiscard]] bool admits_single(Time now, const EndpointStats& stats, double work, double budget) const;
+  [[nodiscard]] bool admits_spaced_request(Time now, const EndpointStats& stats, double work,
+                                           double budget) const;
   [[nodiscard]] bool is_mostly_warm(Time now, Role role) const;
 
   const Settings& settings_;
