--- a/src/routing/attempt_feedback.cpp
+++ b/src/routing/attempt_feedback.cpp
@@ -12,8 +12,10 @@
 namespace edge_proxy::routing {
 namespace {
 
-constexpr double kSharedBlameRatio = 0.5;    // of an endpoint whose source is the likelier cause
-constexpr double kSilentAttemptLatency = 1;  // a silent attempt counts as a response at the latency objective
+// Part of the blame on an endpoint whose source is the more likely cause.
+constexpr double kSharedBlameRatio = 0.5;
+// An unanswered attempt counts as a response at the latency objective.
+constexpr double kSilentAttemptLatency = 1;
 constexpr double kMinLatencyObjectiveSeconds = 1e-3;
 
 bool is_hit(CacheStatus status) { return status == CacheStatus::hit || status == CacheStatus::stale; }
@@ -92,7 +94,7 @@
       break;
     case AttemptResult::cancelled:
     case AttemptResult::not_sent:
-    case AttemptResult::malformed_response:  // comes from all endpoints alike: no evidence against this one
+    case AttemptResult::malformed_response:  // affects all endpoints alike: no evidence against this one
       break;
   }
 }
@@ -131,12 +133,12 @@
   if (!ended.attempt.is_latency_recorded) source.health.record_latency(relative_latency);
   if (is_in_time) source.limit.increase(source.in_flight);
   deps_.fills.record_filled(ended.fill_kind, is_in_time, outcome.cache_status);
-  if (ended.attempt.is_overdue) return;  // counted before
+  if (ended.attempt.is_overdue) return;  // record_overdue_attempts() has counted it
   const Time beyond_transfer = std::max(Time{0}, outcome.duration - from_seconds(ended.pending.work));
   deps_.fills.record_fill_time(ended.pending, is_in_time, outcome.first_byte.value_or(beyond_transfer));
 }
 
-/// An error, a rejection, or a miss for which a fill was asked.
+/// Records an error, a rejection, or a cache miss although the attempt allowed a fill.
 void AttemptFeedback::record_failed(const EndedAttempt& ended) {
   const bool is_status_unknown = ended.outcome.cache_status == CacheStatus::unknown;
   if (is_status_unknown && ended.outcome.result == AttemptResult::error &&
@@ -157,7 +159,7 @@
   if (is_source_failure(status)) {
     ended.source.limit.decrease();
     ended.source.health.record_failure(ended.now);
-  } else if (status == CacheStatus::unknown) {  // either may have refused, the source more often
+  } else if (status == CacheStatus::unknown) {  // either may have failed; the source does more often
     ended.source.limit.decrease();
     ended.source.health.record_latency(kWorstLatency);
     ended.endpoint.limit.decrease(kSharedBlameRatio);
@@ -181,7 +183,7 @@
   for (AttemptRecord& attempt : pending.attempts) {
     if (!attempt.is_open) continue;
     EndpointStats& endpoint = deps_.endpoints[attempt.endpoint];
-    EndpointStats& source = deps_.endpoints[attempt.source];  // the endpoint itself where there is no fill
+    EndpointStats& source = deps_.endpoints[attempt.source];  // the endpoint itself without a fill
     if (endpoint.limit.is_reached(endpoint.in_flight) || source.limit.is_reached(source.in_flight)) {
       overdue.is_at_capacity = true;
     }
--- a/src/routing/attempt_feedback.h
+++ b/src/routing/attempt_feedback.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What the outcome or the silence of an attempt tells of its endpoint, its source and the fills. Decides
-/// which of them a failure or a late response is blamed on.
+/// Updates the health, the concurrency limits and the fill admission from the results of attempts, and from
+/// attempts that have not been answered yet. Decides whether a failure or a late response counts against the
+/// endpoint or against the source of its fill.
 #pragma once
 
 #include "edge_proxy/router.h"
@@ -13,7 +14,7 @@
 
 namespace edge_proxy::routing {
 
-/// What takes in the feedback. All have to outlive it.
+/// The components that the feedback updates. They must outlive the AttemptFeedback.
 struct FeedbackDependencies {
   EndpointTable& endpoints;
   SlowStart& slow_start;
@@ -21,35 +22,35 @@
   WorkEstimate& work;
 };
 
-/// The open attempts of a request at its latency objective.
+/// Properties of the open attempts of a request that has reached its latency objective.
 struct OverdueAttempts {
-  bool has_newly_overdue_fill = false;  ///< a fill is overdue that was not before
-  bool is_at_capacity = false;          ///< an endpoint or source is at its concurrency limit
+  bool has_newly_overdue_fill = false;  ///< an attempt with a fill became overdue just now
+  bool is_at_capacity = false;          ///< an endpoint or a source has reached its concurrency limit
 };
 
 class AttemptFeedback {
  public:
   explicit AttemptFeedback(const FeedbackDependencies& dependencies) : deps_(dependencies) {}
 
-  /// An open attempt of the request has ended.
+  /// Records the outcome of an open attempt and closes the attempt.
   void record_outcome(Time now, const PendingRequest& pending, AttemptRecord& attempt,
                       const Outcome& outcome);
 
-  /// Counts attempts that have been silent for the hedge delay as slow, each once.
+  /// Records a slow response for each attempt that has been open for the hedge delay, once per attempt.
   void record_silent_attempts(Time now, PendingRequest& pending);
 
-  /// Counts open attempts as late, each once.
+  /// Records a late response for each open attempt, once per attempt.
   OverdueAttempts record_overdue_attempts(Time now, PendingRequest& pending);
 
  private:
-  /// An outcome with what it belongs to.
+  /// An outcome with the attempt, the request, the endpoint and the source that it belongs to.
   struct EndedAttempt {
     Time now{0};
     const PendingRequest& pending;
     const AttemptRecord& attempt;
     const Outcome& outcome;
     EndpointStats& endpoint;
-    EndpointStats& source;  ///< the endpoint itself where there was no fill
+    EndpointStats& source;  ///< the endpoint itself if the attempt had no fill
     FillKind fill_kind;
   };
 
--- a/src/routing/attempt_planner.cpp
+++ b/src/routing/attempt_planner.cpp
@@ -10,8 +10,8 @@
 namespace edge_proxy::routing {
 namespace {
 
-/// Endpoints (or sources) of the earlier attempts, which the next one leaves out. One whose response could
-/// not be read is not left out: the request has run there, and its copy is there now.
+/// Returns the endpoints (or sources) of the earlier attempts, which the next attempt excludes. An endpoint
+/// whose response was malformed is not excluded: the request has run there, so the endpoint has the copy.
 std::vector<std::size_t> earlier_indices(const PendingRequest& pending,
                                          std::size_t AttemptRecord::*index_field) {
   std::vector<std::size_t> indices;
@@ -49,17 +49,17 @@
   auto endpoint = choose_cache(now, pending, work);
   if (!endpoint && deps_.settings.direct_to_sources) endpoint = source;
   if (!endpoint) return std::nullopt;
-  // Without a source, because all are full, what the cache holds is served and no fill is added.
+  // Without a source, because all are full, the attempt is served only from what the cache holds.
   return Route{.endpoint = *endpoint,
                .source = source.value_or(*endpoint),
                .is_cached_only = is_cached_only,
                .work = work};
 }
 
-/// Fills that no parent takes go to the origin while it answers in time: it may have capacity when parents
-/// are lost or warming up. Fills that are held back from the parents are not asked of the origin instead: it
-/// bears their misses too, and a fill past them leaves no copy for the other locations. A parent is still
-/// asked for what it has cached.
+/// If no parent can be selected, the fill goes to the origin while the origin answers in time: it may have
+/// capacity when parents are lost or warming up. If admission denies a fill from the parents, the fill does
+/// not go to the origin instead: the origin also serves the parents' misses, and a fill that bypasses the
+/// parents leaves no copy for the other locations. A parent may still serve what it has cached.
 AttemptPlanner::SourceChoice AttemptPlanner::choose_source(Time now, const PendingRequest& pending,
                                                            double work) {
   const auto origin = deps_.endpoints.origin();
@@ -115,7 +115,7 @@
   attempt.join_fill = is_sent_to_cache && !runs_at_origin(deps_.settings, request);
   attempt.cached_only = route.is_cached_only;
   attempt.send_within = deps_.safety.send_within(now, pending);
-  // A parent that is asked directly gives only what it has cached unless the origin is named as its source.
+  // A parent that receives the attempt itself fills its misses only if the origin is named as its source.
   const auto origin = deps_.endpoints.origin();
   if (route.endpoint == route.source && endpoint.role == Role::parent && !attempt.cached_only && origin) {
     attempt.source = deps_.endpoints[*origin].endpoint.id;
--- a/src/routing/attempt_planner.h
+++ b/src/routing/attempt_planner.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The route of the next attempt of a request: its endpoint, and the source from which a miss is filled.
-/// Decides from endpoint selection, fill admission and retry safety.
+/// Chooses the route of the next attempt of a request: its endpoint, and the source from which a cache miss
+/// is filled. Combines endpoint selection, fill admission and retry safety.
 #pragma once
 
 #include <cstddef>
@@ -19,12 +19,12 @@
 
 struct Route {
   std::size_t endpoint = 0;
-  std::size_t source = 0;       ///< the endpoint itself: no fill
-  bool is_cached_only = false;  ///< the source, a parent, gives only what it has cached
-  double work = 0;              ///< for slow start, in seconds of transfer
+  std::size_t source = 0;       ///< the endpoint itself if no fill is allowed
+  bool is_cached_only = false;  ///< the source is a parent that serves only from its cache
+  double work = 0;              ///< size of the request for slow start, in seconds of transfer
 };
 
-/// The parts from which routes are planned. They have to outlive the planner.
+/// The components that the planner consults. They must outlive it.
 struct PlannerDependencies {
   const Settings& settings;
   const EndpointTable& endpoints;
@@ -38,10 +38,11 @@
  public:
   explicit AttemptPlanner(const PlannerDependencies& dependencies) : deps_(dependencies) {}
 
-  /// The next attempt's route; nothing where there is none. `work`: size of the request for slow start.
+  /// Returns the route of the next attempt, or nothing if no attempt is possible. `work` is the size of the
+  /// request for slow start, in seconds of transfer.
   [[nodiscard]] std::optional<Route> plan(Time now, const PendingRequest& pending, double work);
 
-  /// The attempt for a route, before it is among the request's attempts.
+  /// Builds the attempt for a route. Call it before the attempt is added to `pending.attempts`.
   [[nodiscard]] Attempt build_attempt(Time now, const PendingRequest& pending, const Route& route) const;
 
  private:
--- a/src/routing/concurrency_limit.cpp
+++ b/src/routing/concurrency_limit.cpp
@@ -6,8 +6,8 @@
 namespace edge_proxy::routing {
 namespace {
 
-constexpr double kIncreaseRatio = 0.02;  // for each response in time, and by one for each full round at least
-constexpr double kDecreaseRatio = 0.1;   // for each late response or rejection
+constexpr double kIncreaseRatio = 0.02;  // per response in time; at least 1 per limit_ responses
+constexpr double kDecreaseRatio = 0.1;   // per late response or rejection
 
 }  // namespace
 
--- a/src/routing/copy_age.cpp
+++ b/src/routing/copy_age.cpp
@@ -17,8 +17,8 @@
   std::erase_if(by_group_, is_expired);
 }
 
-/// Twice the time in which older copies disappear, so that none that was in flight at the invalidation slips
-/// through.
+/// An invalidation stays in effect for twice the time after which the site guarantees that no older copy
+/// exists, so that a copy that was in flight at the invalidation is not served either.
 bool CopyAge::is_in_effect(Time now, Time invalidated_at) const {
   return now - invalidated_at < 2 * settings_.invalidation_settled_after;
 }
--- a/src/routing/copy_age.h
+++ b/src/routing/copy_age.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The oldest copy that a response may be served from. Decides from the class's fresh time and the newest
-/// invalidation of the object or its group. Guards against serving a copy from before an invalidation.
+/// Computes the maximum age of a copy that may be served, from the request class's `max_age` and the newest
+/// invalidation of the object or its group. Prevents responses from copies older than an invalidation.
 #pragma once
 
 #include <cstddef>
@@ -12,21 +12,21 @@
 
 namespace edge_proxy::routing {
 
-/// Whether a copy in its grace time may be served. Where no fill is admitted it is: it scores less than a
-/// fresh one, and a rejection scores nothing.
+/// Whether a stale copy within its grace time may be served. It is included if no fill is admitted: a stale
+/// response scores less than a fresh one, but a rejection scores nothing.
 enum class GraceTime { excluded, included };
 
 class CopyAge {
  public:
-  /// `settings` has to outlive this object.
+  /// `settings` must outlive this object.
   explicit CopyAge(const Settings& settings) : settings_(settings) {}
 
   void record_invalidation(Time now, const Invalidation& invalidation);
 
-  /// 0: no bound but the class's own.
+  /// Returns the maximum age of a copy for the request; 0 means no limit.
   [[nodiscard]] Time max_copy_age(Time now, const Request& request, GraceTime grace) const;
 
-  /// Invalidations that are remembered.
+  /// Number of stored invalidations.
   [[nodiscard]] std::size_t size() const { return by_object_.size() + by_group_.size(); }
 
  private:
--- a/src/routing/endpoint_health.cpp
+++ b/src/routing/endpoint_health.cpp
@@ -10,12 +10,12 @@
 using namespace std::chrono_literals;
 
 constexpr double kLatencyGain = 0.1;            // weight of a new sample in the relative latency
-constexpr double kLatencyRecoveryRatio = 0.05;  // part of its excess latency that an endpoint loses at a time
+constexpr double kLatencyRecoveryRatio = 0.05;  // part of the excess over the reference removed per call
 constexpr double kErrorRateGain = 0.05;         // weight of a new attempt in the error rate
-constexpr int kFailuresToEject = 3;             // in a row
-constexpr Time kMaxEjection = 8s;               // the backoff doubles up to this
-constexpr double kSlowLatencyRatio = 2;         // times the reference latency from which an endpoint is slow
-constexpr double kMinReferenceLatency = 0.05;   // guards the quotient against a reference of nearly nothing
+constexpr int kFailuresToEject = 3;             // consecutive
+constexpr Time kMaxEjection = 8s;               // the ejection time doubles up to this maximum
+constexpr double kSlowLatencyRatio = 2;         // an endpoint above this multiple of the reference is slow
+constexpr double kMinReferenceLatency = 0.05;   // avoids a division by a reference close to zero
 
 }  // namespace
 
--- a/src/routing/endpoint_selection.cpp
+++ b/src/routing/endpoint_selection.cpp
@@ -11,7 +11,7 @@
 namespace edge_proxy::routing {
 namespace {
 
-constexpr double kLoadBound = 4.0;  // requests in flight at a cache, over its even share of them
+constexpr double kLoadBound = 4.0;  // maximum requests in flight at a cache, as a multiple of its even share
 
 }  // namespace
 
@@ -49,8 +49,9 @@
   return stats.is_running() && !stats.health.is_ejected(now) && slow_start_.admits(now, stats, work);
 }
 
-/// Weighted rendezvous hashing: -weight / ln(u), with u uniform in (0, 1) by the hash. Slowness takes from
-/// the weight by its square, so that all routers move the same objects away from a slow endpoint.
+/// Weighted rendezvous hashing: the score is -weight / ln(u), where the hash gives u uniform in (0, 1).
+/// The weight is divided by the square of the slowness, so that all routers move the same objects away from a
+/// slow endpoint.
 double EndpointSelector::score(const EndpointStats& stats, std::uint64_t key, double reference) const {
   const double uniform = (top_53_bits(splitmix64(stats.hash ^ key)) + 0.5) / kTwoTo53;
   const double slowness = stats.health.slowness(reference);
--- a/src/routing/endpoint_selection.h
+++ b/src/routing/endpoint_selection.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Endpoint selection by weighted rendezvous hashing with bounded load. Decides which cache, or which parent,
-/// gets a request, from a key, the endpoints' weights and health, and this router's requests in flight. All
-/// routers order the endpoints of a key alike, so that its copies lie at few places.
+/// Endpoint selection by weighted rendezvous hashing with bounded load. Selects the cache or the parent for a
+/// request from a key, the weights and the health of the endpoints, and this router's requests in flight. All
+/// routers rank the endpoints of a key in the same order, so that few endpoints hold copies of it.
 #pragma once
 
 #include <cstddef>
@@ -21,26 +21,26 @@
   Role role = Role::cache;
   std::uint64_t key = 0;
   double work = 0;                    ///< size of the request for slow start, in seconds of transfer
-  std::vector<std::size_t> excluded;  ///< endpoints that had an attempt already
-  double capacity_ratio = 1;          ///< part of a parent's concurrency limit that is open to the request
+  std::vector<std::size_t> excluded;  ///< endpoints of earlier attempts
+  double capacity_ratio = 1;          ///< part of a parent's concurrency limit that the request may use
 };
 
 class EndpointSelector {
  public:
-  /// The arguments have to outlive this object.
+  /// The arguments must outlive this object.
   EndpointSelector(const Settings& settings, EndpointTable& endpoints, const SlowStart& slow_start)
       : settings_(settings), endpoints_(endpoints), slow_start_(slow_start) {}
 
-  /// The first usable endpoint in the key's order whose requests in flight are below its bound.
+  /// Returns the first usable endpoint in rendezvous order with fewer requests in flight than its load bound.
   [[nodiscard]] std::optional<std::size_t> select(Time now, const SelectionQuery& query) const;
 
  private:
-  /// A usable endpoint with its score in the key's order.
+  /// A usable endpoint with its rendezvous score.
   struct Candidate {
     double score = 0;
     std::size_t index = 0;
   };
-  /// The endpoints of the role as a whole, and those that may be selected, best first.
+  /// Sums over all running endpoints of the role, and the endpoints that may be selected, best first.
   struct Candidates {
     double share_sum = 0;
     double in_flight = 0;
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -8,7 +8,7 @@
 namespace edge_proxy::routing {
 
 void EndpointTable::apply(const EndpointList& list) {
-  if (list.kind != ListKind::changes) {  // an endpoint that a complete list lacks is gone
+  if (list.kind != ListKind::changes) {  // endpoints missing from a complete list are removed
     for (EndpointStats& stats : endpoints_) stats.endpoint.state = EndpointState::removed;
   }
   for (const Endpoint& endpoint : list.endpoints) update_endpoint(endpoint);
@@ -48,12 +48,12 @@
   remove_if_unused(index);
 }
 
-/// Guards the memory where endpoints are replaced for ever: what is known of a removed one is dropped with
-/// the last request that names it, and its entry is used again.
+/// Frees the entry of a removed endpoint once no pending request refers to it, for reuse by a new endpoint.
+/// This bounds the memory when endpoints are replaced again and again.
 void EndpointTable::remove_if_unused(std::size_t index) {
   const EndpointStats& stats = endpoints_[index];
   if (stats.endpoint.state != EndpointState::removed || stats.references > 0) return;
-  if (index_by_id_.erase(stats.endpoint.id) == 0) return;  // forgotten before
+  if (index_by_id_.erase(stats.endpoint.id) == 0) return;  // already freed
   free_indices_.push_back(index);
 }
 
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The endpoints that this router knows, by index, with what it has learnt of each. Decides from the endpoint
-/// list which role each has, and when one is forgotten.
+/// The known endpoints, by index, with the state that the router keeps for each. Assigns the role of each
+/// endpoint from the endpoint list, and frees the entries of removed endpoints.
 #pragma once
 
 #include <cstddef>
@@ -18,16 +18,16 @@
 
 namespace edge_proxy::routing {
 
-/// `other_zone`: a cache of another zone, which gets no requests.
+/// The role of an endpoint for this router. `other_zone`: a cache of another zone, which gets no requests.
 enum class Role { cache, parent, origin, other_zone };
 
-/// What this router knows of one endpoint.
+/// The state that the router keeps for one endpoint.
 struct EndpointStats {
   Endpoint endpoint;
-  std::uint64_t hash = 0;  ///< of its id: its place in the rendezvous order
+  std::uint64_t hash = 0;  ///< hash of its id, for rendezvous hashing
   Role role = Role::other_zone;
-  int references = 0;  ///< attempts of pending requests that name it
-  int in_flight = 0;   ///< own attempts out at it, and fills that name it as source
+  int references = 0;  ///< number of uses as endpoint or source by attempts of pending requests
+  int in_flight = 0;   ///< this router's open attempts with it as endpoint or source
   EndpointHealth health;
   ConcurrencyLimit limit;
   SlidingWindowSum warm_up_work;  ///< work sent to it while it is warming up
@@ -36,28 +36,28 @@
   [[nodiscard]] bool is_running() const { return endpoint.state == EndpointState::running; }
 };
 
-/// Indices stay valid while an endpoint is listed or referenced.
+/// An index stays valid while its endpoint is listed or referenced.
 class EndpointTable {
  public:
-  /// `settings` has to outlive this object.
+  /// `settings` must outlive this object.
   explicit EndpointTable(const Settings& settings) : settings_(settings) {}
 
-  /// Takes in a list that is not `ListKind::failed`.
+  /// Applies an endpoint list. Its kind must not be `ListKind::failed`.
   void apply(const EndpointList& list);
 
   [[nodiscard]] EndpointStats& operator[](std::size_t index) { return endpoints_[index]; }
   [[nodiscard]] const EndpointStats& operator[](std::size_t index) const { return endpoints_[index]; }
 
-  /// Indices of the running endpoints of a role, ascending.
+  /// Returns the indices of the running endpoints of a role in ascending order.
   [[nodiscard]] std::vector<std::size_t> running(Role role) const;
   [[nodiscard]] std::optional<std::size_t> origin() const;
 
   void add_reference(std::size_t index) { ++endpoints_[index].references; }
   void remove_reference(std::size_t index);
 
-  /// Endpoints that are listed or still referenced.
+  /// Number of endpoints that are listed or still referenced.
   [[nodiscard]] std::size_t known_count() const { return index_by_id_.size(); }
-  /// Entries with those that are free for reuse.
+  /// Number of table entries, including free entries.
   [[nodiscard]] std::size_t entry_count() const { return endpoints_.size(); }
   [[nodiscard]] std::size_t ejected_count(Time now) const;
 
--- a/src/routing/fill_policy.cpp
+++ b/src/routing/fill_policy.cpp
@@ -12,10 +12,10 @@
 using admission::FillAdmission;
 
 constexpr double kMeanGain = 0.02;                // weight of a new request in the moving means
-constexpr double kLowValueCapacityRatio = 0.5;    // for fills of less than the usual value for their size
-constexpr double kLinkUtilizationGain = 0.3;      // weight of the newest report of the link
-constexpr double kLinkOverloadUtilization = 1.5;  // utilization from which fewer fills are admitted
-constexpr double kMinValue = 1e-6;                // guards the cost against a division by nothing
+constexpr double kLowValueCapacityRatio = 0.5;    // for fills with a value below the mean for their size
+constexpr double kLinkUtilizationGain = 0.3;      // weight of the newest load report
+constexpr double kLinkOverloadUtilization = 1.5;  // fewer fills are admitted above this utilization
+constexpr double kMinValue = 1e-6;                // avoids a division by zero in the cost
 
 }  // namespace
 
@@ -24,7 +24,8 @@
   mean_value_ += kMeanGain * (expected_value(pending) - mean_value_);
 }
 
-/// What a fill is expected to score: a slow source leaves classes with a short objective no chance.
+/// Returns the expected score of a fill. Classes with a short latency objective score little while the source
+/// is slow, because few of their fills are in time.
 double FillPolicy::expected_value(const PendingRequest& pending) const {
   return class_of(settings_, pending.request).priority_weight *
          in_time_ratio_by_class_[class_index(pending.request)];
@@ -85,8 +86,8 @@
 void FillPolicy::record_filled(FillKind kind, bool is_in_time, CacheStatus status) {
   if (is_in_time) admission_for(kind).record_in_time();
   if (kind == FillKind::parent_cached || status == CacheStatus::filled_by_origin) return;
-  // Late though the origin was not asked: the link or the parent is full, and what parents have cached would
-  // be late as well.
+  // If the response is late although the origin was not involved, then the link or the parent is overloaded,
+  // and fills from the parents' caches would be late as well.
   if (is_in_time) {
     parent_cached_fills_.record_in_time();
   } else {
@@ -97,7 +98,7 @@
 void FillPolicy::record_fill_time(const PendingRequest& pending, bool is_in_time, Time delay) {
   double& in_time_ratio = in_time_ratio_by_class_[class_index(pending.request)];
   in_time_ratio += kMeanGain * ((is_in_time ? 1 : 0) - in_time_ratio);
-  // A full link slows large fills most: only small ones show the delay of the source.
+  // A full link slows large fills most, so that only small fills show the delay of the source.
   if (pending.work < mean_work_) {
     fill_delay_seconds_ += kMeanGain * (to_seconds(delay) - fill_delay_seconds_);
   }
--- a/src/routing/peer_group.cpp
+++ b/src/routing/peer_group.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::ptrdiff_t kQuartiles = 4;
-constexpr double kOutlierErrorRateExcess = 0.3;  // error rate above that of the best of the group
+constexpr double kOutlierErrorRateExcess = 0.3;  // over the lowest error rate of the group
 
 }  // namespace
 
--- a/src/routing/peer_group.h
+++ b/src/routing/peer_group.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Comparisons of an endpoint with the others of its role. A fault of one endpoint shows against its group; a
-/// fault that all share does not, and is blamed on none of them.
+/// Compares an endpoint with the other endpoints of its role. A fault of one endpoint makes it differ from
+/// the others. A fault that all of them share doesn't, and so counts against none of them.
 #pragma once
 
 #include <cstddef>
@@ -11,11 +11,13 @@
 
 namespace edge_proxy::routing {
 
-/// Latency of the healthy endpoints of a group: the lower quartile of the relative latencies; 0 for none.
+/// Returns the latency of the healthy endpoints of a group: the lower quartile of the relative latencies, or
+/// 0 for an empty group.
 [[nodiscard]] double reference_latency(const EndpointTable& endpoints, const std::vector<std::size_t>& group);
 
-/// Whether the errors of an endpoint are its own, where no response says so: those of a source come back from
-/// all caches alike. Guards the sources, and all fills, against paying for one cache that fails fast.
+/// Whether the endpoint itself causes its errors, for responses that don't state the cause: errors of a
+/// source come back through all caches at the same rate. Without this check one cache that fails fast would
+/// lower the limits of the sources and stop all fills.
 [[nodiscard]] bool has_outlier_error_rate(const EndpointTable& endpoints, const EndpointStats& stats);
 
 }  // namespace edge_proxy::routing
--- a/src/routing/popularity.cpp
+++ b/src/routing/popularity.cpp
@@ -15,7 +15,8 @@
 constexpr std::size_t kBronzeMaxCount = 1;
 constexpr std::size_t kMaxCountedRequests = 1 << 16;
 
-/// The more routers share the demand of a zone, the longer each has to count to see as many requests.
+/// The window grows with the number of routers in the zone: they share its requests, and each needs as many
+/// for its counts.
 Time window_of(const Settings& settings) { return kWindowPerRouter * std::max(1, routers_in_zone(settings)); }
 
 }  // namespace
@@ -30,7 +31,7 @@
 }
 
 Rank Popularity::count_and_rank(Time now, std::uint64_t part_key, bool client_retry) {
-  // A retry by the client or by this router is no new demand.
+  // A retry by the client is no new demand. This router's own retries don't get here.
   if (!client_retry) counts_.add(now, part_key);
   if (gold_.contains(part_key)) return Rank::middle;
   const bool window_is_full = now - started_at_ >= window_of(settings_);
--- a/src/routing/popularity.h
+++ b/src/routing/popularity.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Popularity of parts of objects. Decides the rank (gold, silver, bronze) at which caches keep a part, from
-/// this router's own requests in a moving window. Guards the caches against parts that are asked for once and
-/// would displace parts that are asked for often.
+/// Popularity of parts of objects. Assigns the rank (gold, silver, bronze) at which caches store a part, from
+/// this router's own requests in a sliding window. Prevents parts that are requested once from displacing
+/// frequently requested parts in the caches.
 #pragma once
 
 #include <cstddef>
@@ -16,20 +16,20 @@
 
 class Popularity {
  public:
-  /// `settings` has to outlive this object. The window's length is fixed here.
+  /// `settings` must outlive this object. The length of the window is fixed at construction.
   explicit Popularity(const Settings& settings);
 
-  /// The router handles its first event at `now`: from here on the window fills.
+  /// Starts the window at `now`, the time of the router's first event.
   void start(Time now) { started_at_ = now; }
 
-  /// Chooses the gold parts anew from the counts in the window.
+  /// Selects the gold parts from the current counts.
   void update_gold_parts(Time now);
 
-  /// Counts a request for `part_key` unless it repeats an earlier one, and ranks the part: gold is
-  /// `Rank::middle`, silver `Rank::low`, bronze `Rank::uncached`.
+  /// Counts a request for `part_key` unless it is a client retry, and returns the rank of the part: gold is
+  /// `Rank::middle`, silver is `Rank::low`, and bronze is `Rank::uncached`.
   [[nodiscard]] Rank count_and_rank(Time now, std::uint64_t part_key, bool client_retry);
 
-  /// Requests for `part_key` in the window.
+  /// Number of requests for `part_key` in the window.
   [[nodiscard]] std::size_t count(std::uint64_t part_key) const { return counts_.count(part_key); }
 
  private:
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Retry budget and hedging delay. Decides how many retries and hedged requests go out beside first attempts,
-/// and when a silent attempt is hedged. Guards against retries that add to an overload.
+/// Retry budget and hedge delay. Limits how many retries and hedged requests are sent in addition to first
+/// attempts, and defines when an unanswered attempt is hedged. Keeps retries from adding to an overload.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 class RetryBudget {
  public:
-  /// A new request earns a part of a retry.
+  /// Adds the fraction of a retry that each new request earns.
   void record_request() { retries_ = std::min(kMaxRetries, retries_ + kRetriesPerRequest); }
 
   [[nodiscard]] bool has_retry() const { return retries_ >= 1; }
@@ -21,12 +21,12 @@
 
  private:
   static constexpr double kRetriesPerRequest = 0.05;
-  static constexpr double kMaxRetries = 2;  // saved up at most
+  static constexpr double kMaxRetries = 2;  // maximum of saved retries
 
   double retries_ = kMaxRetries;
 };
 
-/// Silence of an attempt after which a hedged request goes out.
+/// Returns how long an attempt may stay unanswered before a hedged request is sent.
 [[nodiscard]] inline Time hedge_delay(Time latency_objective) {
   constexpr double kHedgeDelayRatio = 0.6;
   return from_seconds(kHedgeDelayRatio * to_seconds(latency_objective));
--- a/src/routing/retry_safety.h
+++ b/src/routing/retry_safety.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Retry safety. Decides whether an attempt may be repeated, and whether a request may be rejected as one
-/// that did not run, from the class's idempotency and what earlier attempts may have done. Guards against a
-/// request that takes effect twice, and against a rejection that is not true.
+/// Retry safety. Decides whether another attempt is safe, and whether a request may be rejected as not
+/// executed, from the idempotency of its class and the results of its earlier attempts. Prevents a request
+/// from taking effect twice, and prevents the rejection of a request that may have run.
 #pragma once
 
 #include <cstddef>
@@ -17,27 +17,28 @@
 
 class RetrySafety {
  public:
-  /// The arguments have to outlive this object.
+  /// The arguments must outlive this object.
   RetrySafety(const Settings& settings, const EndpointTable& endpoints)
       : settings_(settings), endpoints_(endpoints) {}
 
-  /// An attempt of the request has ended.
+  /// Records the result of an ended attempt.
   void record_result(const std::string& request_id, AttemptResult result);
   void forget(const std::string& request_id) { possibly_run_requests_.erase(request_id); }
 
-  /// Whether one more attempt may go to `endpoint`: always where idempotent; with an idempotency key only
-  /// within the scope and the window in which duplicates of each earlier attempt are discarded; else only
-  /// while nothing may have run.
+  /// Whether one more attempt may be sent to `endpoint`. An idempotent request may always be sent again. A
+  /// request with an idempotency key may be sent again within the scope and the window in which duplicates of
+  /// every earlier attempt are discarded. Any request may be sent again while no earlier attempt may have
+  /// run.
   [[nodiscard]] bool may_attempt(Time now, const PendingRequest& pending, std::size_t endpoint) const;
 
-  /// How soon a repeat with an idempotency key has to be sent; 0: at any time. Guards against a repeat that
-  /// is decided within the deduplication window and waits for a connection until after it.
+  /// Returns the time within which a retry with an idempotency key must be sent; 0 means no limit. Prevents a
+  /// retry that is decided within the deduplication window but waits for a connection until after its end.
   [[nodiscard]] Time send_within(Time now, const PendingRequest& pending) const;
 
-  /// Whether the client may be told that a new try does no harm.
+  /// Whether the client may be told that it can safely retry the request.
   [[nodiscard]] bool may_reject(const PendingRequest& pending) const;
 
-  /// Requests of which an attempt may have run.
+  /// Number of pending requests of which an ended attempt may have run.
   [[nodiscard]] std::size_t size() const { return possibly_run_requests_.size(); }
 
  private:
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,13 +1,14 @@
 // SPDX-License-Identifier: MIT
 //
-// The router: the course of a request through the parts that decide. Its interface (settings, events,
-// actions) is include/edge_proxy/router.h; docs/design.md says which paper it follows, what is changed and
-// why.
+// The router handles each request from its arrival to its final answer. Its interface (settings, events,
+// actions) is include/edge_proxy/router.h. docs/design.md names the paper that it follows, and states what
+// differs and why.
 //
-// The ordinary path: the part of an object is counted and ranked (popularity.h), the next attempt gets a
-// cache and a source (attempt_planner.h, endpoint_selection.h, fill_policy.h), and its outcome is taken in
-// (attempt_feedback.h, endpoint_health.h, concurrency_limit.h, slow_start.h). A failed or silent attempt may
-// be followed by another (retry_safety.h, retry_budget.h). Every request gets one final answer.
+// For each request, the router counts and ranks the part of the object (popularity.h), and chooses a cache
+// and a source for the next attempt (attempt_planner.h, endpoint_selection.h, fill_policy.h). The outcome of
+// the attempt updates the router's state (attempt_feedback.h, endpoint_health.h, concurrency_limit.h,
+// slow_start.h). After a failure, or if an attempt stays unanswered, the router may send another attempt
+// (retry_safety.h, retry_budget.h). Every request gets exactly one final answer.
 #include "edge_proxy/router.h"
 
 #include <algorithm>
@@ -42,19 +43,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr Time kPeriodicUpdateInterval =
-    1s;                                      // between recomputations of gold parts, usual load and latencies
-constexpr Time kSubscribeRetryDelay = 1s;    // after a failed call for the endpoint list
-constexpr double kRetryAfterRatio = 0.5;     // part of the longest Retry-After that clients follow
-constexpr double kLocalCopyTimeRatio = 0.7;  // part of the latency objective in which a local copy is sent
-constexpr std::size_t kLocalCopyMaxCount = 2;  // a part asked for more often is in the caches anyway
+constexpr Time kPeriodicUpdateInterval = 1s;   // slow start's mean load counts work per second
+constexpr Time kSubscribeRetryDelay = 1s;      // after a failed call for the endpoint list
+constexpr double kRetryAfterRatio = 0.5;       // part of the maximum Retry-After that clients follow
+constexpr double kLocalCopyTimeRatio = 0.7;    // a local copy must be sent within this part of the objective
+constexpr std::size_t kLocalCopyMaxCount = 2;  // parts requested more often are in the caches
 
 constexpr std::int64_t kWakeUpTimerToken = 1;
 
 enum class TimerKind { hedge, latency_objective, deadline, periodic_update, subscribe };
 struct Timer {
   TimerKind kind = TimerKind::periodic_update;
-  std::string request_id;  // empty where the timer is for no single request
+  std::string request_id;  // empty for a timer that belongs to no request
 };
 
 bool is_connection_fault(AttemptResult result) {
@@ -93,7 +93,7 @@
   [[nodiscard]] Router::Stats stats() const;
 
  private:
-  // Start and time.
+  // Start and timers.
   void start();
   void run_timers();
   void run_timer(const Timer& timer);
@@ -117,7 +117,7 @@
   void on_latency_objective(const std::string& request_id);
   void on_deadline(const std::string& request_id);
 
-  // Steps in the course of a request.
+  // Request handling.
   [[nodiscard]] PendingRequest make_pending(const Request& request);
   void estimate_work(PendingRequest& pending);
   [[nodiscard]] bool should_serve_local_copy(const PendingRequest& pending) const;
@@ -142,7 +142,7 @@
   std::map<std::string, PendingRequest> pending_;
   RetryBudget retry_budget_;
 
-  // The parts refer to the settings and to each other: this order.
+  // Declaration order matters: the components refer to the settings and to each other.
   Popularity popularity_;
   EndpointTable endpoints_;
   SlowStart slow_start_;
@@ -180,7 +180,7 @@
   return stats;
 }
 
-// ---- Start and time ----
+// ---- Start and timers ----
 
 void Router::Impl::start() {
   has_started_ = true;
@@ -293,9 +293,9 @@
 
 // ---- Timers of a request ----
 
-/// Guards against silence: an attempt that has not answered in most of its latency objective counts as slow,
-/// and a hedged request goes to the next endpoints in the order. The retry budget keeps hedging from adding
-/// to an overload.
+/// An attempt that is unanswered after most of its latency objective counts as slow, and a hedged request is
+/// sent to the next endpoint and source in rendezvous order. The retry budget keeps hedged requests from
+/// adding to an overload.
 void Router::Impl::on_hedge_delay(const std::string& request_id) {
   PendingRequest* pending = find_waiting(request_id);
   if (pending == nullptr) return;
@@ -305,10 +305,11 @@
   if (open_count <= 1) send_extra_attempt(*pending);
 }
 
-/// Past its latency objective a request is given up where its endpoints are at capacity: what it would still
-/// score is little, and the slots and links that it holds are needed for requests that can still be in time.
-/// Where there is capacity it goes on, so that a slow fill still leaves its copy. A fill gets the same time
-/// again: caches may drop one whose client has left, and its bytes would have to come in once more.
+/// After its latency objective, a request is given up if an endpoint or a source of its attempts is at
+/// capacity: a late response scores little, and requests that can still be in time need the concurrency and
+/// the bandwidth that it occupies. With capacity left it continues, so that a slow fill still leaves its
+/// copy. An attempt with a fill gets the same time once more: a cache may drop a fill whose client has left,
+/// and its bytes would have to be transferred again.
 void Router::Impl::on_latency_objective(const std::string& request_id) {
   PendingRequest* pending = find_waiting(request_id);
   if (pending == nullptr) return;
@@ -328,7 +329,7 @@
   remove_if_done(request_id);
 }
 
-// ---- Steps in the course of a request ----
+// ---- Request handling ----
 
 PendingRequest Router::Impl::make_pending(const Request& request) {
   PendingRequest pending;
@@ -351,8 +352,8 @@
       std::min(request_class.latency_objective + transfer_allowance, request_class.deadline);
 }
 
-/// A local copy spares a fill that would be late or expensive. The router's own link is narrow: for parts
-/// that are asked for often, which the caches have, it is used only while it is free.
+/// A local copy saves a fill that would be late or expensive. The proxy's own link is narrow: copies of
+/// frequently requested parts, which the caches have, are served locally only while the link is idle.
 bool Router::Impl::should_serve_local_copy(const PendingRequest& pending) const {
   const auto& wait = pending.request.local_copy_wait;
   if (!wait) return false;
@@ -361,7 +362,7 @@
   return wait->count() == 0 || popularity_.count(pending.part_key) <= kLocalCopyMaxCount;
 }
 
-/// Sends the next attempt; false where there is none.
+/// Sends the next attempt. Returns false if no attempt is possible.
 bool Router::Impl::send_next_attempt(PendingRequest& pending) {
   const auto route = planner_.plan(now_, pending, work_estimate_.slow_start_work(pending.request));
   if (!route) return false;
@@ -397,20 +398,20 @@
 }
 
 void Router::Impl::retry_or_give_up(PendingRequest& pending, AttemptResult result) {
-  // What a connection lost is no sign of overload: its retry takes nothing from the budget.
+  // A connection fault is no sign of overload, so that its retry is not charged to the budget.
   if (is_connection_fault(result) && send_next_attempt(pending)) return;
   if (is_retry_useful(pending.attempts.back()) && send_extra_attempt(pending)) return;
   if (!pending.has_open_attempt()) give_up(pending);
 }
 
-/// A cache that was asked only for what is cached, by itself or at a parent, does not fail by chance: the
-/// next one would miss as well.
+/// If an attempt allowed only cached copies, at the cache itself or at a parent, its failure is most likely a
+/// miss, and the next cache would miss as well.
 bool Router::Impl::is_retry_useful(const AttemptRecord& last) const {
   if (last.is_cached_only) return false;
   return last.has_source() || endpoints_[last.endpoint].role != Role::cache;
 }
 
-/// The final answer of a request that is not served.
+/// Gives the final answer of a request that is not served.
 void Router::Impl::give_up(PendingRequest& pending) {
   if (pending.is_finished) return;
   if (retry_safety_.may_reject(pending)) {
@@ -421,7 +422,7 @@
   finish(pending);
 }
 
-/// The request has its final answer: cancels the attempts that are still open.
+/// Marks the request as finished and cancels its open attempts.
 void Router::Impl::finish(PendingRequest& pending) {
   if (std::exchange(pending.is_finished, true)) return;
   if (!settings_.cancellation || pending.is_streaming) return;
@@ -432,7 +433,7 @@
   }
 }
 
-/// Forgets a request that has its final answer and the outcomes of all its attempts.
+/// Removes a request that has its final answer and the outcomes of all its attempts.
 void Router::Impl::remove_if_done(const std::string& request_id) {
   const auto found = pending_.find(request_id);
   if (found == pending_.end()) return;
@@ -446,14 +447,14 @@
   }
 }
 
-/// The request, unless it is gone, finished or streaming.
+/// Returns the request, or null if it is removed, finished or streaming.
 PendingRequest* Router::Impl::find_waiting(const std::string& request_id) {
   const auto found = pending_.find(request_id);
   return found != pending_.end() && found->second.is_waiting() ? &found->second : nullptr;
 }
 
-/// Guards against a rejected client's retry that comes at once, while what was full still is. Drawback: a
-/// short overload costs the client that long.
+/// The delay keeps the client of a rejected request from retrying while the overload lasts. Drawback: after a
+/// short overload the client waits longer than needed.
 Time Router::Impl::retry_after() const {
   if (!settings_.retry_after) return Time{0};
   return from_seconds(kRetryAfterRatio * to_seconds(settings_.max_retry_after));
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -12,11 +12,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kBudgetUtilization = 0.7;  // part of the budget that is used
-// The same while the process that this router replaces may still send.
+constexpr double kBudgetUtilization = 0.7;  // part of the budget that this router uses
+// The same, while the process that this router replaces may still be sending.
 constexpr double kHandoverBudgetUtilization = 0.3;
-constexpr Time kHandoverTime = 4s;     // from this router's start
-constexpr double kMeanLoadGain = 0.1;  // weight of the newest second in the usual load
+constexpr Time kHandoverTime = 4s;     // since the start of this router
+constexpr double kMeanLoadGain = 0.1;  // weight of the newest second in the mean load
 constexpr double kMinWeightSum = 1e-3;
 
 }  // namespace
@@ -47,9 +47,9 @@
   return admits_spaced_request(now, stats, work, current_budget);
 }
 
-/// This router's share of the load that the endpoint would have when warm: of its size where the list tells
-/// it, else of what the requests of this router were lately served by its group (what was asked for may be
-/// far above what the group can do).
+/// Returns this router's share of the load that the endpoint would have after warm-up: a share of its
+/// capacity if the endpoint list states it, else a share of the work that endpoints of its role have recently
+/// served for this router. Requested work is no measure: it may far exceed what the endpoints can serve.
 double SlowStart::load_share(const EndpointStats& stats) const {
   const bool is_parent = stats.role == Role::parent;
   const double weight = weight_of(settings_, stats.endpoint);
@@ -63,8 +63,8 @@
   return (is_parent ? parents_ : caches_).mean * weight / std::max(weight_sum, kMinWeightSum);
 }
 
-/// Work that may be sent within the overload window: the load share, times the least part of its capacity
-/// that the endpoint has by its age, times the factor at which it is overloaded, with a margin.
+/// Returns the work that may be sent within the overload window: the load share, times the minimum part of
+/// its capacity that the endpoint has at its age, times its overload factor, reduced by a margin.
 double SlowStart::budget(Time now, const EndpointStats& stats) const {
   const RoleSettings role_settings = settings_for(stats.role);
   const double initial_capacity = role_settings.initial_capacity;
@@ -78,9 +78,9 @@
          load * to_seconds(settings_.overload_window);
 }
 
-/// Less than one request in the overload window is one request in a longer interval, counted from a moment of
-/// this router's own. Else hundreds of routers would send nothing until the endpoint counts as warm, and then
-/// all at once.
+/// A budget of less than one request per overload window allows one request in a longer interval, with an
+/// offset that differs between routers. Otherwise hundreds of routers would send nothing until the endpoint
+/// counts as warm, and then all of them would send at the same time.
 bool SlowStart::admits_spaced_request(Time now, const EndpointStats& stats, double work,
                                       double budget) const {
   const double warm_up = to_seconds(settings_for(stats.role).warm_up_time);
@@ -105,8 +105,9 @@
 }
 
 void SlowStart::update_mean_load(Time now) {
-  // Seconds in which most of a group is warming up, or fails though it is listed, do not show what its
-  // endpoints can do: after a restart of all, budgets that followed them would fall to nothing.
+  // While most endpoints of a role are warming up, or fail although they are listed, the served work doesn't
+  // show their capacity. If the mean followed it, the budgets would drop to zero after a restart of all
+  // endpoints.
   if (is_mostly_warm(now, Role::cache)) {
     caches_.mean += kMeanLoadGain * (caches_.current_second - caches_.mean);
   }
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Slow start: how much work a cache or parent gets that has started a short while ago. Decides from its age,
-/// its size or the load of its group, and this router's share of it. Guards against overloading an endpoint
-/// before it is warm. Drawback: at low load it holds back more than needed.
+/// Slow start: limits the work sent to a cache or parent that has started recently. The limit follows from
+/// the age of the endpoint, its capacity or the load of its role, and this router's share of it. Prevents
+/// overload of an endpoint that is warming up. Drawback: at low load the limit is stricter than needed.
 #pragma once
 
 #include <cstdint>
@@ -14,38 +14,39 @@
 
 class SlowStart {
  public:
-  /// `settings` and `endpoints` have to outlive this object. `seed` spreads the routers' first requests.
+  /// `settings` and `endpoints` must outlive this object. `seed` desynchronizes the first requests that
+  /// different routers send to a new endpoint.
   SlowStart(const Settings& settings, const EndpointTable& endpoints, std::uint64_t seed)
       : settings_(settings), endpoints_(endpoints), seed_(seed) {}
 
-  /// The router handles its first event at `now`.
+  /// Sets the time of the router's first event, from which the handover time runs.
   void start(Time now) { started_at_ = now; }
 
-  /// Sets which part of its even share of the budgets this router may use.
+  /// Sets the part of its even share of the budgets that this router may use.
   void set_quota(const QuotaChanged& quota) { quota_ = quota; }
 
   [[nodiscard]] bool is_warming_up(Time now, const EndpointStats& stats) const;
 
-  /// Whether the endpoint's budget has capacity for one more request of `work`, in seconds of transfer.
+  /// Whether the endpoint's budget allows one more request of `work`, in seconds of transfer.
   [[nodiscard]] bool admits(Time now, EndpointStats& stats, double work) const;
 
-  /// `work` was sent to the endpoint, or a fill of that size asked of it.
+  /// Records `work` sent to the endpoint, as an attempt or as a fill of that size.
   void record_sent(Time now, EndpointStats& stats, double work) const;
 
-  /// An endpoint of the role served `work`.
+  /// Records `work` served by an endpoint of the role.
   void record_served(Role role, double work);
 
-  /// Folds what was served since the last call, one second ago, into the usual load.
+  /// Updates the mean loads with the work served since the last call. Must be called once per second.
   void update_mean_load(Time now);
 
  private:
-  /// The site's rule for the role of an endpoint.
+  /// The slow start settings for endpoints of one role.
   struct RoleSettings {
     double initial_capacity = 1;
     double overload_factor = 0;
     Time warm_up_time{0};
   };
-  /// Work served by the endpoints of a role, in seconds of transfer for each second.
+  /// Work served by the endpoints of a role, in seconds of transfer per second.
   struct ServedLoad {
     double current_second = 0;
     double mean = 0;
--- a/src/routing/work_estimate.h
+++ b/src/routing/work_estimate.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Estimate of a request's work, its transfer time in seconds, where requests do not tell their size: the
-/// moving mean of its class.
+/// Estimates the work of a request, its transfer time in seconds, if requests don't state their size. The
+/// estimate is the moving mean of the request class.
 #pragma once
 
 #include <cstddef>
@@ -13,18 +13,18 @@
 
 class WorkEstimate {
  public:
-  /// `settings` has to outlive this object; the number of classes is fixed here.
+  /// `settings` must outlive this object. The number of request classes is fixed at construction.
   explicit WorkEstimate(const Settings& settings)
       : settings_(settings), mean_by_class_(settings.classes.size(), 0) {}
 
   void record(std::size_t class_index, double work);
 
-  /// Moving mean of a class; 0 before the first record.
+  /// Returns the moving mean of a class; 0 before the first record.
   [[nodiscard]] double mean(std::size_t class_index) const { return mean_by_class_[class_index]; }
 
-  /// What the request counts for in slow start: the mean, or the class's latency objective before the first
-  /// response. Guards an endpoint that is warming up where requests do not tell their size: what counted for
-  /// nothing would not be limited.
+  /// Returns the work of the request for slow start: the mean, or the latency objective of the class before
+  /// the first response. A request that counted as zero work would not be limited at an endpoint that is
+  /// warming up.
   [[nodiscard]] double slow_start_work(const Request& request) const;
 
  private:
