--- a/tests/golden/routing_golden_test.cpp
+++ b/tests/golden/routing_golden_test.cpp
@@ -30,9 +30,9 @@
 
 // ---- The worlds of the other tests ----
 
-void record_crowded(const std::string& name, CrowdedPlan plan, std::uint64_t seed) {
+void record_crowded(const std::string& name, CrowdedScenario plan, std::uint64_t seed) {
   GoldenRecord record("routing_crowded_" + name);
-  plan.heavy_kb = 6400;  // half as many requests as the plan's usual ones
+  plan.large_object_kb = 6400;  // half as many requests as the plan's usual ones
   plan.seed = seed;
   plan.observer = recorder(record);
   CrowdedWorld(plan).run();
@@ -42,19 +42,19 @@
 TEST(RoutingGolden, CrowdedWorld) { record_crowded("usual", {}, 1); }
 
 TEST(RoutingGolden, CrowdedWorldAboveItsCapacityWithFewParents) {
-  CrowdedPlan plan;
+  CrowdedScenario plan;
   plan.load = 1.3;
-  plan.parents = 0.25;
+  plan.parent_capacity = 0.25;
   record_crowded("overload", plan, 2);
 }
 
 TEST(RoutingGolden, CrowdedWorldThatLosesAllCopies) {
-  CrowdedPlan plan;
-  plan.all_void = true;
+  CrowdedScenario plan;
+  plan.copies_lost = true;
   record_crowded("empty_caches", plan, 3);
 }
 
-void record_slow_start(const std::string& name, SlowStartPlan plan, std::uint64_t seed) {
+void record_slow_start(const std::string& name, SlowStartScenario plan, std::uint64_t seed) {
   GoldenRecord record("routing_slow_start_" + name);
   plan.routers = 5;
   plan.load = 0.5;
@@ -67,17 +67,17 @@
 TEST(RoutingGolden, SlowStart) { record_slow_start("usual", {}, 1); }
 
 TEST(RoutingGolden, SlowStartWithRestartsAndNoSizes) {
-  SlowStartPlan plan;
-  plan.told_over = 2;
-  plan.restarted = 0.6;
-  plan.sizes_told = false;
+  SlowStartScenario plan;
+  plan.update_spread_seconds = 2;
+  plan.restarted_fraction = 0.6;
+  plan.sizes_known = false;
   plan.weights = WeightMeaning::none;
   record_slow_start("restarts", plan, 2);
 }
 
 TEST(RoutingGolden, SlowStartWithRoughWeightsAndLateConnections) {
-  SlowStartPlan plan;
-  plan.connects_in = 0.4;
+  SlowStartScenario plan;
+  plan.connect_seconds = 0.4;
   plan.weights = WeightMeaning::rough;
   record_slow_start("late_connections", plan, 3);
 }
@@ -156,7 +156,7 @@
   }
 
   Settings draw_settings() {
-    Settings s = settings();
+    Settings s = default_settings();
     RequestClass aged = request_class("aged", Idempotency::idempotent, DeduplicationScope::all);
     aged.max_age = 4s;
     aged.grace = 9s;
@@ -203,7 +203,7 @@
   // ---- Endpoints ----
 
   Endpoint endpoint(const std::string& id, int kind, int zone, int cell) {
-    Endpoint m = member(id, kind, zone);
+    Endpoint m = make_endpoint(id, kind, zone);
     m.cell = cell;
     m.weight = 0.5 + draws_.part();
     return m;
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 std::size_t final_answers(const std::vector<Action>& actions) {
-  return only<Reject>(actions).size() + only<Fail>(actions).size();
+  return actions_of<Reject>(actions).size() + actions_of<Fail>(actions).size();
 }
 
 // ---- The ordinary path ----
@@ -24,13 +24,13 @@
 
 TEST(Ranks, GoldSilverAndBronzeFollowTheRoutersOwnCounts) {
   World world;
-  world.pass(21s);
+  world.advance(21s);
   for (int i = 0; i < 30; ++i) world.serve(1);
   for (std::uint64_t object = 100; object < 119; ++object) {
     for (int i = 0; i < 5; ++i) world.serve(object);
   }
   world.serve(200);
-  world.pass(1100ms);
+  world.advance(1100ms);
   EXPECT_EQ(world.serve(1).rank, Rank::middle);
   EXPECT_EQ(world.serve(200).rank, Rank::low);
   const Attempt bronze = world.serve(300);
@@ -40,11 +40,11 @@
 
 TEST(Ranks, AClientsRetryIsNotNewDemand) {
   World world;
-  world.pass(21s);
+  world.advance(21s);
   world.serve(5);
   Request again = world.request(5);
   again.client_retry = true;
-  const auto sent = only<Attempt>(world.feed(again));
+  const auto sent = actions_of<Attempt>(world.handle(again));
   ASSERT_EQ(sent.size(), 1U);
   EXPECT_EQ(sent.front().rank, Rank::uncached);
 }
@@ -52,19 +52,19 @@
 TEST(Fills, ThatAreHeldBackLeaveACopyInItsGraceTimeToServe) {
   // Found beside the days on which all copies go void: what was held back was refused, though a copy in its
   // grace time earns half. After a purge no copy from before it will do, whatever its grace.
-  Settings s = settings();
+  Settings s = default_settings();
   s.classes[0].max_age = 8s;
   s.classes[0].grace = 20s;
-  World world(s, {member("cache-a", 0, 2)});  // nothing to fill from
-  const auto held = only<Attempt>(world.feed(world.request(1)));
+  World world(s, {make_endpoint("cache-a", 0, 2)});  // nothing to fill from
+  const auto held = actions_of<Attempt>(world.handle(world.request(1)));
   ASSERT_EQ(held.size(), 1U);
   EXPECT_EQ(held.front().max_copy_age, 28s);
-  world.feed(Invalidation{2, 0, 1s});
-  const auto purged = only<Attempt>(world.feed(world.request(2)));
+  world.handle(Invalidation{2, 0, 1s});
+  const auto purged = actions_of<Attempt>(world.handle(world.request(2)));
   ASSERT_EQ(purged.size(), 1U);
   EXPECT_EQ(purged.front().max_copy_age, 1s);
   World filled(s);
-  const auto fill = only<Attempt>(filled.feed(filled.request(1)));
+  const auto fill = actions_of<Attempt>(filled.handle(filled.request(1)));
   ASSERT_EQ(fill.size(), 1U);
   EXPECT_EQ(fill.front().max_copy_age, 8s);
 }
@@ -73,19 +73,19 @@
   // Found on days on which all copies go void at once: each of a location's routers had hot parts filled
   // anew, a fifth of all fills were double, and what was held back came back as a miss beside a running fill.
   World world;
-  const auto read = only<Attempt>(world.feed(world.request(1)));
-  const auto write = only<Attempt>(world.feed(world.request(2, 1)));
+  const auto read = actions_of<Attempt>(world.handle(world.request(1)));
+  const auto write = actions_of<Attempt>(world.handle(world.request(2, 1)));
   ASSERT_EQ(read.size() + write.size(), 2U);
   EXPECT_TRUE(read.front().join_fill);
   EXPECT_FALSE(write.front().join_fill);
 }
 
 TEST(HashOrder, AllRoutersMeetAtOneParentWhateverTheirListOrder) {
-  Settings other_place = settings();
+  Settings other_place = default_settings();
   other_place.zone = 3;
   other_place.routers_by_zone = {0, 0, 1, 1};
-  std::vector<Endpoint> list = {member("cache-z", 0, 3), member("origin", 2, 0), member("parent-b", 1, 1),
-                                member("parent-a", 1, 0)};
+  std::vector<Endpoint> list = {make_endpoint("cache-z", 0, 3), make_endpoint("origin", 2, 0),
+                                make_endpoint("parent-b", 1, 1), make_endpoint("parent-a", 1, 0)};
   World here, there(other_place, list);
   std::set<std::string> parents;
   for (std::uint64_t object = 0; object < 40; ++object) {
@@ -97,16 +97,16 @@
 }
 
 TEST(HashOrder, OnlyCachesOfTheOwnLocationAreAsked) {
-  auto list = members();
-  list.push_back(member("cache-far", 0, 4));
-  World world(settings(), list);
+  auto list = default_endpoints();
+  list.push_back(make_endpoint("cache-far", 0, 4));
+  World world(default_settings(), list);
   for (std::uint64_t object = 0; object < 60; ++object) EXPECT_NE(world.serve(object).endpoint, "cache-far");
 }
 
 TEST(HashOrder, WithoutParentsFillsComeFromTheOrigin) {
-  Settings s = settings();
+  Settings s = default_settings();
   s.parent_kind = -1;
-  World world(s, {member("cache-a", 0, 2), member("origin", 2, 0)});
+  World world(s, {make_endpoint("cache-a", 0, 2), make_endpoint("origin", 2, 0)});
   EXPECT_EQ(world.serve(1).source, "origin");
 }
 
@@ -114,7 +114,7 @@
   World world;
   std::set<std::string> used;
   for (int i = 0; i < 30; ++i) {
-    for (const Attempt& a : only<Attempt>(world.feed(world.request(1)))) used.insert(a.endpoint);
+    for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(1)))) used.insert(a.endpoint);
   }
   EXPECT_GE(used.size(), 2U);
 }
@@ -123,47 +123,47 @@
 
 TEST(FinalAnswer, ComesBeforeATryThatEndsEarly) {
   World world;
-  world.feed(world.request(1, 0, 100ms));
-  EXPECT_EQ(final_answers(world.pass(100ms)), 1U);
-  EXPECT_EQ(final_answers(world.pass(5s)), 0U);
+  world.handle(world.request(1, 0, 100ms));
+  EXPECT_EQ(final_answers(world.advance(100ms)), 1U);
+  EXPECT_EQ(final_answers(world.advance(5s)), 0U);
 }
 
 TEST(FinalAnswer, NothingIsSentAfterTheEnd) {
   World world;
-  const auto sent = only<Attempt>(world.feed(world.request(1)));
-  world.pass(2500ms);
-  const auto late = world.finish(sent.front(), AttemptResult::error);
-  EXPECT_TRUE(only<Attempt>(late).empty());
+  const auto sent = actions_of<Attempt>(world.handle(world.request(1)));
+  world.advance(2500ms);
+  const auto late = world.end_attempt(sent.front(), AttemptResult::error);
+  EXPECT_TRUE(actions_of<Attempt>(late).empty());
   EXPECT_EQ(final_answers(late), 0U);
 }
 
 TEST(FinalAnswer, WithoutAnyMemberARequestIsRefusedAtOnce) {
-  World world(settings(), {});
-  EXPECT_EQ(final_answers(world.feed(world.request(1))), 1U);
+  World world(default_settings(), {});
+  EXPECT_EQ(final_answers(world.handle(world.request(1))), 1U);
 }
 
 TEST(FinalAnswer, OddEventsAreSafe) {
   World world;
   Outcome unknown;
   unknown.request = "nobody";
-  EXPECT_TRUE(only<Attempt>(world.feed(unknown)).empty());
-  world.feed(RequestCancelled{"nobody"});
-  world.feed(StreamStarted{"nobody", 3});
-  world.feed(EndpointList{ListKind::failed, {}});
-  world.feed(HealthChecked{"nobody", false, 0ms, {}});
-  const auto sent = only<Attempt>(world.feed(world.request(1)));
-  world.finish(sent.front(), AttemptResult::served, 7);
-  world.finish(sent.front(), AttemptResult::served);
-  EXPECT_EQ(final_answers(world.finish(sent.front(), AttemptResult::served)), 0U);
+  EXPECT_TRUE(actions_of<Attempt>(world.handle(unknown)).empty());
+  world.handle(RequestCancelled{"nobody"});
+  world.handle(StreamStarted{"nobody", 3});
+  world.handle(EndpointList{ListKind::failed, {}});
+  world.handle(HealthChecked{"nobody", false, 0ms, {}});
+  const auto sent = actions_of<Attempt>(world.handle(world.request(1)));
+  world.end_attempt(sent.front(), AttemptResult::served, 7);
+  world.end_attempt(sent.front(), AttemptResult::served);
+  EXPECT_EQ(final_answers(world.end_attempt(sent.front(), AttemptResult::served)), 0U);
 }
 
 TEST(FinalAnswer, ARefusalTellsTheClientWhenToComeBackWhereTheSiteHandsThatOn) {
   for (const bool handed_on : {false, true}) {
-    Settings s = settings();
+    Settings s = default_settings();
     s.retry_after = handed_on;
     s.max_retry_after = 500ms;
     World world(s, {});
-    const auto refused = only<Reject>(world.feed(world.request(1)));
+    const auto refused = actions_of<Reject>(world.handle(world.request(1)));
     ASSERT_EQ(refused.size(), 1U);
     EXPECT_EQ(refused.front().retry_after, handed_on ? 250ms : 0ms);
   }
@@ -174,20 +174,20 @@
 TEST(Fills, GoToTheOriginWhereNoParentIsSound) {
   // Guards against refusing every miss while one parent fails and the other has only just started.
   World world;
-  Endpoint other = member("parent-b", 1, 1);
+  Endpoint other = make_endpoint("parent-b", 1, 1);
   other.state = EndpointState::removed;
-  world.feed(EndpointList{ListKind::changes, {other}});
+  world.handle(EndpointList{ListKind::changes, {other}});
   for (std::uint64_t n = 0; n < 100; ++n) {
-    for (const Attempt& a : only<Attempt>(world.feed(world.request(n))))
-      world.finish(a, a.source == "parent-a" ? AttemptResult::error : AttemptResult::served, 0,
-                   CacheStatus::unknown);
-    world.pass(50ms);
+    for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(n))))
+      world.end_attempt(a, a.source == "parent-a" ? AttemptResult::error : AttemptResult::served, 0,
+                        CacheStatus::unknown);
+    world.advance(50ms);
   }
-  world.pass(10s);
-  world.feed(EndpointList{ListKind::changes, {member("parent-b", 1, 1, world.now)}});
+  world.advance(10s);
+  world.handle(EndpointList{ListKind::changes, {make_endpoint("parent-b", 1, 1, world.now)}});
   std::set<std::string> sources;
   for (std::uint64_t n = 1000; n < 1003; ++n) {
-    for (const Attempt& a : only<Attempt>(world.feed(world.request(n)))) sources.insert(a.source);
+    for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(n)))) sources.insert(a.source);
   }
   EXPECT_EQ(sources.count("origin"), 1U);
 }
@@ -200,13 +200,13 @@
     std::set<std::string> sources;
     std::size_t at_origin = 0;
     for (std::uint64_t n = 0; n < 200; ++n) {
-      for (const Attempt& a : only<Attempt>(world.feed(world.request(n)))) {
+      for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(n)))) {
         if (a.source != "origin") continue;  // the parents answer none
         at_origin += n >= 100 ? 1 : 0;
         if (in_time) {
-          world.finish(a, AttemptResult::served, 0, CacheStatus::unknown);
+          world.end_attempt(a, AttemptResult::served, 0, CacheStatus::unknown);
         } else {
-          world.finish(a, AttemptResult::error, 0, CacheStatus::origin_failed);
+          world.end_attempt(a, AttemptResult::error, 0, CacheStatus::origin_failed);
         }
       }
     }
@@ -220,16 +220,16 @@
   const auto own = [&world](std::uint64_t object, Time wait) {
     Request r = world.request(object);
     r.local_copy_wait = wait;
-    const auto actions = world.feed(r);
-    EXPECT_EQ(only<ServeFromLocalCache>(actions).size() + only<Attempt>(actions).size(), 1U);
-    return !only<ServeFromLocalCache>(actions).empty();
+    const auto actions = world.handle(r);
+    EXPECT_EQ(actions_of<ServeFromLocalCache>(actions).size() + actions_of<Attempt>(actions).size(), 1U);
+    return !actions_of<ServeFromLocalCache>(actions).empty();
   };
   EXPECT_TRUE(own(1, 0ms));
   EXPECT_TRUE(own(1, 100ms));
   EXPECT_FALSE(own(1, 100ms));  // asked for the third time: the caches hold it
   EXPECT_TRUE(own(1, 0ms));
   EXPECT_FALSE(own(2, 400ms));  // too late: wanted within 0.5 s
-  EXPECT_EQ(world.beliefs().in_flight, 2U);
+  EXPECT_EQ(world.stats().in_flight, 2U);
 }
 
 TEST(Health, ErrorsOfOneCacheAloneAreItsOwnAndCostItsSourcesNothing) {
@@ -238,17 +238,17 @@
   World world;
   std::size_t at_bad = 0, refused = 0;
   for (std::uint64_t n = 0; n < 600; ++n) {
-    const auto actions = world.feed(world.request(n));
-    refused += only<Reject>(actions).size();
-    for (const Attempt& a : only<Attempt>(actions)) {
+    const auto actions = world.handle(world.request(n));
+    refused += actions_of<Reject>(actions).size();
+    for (const Attempt& a : actions_of<Attempt>(actions)) {
       at_bad += n >= 300 && a.endpoint == "cache-a" ? 1 : 0;
-      const auto more = world.finish(
+      const auto more = world.end_attempt(
           a, a.endpoint == "cache-a" ? AttemptResult::error : AttemptResult::served, 0, CacheStatus::unknown);
-      for (const Attempt& again : only<Attempt>(more))
-        world.finish(again, AttemptResult::served, 1, CacheStatus::unknown);
-      if (n >= 300) refused += only<Reject>(more).size();
+      for (const Attempt& again : actions_of<Attempt>(more))
+        world.end_attempt(again, AttemptResult::served, 1, CacheStatus::unknown);
+      if (n >= 300) refused += actions_of<Reject>(more).size();
     }
-    world.pass(20ms);
+    world.advance(20ms);
   }
   EXPECT_LT(at_bad, 40U);  // of 100 that are its part
   EXPECT_LT(refused, 40U);
@@ -258,34 +258,34 @@
   World world;
   Attempt held;
   for (int n = 0; n < 500; ++n) {
-    Endpoint next = member("next-" + std::to_string(n), 0, 2),
-             old = member("next-" + std::to_string(n - 1), 0, 2);
+    Endpoint next = make_endpoint("next-" + std::to_string(n), 0, 2),
+             old = make_endpoint("next-" + std::to_string(n - 1), 0, 2);
     old.state = EndpointState::removed;
-    world.feed(EndpointList{ListKind::changes, {old, next}});
-    const auto sent = only<Attempt>(world.feed(world.request(static_cast<std::uint64_t>(n))));
+    world.handle(EndpointList{ListKind::changes, {old, next}});
+    const auto sent = actions_of<Attempt>(world.handle(world.request(static_cast<std::uint64_t>(n))));
     ASSERT_EQ(sent.size(), 1U);
     if (held.request.empty() && sent.front().endpoint == next.id) {
       held = sent.front();  // stays out for long after its member has left
     } else {
-      world.finish(sent.front(), AttemptResult::served);
+      world.end_attempt(sent.front(), AttemptResult::served);
     }
-    world.pass(10ms);
+    world.advance(10ms);
   }
   ASSERT_FALSE(held.request.empty());
   // Six of the start, the newest, and those that the one request and its second copy still name.
-  EXPECT_LE(world.beliefs().endpoints, 9U);
-  EXPECT_GE(world.beliefs().endpoints, 8U);
-  EXPECT_LE(world.beliefs().in_flight, 2U);
-  world.finish(held, AttemptResult::timed_out, 0);
-  world.finish(held, AttemptResult::timed_out, 1);
-  world.pass(3s);
-  EXPECT_EQ(world.beliefs().endpoints, 7U);
-  EXPECT_LT(world.beliefs().table_entries, 20U);
+  EXPECT_LE(world.stats().endpoints, 9U);
+  EXPECT_GE(world.stats().endpoints, 8U);
+  EXPECT_LE(world.stats().in_flight, 2U);
+  world.end_attempt(held, AttemptResult::timed_out, 0);
+  world.end_attempt(held, AttemptResult::timed_out, 1);
+  world.advance(3s);
+  EXPECT_EQ(world.stats().endpoints, 7U);
+  EXPECT_LT(world.stats().table_entries, 20U);
 }
 
 TEST(Effects, WritesReachTheOriginOnly) {
   World world;
-  const auto sent = only<Attempt>(world.feed(world.request(1, 1)));
+  const auto sent = actions_of<Attempt>(world.handle(world.request(1, 1)));
   ASSERT_EQ(sent.size(), 1U);
   EXPECT_EQ(sent.front().endpoint, "origin");
   EXPECT_EQ(sent.front().rank, Rank::uncached);
@@ -293,12 +293,12 @@
 
 TEST(Effects, AKeyedRequestIsResentOnlyWhileItsDuplicatesAreDiscarded) {
   World world;
-  auto sent = only<Attempt>(world.feed(world.request(1, 1, 3s)));
-  world.pass(200ms);
-  EXPECT_EQ(only<Attempt>(world.finish(sent.front(), AttemptResult::connection_lost)).size(), 1U);
-  sent = only<Attempt>(world.feed(world.request(2, 1, 3s)));
-  world.pass(1000ms);
-  EXPECT_TRUE(only<Attempt>(world.finish(sent.front(), AttemptResult::connection_lost)).empty());
+  auto sent = actions_of<Attempt>(world.handle(world.request(1, 1, 3s)));
+  world.advance(200ms);
+  EXPECT_EQ(actions_of<Attempt>(world.end_attempt(sent.front(), AttemptResult::connection_lost)).size(), 1U);
+  sent = actions_of<Attempt>(world.handle(world.request(2, 1, 3s)));
+  world.advance(1000ms);
+  EXPECT_TRUE(actions_of<Attempt>(world.end_attempt(sent.front(), AttemptResult::connection_lost)).empty());
 }
 
 TEST(Health, OneConnectionThatBreaksWithManyAttemptsIsOneFailure) {
@@ -308,16 +308,16 @@
   const auto broken = [&](AttemptResult ending, int most) {
     std::vector<Attempt> out;
     for (std::uint64_t n = 0; n < 200 && static_cast<int>(out.size()) < most; ++n) {
-      const auto sent = only<Attempt>(world.feed(world.request(1000 + n)));
+      const auto sent = actions_of<Attempt>(world.handle(world.request(1000 + n)));
       if (sent.empty()) continue;
       if (sent.front().endpoint == probe.endpoint) {
         out.push_back(sent.front());
       } else {
-        world.finish(sent.front(), AttemptResult::served);
+        world.end_attempt(sent.front(), AttemptResult::served);
       }
     }
     EXPECT_GE(out.size(), 3U);
-    for (const Attempt& a : out) world.finish(a, ending);
+    for (const Attempt& a : out) world.end_attempt(a, ending);
   };
   broken(AttemptResult::connection_lost, 4);
   EXPECT_EQ(world.serve(7).endpoint, probe.endpoint);
@@ -328,35 +328,36 @@
 TEST(Health, WhatWasSpoiltOnTheWayIsAskedAgainWhereItsCopyIs) {
   World world;
   for (std::uint64_t n = 1; n < 10; ++n) {  // more than the budget for further attempts would pay for
-    const auto sent = only<Attempt>(world.feed(world.request(n)));
+    const auto sent = actions_of<Attempt>(world.handle(world.request(n)));
     ASSERT_EQ(sent.size(), 1U);
-    const auto again = only<Attempt>(world.finish(sent.front(), AttemptResult::malformed_response));
+    const auto again =
+        actions_of<Attempt>(world.end_attempt(sent.front(), AttemptResult::malformed_response));
     ASSERT_EQ(again.size(), 1U) << "request " << n;
     EXPECT_EQ(again.front().endpoint, sent.front().endpoint);
-    world.finish(again.front(), AttemptResult::served, 1);
+    world.end_attempt(again.front(), AttemptResult::served, 1);
   }
 }
 
 TEST(Effects, AnUnsafeRequestThatMayHaveRunIsNeitherResentNorRefused) {
   World world;
-  auto sent = only<Attempt>(world.feed(world.request(1, 2, 3s)));
-  auto after = world.finish(sent.front(), AttemptResult::connection_lost);
-  EXPECT_TRUE(only<Attempt>(after).empty());
-  EXPECT_TRUE(only<Reject>(after).empty());
-  EXPECT_EQ(only<Fail>(after).size(), 1U);
-  sent = only<Attempt>(world.feed(world.request(2, 2, 3s)));
-  after = world.finish(sent.front(), AttemptResult::shed);
-  EXPECT_EQ(only<Attempt>(after).size(), 1U);
+  auto sent = actions_of<Attempt>(world.handle(world.request(1, 2, 3s)));
+  auto after = world.end_attempt(sent.front(), AttemptResult::connection_lost);
+  EXPECT_TRUE(actions_of<Attempt>(after).empty());
+  EXPECT_TRUE(actions_of<Reject>(after).empty());
+  EXPECT_EQ(actions_of<Fail>(after).size(), 1U);
+  sent = actions_of<Attempt>(world.handle(world.request(2, 2, 3s)));
+  after = world.end_attempt(sent.front(), AttemptResult::shed);
+  EXPECT_EQ(actions_of<Attempt>(after).size(), 1U);
 }
 
 // ---- Drains ----
 
 TEST(Drains, ADrainingMemberIsNeitherAskedNorNamedAsASource) {
   World world;
-  Endpoint cache = member("cache-a", 0, 2), parent = member("parent-a", 1, 0);
+  Endpoint cache = make_endpoint("cache-a", 0, 2), parent = make_endpoint("parent-a", 1, 0);
   cache.state = EndpointState::draining;
   parent.state = EndpointState::removed;
-  world.feed(EndpointList{ListKind::changes, {cache, parent}});
+  world.handle(EndpointList{ListKind::changes, {cache, parent}});
   for (std::uint64_t object = 0; object < 60; ++object) {
     const Attempt a = world.serve(object);
     EXPECT_NE(a.endpoint, "cache-a");
@@ -366,9 +367,9 @@
 
 TEST(Drains, AMemberThatAWholeListLacksIsGone) {
   World world;
-  auto list = members();
+  auto list = default_endpoints();
   list.erase(list.begin());
-  world.feed(EndpointList{ListKind::complete, list});
+  world.handle(EndpointList{ListKind::complete, list});
   for (std::uint64_t object = 0; object < 60; ++object) EXPECT_NE(world.serve(object).endpoint, "cache-a");
 }
 
@@ -382,18 +383,18 @@
       world.serve(i);
       if (!asked_far_more_than_served) continue;
       for (int more = 0; more < 4; ++more) {
-        for (const Attempt& a : only<Attempt>(world.feed(world.request(i))))
-          world.finish(a, AttemptResult::shed);
+        for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(i))))
+          world.end_attempt(a, AttemptResult::shed);
       }
     }
-    world.pass(1s);
+    world.advance(1s);
   }
-  world.feed(EndpointList{ListKind::changes, {member("cache-a", 0, 2, world.now - since_start)}});
+  world.handle(EndpointList{ListKind::changes, {make_endpoint("cache-a", 0, 2, world.now - since_start)}});
   int sent = 0;
   for (int step = 0; step < 20; ++step) {
     for (std::uint64_t i = 0; i < 3; ++i)
       sent += world.serve(static_cast<std::uint64_t>(step) % 10 * 3 + i).endpoint == "cache-a" ? 1 : 0;
-    world.pass(100ms);
+    world.advance(100ms);
   }
   return sent * 0.05;
 }
@@ -408,23 +409,23 @@
 TEST(ColdMembers, TheBudgetDoesNotGrowWithWorkThatWasOnlyAskedFor) { EXPECT_LE(cold_work(0s, true), 0.5); }
 
 TEST(ColdMembers, ARouterThatKnowsNothingYetSendsAColdMemberNothing) {
-  World world(settings(), {member("cache-a", 0, 2, 999s), member("origin", 2, 0)});
+  World world(default_settings(), {make_endpoint("cache-a", 0, 2, 999s), make_endpoint("origin", 2, 0)});
   for (std::uint64_t i = 0; i < 20; ++i) EXPECT_NE(world.serve(i).endpoint, "cache-a");
 }
 
 TEST(ColdMembers, ARouterThatKnowsNothingYetGivesThemTheirPartOfTheToldSize) {
   // Found on days on which a location is lost with its routers and comes back: new routers knew of no usual
   // load, gave their cold caches nothing and refused nearly all for 18 s.
-  Settings s = settings();
+  Settings s = default_settings();
   s.weights = WeightMeaning::nominal;
-  Endpoint cold = member("cache-a", 0, 2, 1000s);
+  Endpoint cold = make_endpoint("cache-a", 0, 2, 1000s);
   cold.weight = 4;
-  World world(s, {cold, member("origin", 2, 0)});
+  World world(s, {cold, make_endpoint("origin", 2, 0)});
   const auto sent_in_2s = [&world] {
     std::size_t sent = 0;
     for (std::uint64_t i = 0; i < 200; ++i) {
       sent += world.serve(i).endpoint == "cache-a" ? 1 : 0;
-      world.pass(10ms);
+      world.advance(10ms);
     }
     return static_cast<double>(sent) * 0.05;
   };
@@ -432,24 +433,24 @@
   const double at_first = sent_in_2s();
   EXPECT_GT(at_first, 0.8);
   EXPECT_LT(at_first, 4 * 0.45);
-  world.pass(2s);
+  world.advance(2s);
   EXPECT_GT(sent_in_2s(), 2.0);
 }
 
 TEST(ColdMembers, APortionOfItsShareIsAllThatARouterUses) {
   // Guards the others' shares: one whose lease has run out keeps to the little that is left to it at once.
   const auto sent_in_2s = [](double part) {
-    Settings s = settings();
+    Settings s = default_settings();
     s.weights = WeightMeaning::nominal;
-    Endpoint cold = member("cache-a", 0, 2, 1000s);
+    Endpoint cold = make_endpoint("cache-a", 0, 2, 1000s);
     cold.weight = 4;
-    World world(s, {cold, member("origin", 2, 0)});
-    world.pass(5s);
-    world.feed(QuotaChanged{1, part});
+    World world(s, {cold, make_endpoint("origin", 2, 0)});
+    world.advance(5s);
+    world.handle(QuotaChanged{1, part});
     std::size_t sent = 0;
     for (std::uint64_t i = 0; i < 200; ++i) {
       sent += world.serve(i).endpoint == "cache-a" ? 1 : 0;
-      world.pass(10ms);
+      world.advance(10ms);
     }
     return sent;
   };
@@ -466,12 +467,12 @@
   World world;
   for (int second = 0; second < 20; ++second) {
     world.serve(static_cast<std::uint64_t>(second));  // 0.05 s of sending a second over three caches
-    world.pass(1s);
+    world.advance(1s);
   }
-  world.feed(EndpointList{ListKind::changes, {member("cache-a", 0, 2, world.now)}});
+  world.handle(EndpointList{ListKind::changes, {make_endpoint("cache-a", 0, 2, world.now)}});
   for (int step = 0; step < 80; ++step) {
     sent += world.serve(static_cast<std::uint64_t>(step)).endpoint == "cache-a" ? 1 : 0;
-    world.pass(100ms);
+    world.advance(100ms);
   }
   EXPECT_GE(sent, 1U);
   EXPECT_LE(sent, 6U);
@@ -482,12 +483,12 @@
   World world;
   for (int second = 0; second < 20; ++second) {
     for (std::uint64_t i = 0; i < 30; ++i) world.serve(i);
-    world.pass(1s);
+    world.advance(1s);
   }
-  auto list = members();
+  auto list = default_endpoints();
   for (Endpoint& m : list) m.started = m.kind == 0 ? world.now : Time{0};
-  world.feed(EndpointList{ListKind::complete, list});
-  world.pass(12s);
+  world.handle(EndpointList{ListKind::complete, list});
+  world.advance(12s);
   std::size_t at_caches = 0;
   for (std::uint64_t i = 0; i < 30; ++i) at_caches += world.serve(i).endpoint.starts_with("cache") ? 1 : 0;
   EXPECT_GE(at_caches, 15U);
@@ -498,19 +499,20 @@
   World world;
   for (int second = 0; second < 20; ++second) {
     for (std::uint64_t i = 0; i < 30; ++i) world.serve(i);
-    world.pass(1s);
+    world.advance(1s);
   }
   for (int second = 0; second < 12; ++second) {
     for (std::uint64_t i = 0; i < 30; ++i) {
-      for (const Attempt& a : only<Attempt>(world.feed(world.request(i))))
-        world.finish(a, a.endpoint.starts_with("cache") ? AttemptResult::unreachable : AttemptResult::served);
+      for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(i))))
+        world.end_attempt(
+            a, a.endpoint.starts_with("cache") ? AttemptResult::unreachable : AttemptResult::served);
     }
-    world.pass(1s);
+    world.advance(1s);
   }
-  auto list = members();
+  auto list = default_endpoints();
   for (Endpoint& m : list) m.started = m.kind == 0 ? world.now : Time{0};
-  world.feed(EndpointList{ListKind::complete, list});
-  world.pass(8s);
+  world.handle(EndpointList{ListKind::complete, list});
+  world.advance(8s);
   std::size_t at_caches = 0;
   for (std::uint64_t i = 0; i < 30; ++i) at_caches += world.serve(i).endpoint.starts_with("cache") ? 1 : 0;
   EXPECT_GE(at_caches, 15U);
@@ -520,11 +522,11 @@
 
 TEST(Purges, BindTheOldestCopyOnEveryAttempt) {
   World world;
-  world.feed(Invalidation{std::uint64_t{1}, 0, 30ms});
-  const auto first = only<Attempt>(world.feed(world.request(1)));
+  world.handle(Invalidation{std::uint64_t{1}, 0, 30ms});
+  const auto first = actions_of<Attempt>(world.handle(world.request(1)));
   EXPECT_EQ(first.front().max_copy_age, 30ms);
-  world.pass(100ms);
-  const auto second = only<Attempt>(world.finish(first.front(), AttemptResult::shed));
+  world.advance(100ms);
+  const auto second = actions_of<Attempt>(world.end_attempt(first.front(), AttemptResult::shed));
   ASSERT_EQ(second.size(), 1U);
   EXPECT_EQ(second.front().max_copy_age, 130ms);
   EXPECT_EQ(world.serve(2).max_copy_age, 0ms);
@@ -532,69 +534,72 @@
 
 TEST(Purges, OfAGroupBindAllItsObjects) {
   World world;
-  world.feed(Invalidation{std::nullopt, 9, 10ms});
+  world.handle(Invalidation{std::nullopt, 9, 10ms});
   Request r = world.request(1);
   r.group = 9;
-  EXPECT_EQ(only<Attempt>(world.feed(r)).front().max_copy_age, 10ms);
-  world.pass(7s);
+  EXPECT_EQ(actions_of<Attempt>(world.handle(r)).front().max_copy_age, 10ms);
+  world.advance(7s);
   Request later = world.request(2);
   later.group = 9;
-  EXPECT_EQ(only<Attempt>(world.feed(later)).front().max_copy_age, 7010ms);
+  EXPECT_EQ(actions_of<Attempt>(world.handle(later)).front().max_copy_age, 7010ms);
 }
 
 // ---- Guards ----
 
 TEST(Limits, LateWorkIsGivenUpAndItsSlotsFreed) {
   World world;
-  for (int i = 0; i < 60; ++i) world.feed(world.request(1));
-  const auto actions = world.pass(1100ms);  // the wanted time, and as long again for fills
+  for (int i = 0; i < 60; ++i) world.handle(world.request(1));
+  const auto actions = world.advance(1100ms);  // the wanted time, and as long again for fills
   EXPECT_GE(final_answers(actions), 20U);
-  EXPECT_GE(only<Cancel>(actions).size(), 20U);
+  EXPECT_GE(actions_of<Cancel>(actions).size(), 20U);
 }
 
 TEST(Limits, AMemberThatAnswersLateGetsFewerRequestsAtOnce) {
   World world;
   for (int round = 0; round < 40; ++round) {
-    world.feed(world.request(1));
-    for (const Attempt& a : only<Attempt>(world.pass(600ms))) world.finish(a, AttemptResult::cancelled, 1);
+    world.handle(world.request(1));
+    for (const Attempt& a : actions_of<Attempt>(world.advance(600ms)))
+      world.end_attempt(a, AttemptResult::cancelled, 1);
   }
   std::size_t at_once = 0;
-  for (int i = 0; i < 100; ++i) at_once += only<Attempt>(world.feed(world.request(1))).size();
+  for (int i = 0; i < 100; ++i) at_once += actions_of<Attempt>(world.handle(world.request(1))).size();
   EXPECT_LT(at_once, 40U);
 }
 
 TEST(Limits, WhereSourcesAreFullOnlyWhatIsKeptIsAskedFor) {
   World world;
   for (std::uint64_t i = 0; i < 200; ++i) {
-    auto sent = only<Attempt>(world.feed(world.request(i)));
+    auto sent = actions_of<Attempt>(world.handle(world.request(i)));
     for (int n = 0; !sent.empty(); ++n) {
       const bool fill = sent.front().source != sent.front().endpoint;
-      sent = only<Attempt>(world.finish(sent.front(), fill ? AttemptResult::shed : AttemptResult::cache_miss,
-                                        n, fill ? CacheStatus::source_shed : CacheStatus::unknown));
+      sent = actions_of<Attempt>(world.end_attempt(sent.front(),
+                                                   fill ? AttemptResult::shed : AttemptResult::cache_miss, n,
+                                                   fill ? CacheStatus::source_shed : CacheStatus::unknown));
     }
   }
-  const auto sent = only<Attempt>(world.feed(world.request(1)));
+  const auto sent = actions_of<Attempt>(world.handle(world.request(1)));
   ASSERT_EQ(sent.size(), 1U);
   EXPECT_EQ(sent.front().source, sent.front().endpoint);
 }
 
 TEST(Limits, RecoverSoonAfterATrouble) {
   // Found in service days: limits that had sunk to one rose by a fiftieth an answer and starved the caches.
-  World world(settings(), {member("cache-a", 0, 2)});
+  World world(default_settings(), {make_endpoint("cache-a", 0, 2)});
   for (int round = 0; round < 80; ++round) {
-    auto sent = only<Attempt>(world.feed(world.request(1)));
+    auto sent = actions_of<Attempt>(world.handle(world.request(1)));
     for (int n = 0; !sent.empty(); ++n)
-      sent = only<Attempt>(world.finish(sent.front(), AttemptResult::shed, n, CacheStatus::unknown));
+      sent =
+          actions_of<Attempt>(world.end_attempt(sent.front(), AttemptResult::shed, n, CacheStatus::unknown));
   }
   const auto at_once = [&world] {
     std::vector<Attempt> sent;
     for (int i = 0; i < 40; ++i) {
-      for (const Attempt& a : only<Attempt>(world.feed(world.request(1)))) sent.push_back(a);
+      for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(1)))) sent.push_back(a);
     }
     return sent;
   };
   for (int round = 0; round < 8; ++round) {
-    for (const Attempt& a : at_once()) world.finish(a, AttemptResult::served, 0, CacheStatus::hit);
+    for (const Attempt& a : at_once()) world.end_attempt(a, AttemptResult::served, 0, CacheStatus::hit);
   }
   EXPECT_GE(at_once().size(), 6U);
 }
@@ -602,19 +607,20 @@
 TEST(Limits, ALateHitLowersTheCachesLimitAndALateFillItsSourcesMore) {
   // How many attempts the cache takes at once, and how many fills it is asked for, after a few late answers.
   const auto room_after = [](CacheStatus note) {
-    World world(settings(), {member("cache-a", 0, 2), member("parent-a", 1, 0), member("origin", 2, 0)});
+    World world(default_settings(), {make_endpoint("cache-a", 0, 2), make_endpoint("parent-a", 1, 0),
+                                     make_endpoint("origin", 2, 0)});
     for (int late = 0; late < 8;) {
-      const auto sent = only<Attempt>(world.feed(world.request(1)));
-      world.pass(510ms);
+      const auto sent = actions_of<Attempt>(world.handle(world.request(1)));
+      world.advance(510ms);
       if (!sent.empty()) {
-        world.finish(sent.front(), AttemptResult::served, 0, note, 510ms);
+        world.end_attempt(sent.front(), AttemptResult::served, 0, note, 510ms);
         ++late;
       }
-      world.end_cancelled();
+      world.end_cancelled_attempts();
     }
     std::size_t fills = 0, all = 0;
     for (int i = 0; i < 40; ++i) {
-      for (const Attempt& a : only<Attempt>(world.feed(world.request(1)))) {
+      for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(1)))) {
         if (a.endpoint != "cache-a") continue;
         ++all;
         fills += a.source != a.endpoint ? 1 : 0;
@@ -630,18 +636,19 @@
 TEST(Limits, AnUntoldRefusalIsLaidToTheSourceMoreThanToTheCache) {
   // Found in an incident: parents died silently and the caches were blamed for refusing.
   const auto looks_after = [](bool with_source) {
-    auto list = members();
+    auto list = default_endpoints();
     if (!with_source) list.resize(3);
-    World world(settings(), list);
+    World world(default_settings(), list);
     for (std::uint64_t i = 0; i < 30; ++i) {
-      auto sent = only<Attempt>(world.feed(world.request(i)));
+      auto sent = actions_of<Attempt>(world.handle(world.request(i)));
       for (int n = 0; !sent.empty(); ++n) {
-        sent = only<Attempt>(world.finish(sent.front(), AttemptResult::shed, n, CacheStatus::unknown));
+        sent = actions_of<Attempt>(
+            world.end_attempt(sent.front(), AttemptResult::shed, n, CacheStatus::unknown));
       }
     }
     std::size_t at_caches = 0;
     for (std::uint64_t i = 0; i < 100; ++i) {
-      for (const Attempt& a : only<Attempt>(world.feed(world.request(i)))) {
+      for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(i)))) {
         at_caches += a.endpoint.starts_with("cache") ? 1 : 0;
       }
     }
@@ -652,9 +659,9 @@
 
 TEST(Limits, ASlowFillGoesOnWhereThereIsRoom) {
   World world;
-  world.feed(world.request(1));
-  EXPECT_EQ(final_answers(world.pass(700ms)), 0U);
-  EXPECT_EQ(final_answers(world.pass(1800ms)), 1U);
+  world.handle(world.request(1));
+  EXPECT_EQ(final_answers(world.advance(700ms)), 0U);
+  EXPECT_EQ(final_answers(world.advance(1800ms)), 1U);
 }
 
 TEST(Room, ACrowdedSourceStillTakesFillsThatEarnMoreForTheirTime) {
@@ -665,15 +672,15 @@
     world.serve(i, CacheStatus::filled);
     large = world.request(1000 + i);
     large.size_kb = 2000;
-    for (const Attempt& a : only<Attempt>(world.feed(large)))
-      world.finish(a, AttemptResult::served, 0, CacheStatus::filled);
+    for (const Attempt& a : actions_of<Attempt>(world.handle(large)))
+      world.end_attempt(a, AttemptResult::served, 0, CacheStatus::filled);
   }
   const auto fills = [&world](double kb) {
     int sent = 0;
     for (std::uint64_t i = 0; i < 60; ++i) {
       Request r = world.request(5000 + i);
       r.size_kb = kb;
-      for (const Attempt& a : only<Attempt>(world.feed(r)))
+      for (const Attempt& a : actions_of<Attempt>(world.handle(r)))
         sent += a.source.starts_with("parent") || a.endpoint.starts_with("parent") ? 1 : 0;
     }
     return sent;
@@ -690,14 +697,14 @@
 std::size_t fills_of_the_last_40(World& world, int requests, End end) {
   std::size_t fills = 0;
   for (int i = 0; i < requests; ++i) {
-    const auto sent = only<Attempt>(world.feed(world.request(static_cast<std::uint64_t>(i))));
+    const auto sent = actions_of<Attempt>(world.handle(world.request(static_cast<std::uint64_t>(i))));
     if (!sent.empty()) {
       if (requests - i <= 40 && sent.front().source != sent.front().endpoint && !sent.front().cached_only)
         ++fills;
       end(sent.front(), i);
     }
-    world.pass(100ms);
-    world.end_cancelled();
+    world.advance(100ms);
+    world.end_cancelled_attempts();
   }
   return fills;
 }
@@ -708,15 +715,15 @@
   World world;
   const auto late = [&world](const Attempt& a, int) {
     const bool fill = a.source != a.endpoint;
-    if (fill) world.pass(510ms);
-    world.finish(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
-                 fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
+    if (fill) world.advance(510ms);
+    world.end_attempt(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
+                      fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
   };
   EXPECT_LE(fills_of_the_last_40(world, 100, late), 20U);  // a few to parents, a few to the origin
   const auto in_time = [&world](const Attempt& a, int) {
     const bool fill = a.source != a.endpoint;
-    world.finish(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
-                 fill ? CacheStatus::filled : CacheStatus::unknown);
+    world.end_attempt(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
+                      fill ? CacheStatus::filled : CacheStatus::unknown);
   };
   EXPECT_GE(fills_of_the_last_40(world, 140, in_time), 38U);
 }
@@ -727,31 +734,32 @@
   World world;
   std::size_t from_origin = 0, held_back = 0;
   for (int i = 0; i < 120; ++i) {
-    const auto sent = only<Attempt>(world.feed(world.request(static_cast<std::uint64_t>(i))));
+    const auto sent = actions_of<Attempt>(world.handle(world.request(static_cast<std::uint64_t>(i))));
     for (const Attempt& a : sent) {
       from_origin += a.source == "origin" && a.endpoint != "origin" ? 1 : 0;
       held_back += a.cached_only || a.source == a.endpoint ? 1 : 0;
       const bool fill = !a.cached_only && a.source != a.endpoint;
-      if (fill) world.pass(510ms);
-      world.finish(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
-                   fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
+      if (fill) world.advance(510ms);
+      world.end_attempt(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
+                        fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
     }
-    world.pass(100ms);
-    world.end_cancelled();
+    world.advance(100ms);
+    world.end_cancelled_attempts();
   }
   EXPECT_GE(held_back, 20U);
   EXPECT_EQ(from_origin, 0U);
 }
 
 TEST(Fills, AreHeldBackWithoutParentsToo) {
-  Settings s = settings();
+  Settings s = default_settings();
   s.parent_kind = -1;
-  World world(s, {member("cache-a", 0, 2), member("cache-b", 0, 2), member("origin", 2, 0)});
+  World world(
+      s, {make_endpoint("cache-a", 0, 2), make_endpoint("cache-b", 0, 2), make_endpoint("origin", 2, 0)});
   const auto late = [&world](const Attempt& a, int) {
     const bool fill = a.source != a.endpoint;
-    if (fill) world.pass(510ms);
-    world.finish(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
-                 fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
+    if (fill) world.advance(510ms);
+    world.end_attempt(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
+                      fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
   };
   EXPECT_LE(fills_of_the_last_40(world, 100, late), 15U);
 }
@@ -759,16 +767,16 @@
 TEST(Fills, AreNotBlamedForAnswersThatAreLostToAll) {
   // Found on days with lost answers after a slow origin: hits that were lost counted as failed fills, and
   // fills stayed held back long after the origin had recovered.
-  Settings s = settings();
+  Settings s = default_settings();
   s.hedging = false;
   World world(s);
   const auto end = [&world](const Attempt& a, bool late) {
     if (a.source == a.endpoint || a.cached_only) {
-      world.finish(a, AttemptResult::cache_miss, 0,
-                   a.cached_only ? CacheStatus::source_miss : CacheStatus::unknown);
+      world.end_attempt(a, AttemptResult::cache_miss, 0,
+                        a.cached_only ? CacheStatus::source_miss : CacheStatus::unknown);
     } else {
-      if (late) world.pass(510ms);
-      world.finish(a, AttemptResult::served, 0, CacheStatus::filled_by_origin, late ? 510ms : 50ms);
+      if (late) world.advance(510ms);
+      world.end_attempt(a, AttemptResult::served, 0, CacheStatus::filled_by_origin, late ? 510ms : 50ms);
     }
   };
   fills_of_the_last_40(world, 100, [&end](const Attempt& a, int) { end(a, true); });
@@ -783,23 +791,23 @@
   World world;
   std::size_t held = 0;
   for (int i = 0; i < 120; ++i) {
-    const auto sent = only<Attempt>(world.feed(world.request(static_cast<std::uint64_t>(i))));
+    const auto sent = actions_of<Attempt>(world.handle(world.request(static_cast<std::uint64_t>(i))));
     if (sent.empty()) continue;
     const Attempt& a = sent.front();
     if (a.source == a.endpoint) {
-      world.finish(a, AttemptResult::cache_miss, 0, CacheStatus::unknown);
+      world.end_attempt(a, AttemptResult::cache_miss, 0, CacheStatus::unknown);
     } else if (a.cached_only) {
       EXPECT_TRUE(a.source.starts_with("parent"));
       held += i >= 80 ? 1 : 0;
-      const auto after = world.finish(a, i % 2 == 0 ? AttemptResult::served : AttemptResult::cache_miss, 0,
-                                      i % 2 == 0 ? CacheStatus::filled : CacheStatus::source_miss);
-      EXPECT_TRUE(only<Attempt>(after).empty());
+      const auto after = world.end_attempt(a, i % 2 == 0 ? AttemptResult::served : AttemptResult::cache_miss,
+                                           0, i % 2 == 0 ? CacheStatus::filled : CacheStatus::source_miss);
+      EXPECT_TRUE(actions_of<Attempt>(after).empty());
     } else {
-      world.pass(510ms);
-      world.finish(a, AttemptResult::served, 0, CacheStatus::filled_by_origin, 510ms);
+      world.advance(510ms);
+      world.end_attempt(a, AttemptResult::served, 0, CacheStatus::filled_by_origin, 510ms);
     }
-    world.pass(100ms);
-    world.end_cancelled();
+    world.advance(100ms);
+    world.end_cancelled_attempts();
   }
   EXPECT_GE(held, 20U);
 }
@@ -818,7 +826,7 @@
       o.duration = 50ms;
       o.request_finished = fill;
       if (told) o.report = LoadReport{{}, {}, {}, {}, told};
-      world.feed(o);
+      world.handle(o);
     };
     return fills_of_the_last_40(world, 100, end);
   };
@@ -830,7 +838,7 @@
 
 TEST(Fills, AParentAskedStraightNamesTheOriginAsItsSource) {
   // Found on a day on which all caches of a location were cold or shut: the parent gave only what it held.
-  World world(settings(), {member("parent-a", 1, 0), member("origin", 2, 0)});
+  World world(default_settings(), {make_endpoint("parent-a", 1, 0), make_endpoint("origin", 2, 0)});
   const Attempt a = world.serve(1);
   EXPECT_EQ(a.endpoint, "parent-a");
   EXPECT_EQ(a.source, "origin");
@@ -842,24 +850,24 @@
   const auto at_slow = [&world](Time took) {
     int count = 0;
     for (std::uint64_t object = 0; object < 150; ++object) {
-      const auto sent = only<Attempt>(world.feed(world.request(object)));
+      const auto sent = actions_of<Attempt>(world.handle(world.request(object)));
       if (sent.empty()) continue;
       const bool slow = sent.front().endpoint == "cache-a";
       count += slow ? 1 : 0;
-      world.finish(sent.front(), AttemptResult::served, 0, CacheStatus::hit, slow ? took : 50ms);
+      world.end_attempt(sent.front(), AttemptResult::served, 0, CacheStatus::hit, slow ? took : 50ms);
     }
     return count;
   };
   EXPECT_GE(at_slow(450ms), 10);
   EXPECT_LE(at_slow(450ms), 10);
-  world.pass(60s);
+  world.advance(60s);
   EXPECT_GE(at_slow(50ms), 35);
 }
 
 TEST(Retries, ASecondCopyGoesToOtherMembers) {
   World world;
-  const auto first = only<Attempt>(world.feed(world.request(1)));
-  const auto second = only<Attempt>(world.pass(350ms));
+  const auto first = actions_of<Attempt>(world.handle(world.request(1)));
+  const auto second = actions_of<Attempt>(world.advance(350ms));
   ASSERT_EQ(second.size(), 1U);
   EXPECT_NE(second.front().endpoint, first.front().endpoint);
   EXPECT_NE(second.front().source, first.front().source);
@@ -869,10 +877,11 @@
   World world;
   std::size_t sent = 0;
   for (int i = 0; i < 200; ++i) {
-    auto attempts = only<Attempt>(world.feed(world.request(static_cast<std::uint64_t>(i))));
+    auto attempts = actions_of<Attempt>(world.handle(world.request(static_cast<std::uint64_t>(i))));
     for (int n = 0; n < 8 && !attempts.empty(); ++n) {
       ++sent;
-      attempts = only<Attempt>(world.finish(attempts.front(), AttemptResult::shed, n, CacheStatus::unknown));
+      attempts = actions_of<Attempt>(
+          world.end_attempt(attempts.front(), AttemptResult::shed, n, CacheStatus::unknown));
     }
   }
   EXPECT_LE(sent, 200U + 10U + 2U);
@@ -882,9 +891,9 @@
   const auto run = [] {
     World world;
     for (std::uint64_t i = 0; i < 300; ++i) world.serve(i * i % 37);
-    world.pass(2s);
+    world.advance(2s);
     std::string trace;
-    for (const Attempt& a : only<Attempt>(world.all)) trace += a.endpoint + a.source + ";";
+    for (const Attempt& a : actions_of<Attempt>(world.all_actions)) trace += a.endpoint + a.source + ";";
     return trace;
   };
   EXPECT_EQ(run(), run());
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -7,14 +7,14 @@
 namespace edge_proxy::test {
 namespace {
 
-void stays_within(SlowStartPlan plan, int seeds) {
+void stays_within(SlowStartScenario scenario, int seeds) {
   for (const int routers : {3, 20, 30}) {
     for (int seed = 1; seed <= seeds; ++seed) {
-      plan.routers = routers;
-      plan.seed = static_cast<std::uint64_t>(seed);
-      const SlowStartResult result = SlowStartWorld(plan).run();
-      EXPECT_LE(result.cache, 2) << routers << " routers, seed " << seed;
-      EXPECT_LE(result.parent, 2) << routers << " routers, seed " << seed;
+      scenario.routers = routers;
+      scenario.seed = static_cast<std::uint64_t>(seed);
+      const SlowStartResult result = SlowStartWorld(scenario).run();
+      EXPECT_LE(result.cache_excess, 2) << routers << " routers, seed " << seed;
+      EXPECT_LE(result.parent_excess, 2) << routers << " routers, seed " << seed;
       EXPECT_GE(result.cache_used, 0.05) << "it is used, too";
       EXPECT_GE(result.parent_used, 0.05);
     }
@@ -24,27 +24,27 @@
 TEST(SlowStart, ToldAtOneInstant) { stays_within({}, 2); }
 
 TEST(SlowStart, HeavyRequestsAndARestartOfAll) {
-  SlowStartPlan plan;
-  plan.heavy_kb = 12000;
-  plan.restarted = 1;
-  stays_within(plan, 2);
+  SlowStartScenario scenario;
+  scenario.large_object_kb = 12000;
+  scenario.restarted_fraction = 1;
+  stays_within(scenario, 2);
 }
 
 TEST(SlowStart, WhereRequestsDoNotTellTheirSize) {
   // Found on another customer's day: what is not told weighed nothing, and a cold cache fell over at 3.8
   // times what it could give (2.5 allowed).
-  SlowStartPlan plan;
-  plan.sizes_told = false;
-  stays_within(plan, 2);
+  SlowStartScenario scenario;
+  scenario.sizes_known = false;
+  stays_within(scenario, 2);
 }
 
 TEST(SlowStart, ThreeHundredWithSharesBelowOneRequest) {
-  SlowStartPlan plan;
-  plan.routers = 300;
-  plan.sizes_told = false;
-  const SlowStartResult result = SlowStartWorld(plan).run();
-  EXPECT_LE(result.cache, 2);
-  EXPECT_LE(result.parent, 2);
+  SlowStartScenario scenario;
+  scenario.routers = 300;
+  scenario.sizes_known = false;
+  const SlowStartResult result = SlowStartWorld(scenario).run();
+  EXPECT_LE(result.cache_excess, 2);
+  EXPECT_LE(result.parent_excess, 2);
 }
 
 }  // namespace
--- a/tests/support/crowded_world.h
+++ b/tests/support/crowded_world.h
@@ -21,11 +21,12 @@
 
 namespace edge_proxy::test {
 
-struct CrowdedPlan {
-  double load = 0.6;       ///< what is asked, over what the caches can send
-  double parents = 1;      ///< seats of the parents from the fifth to the fifteenth second, over the usual
-  bool all_void = false;   ///< no cache or parent holds anything from the fifth second on
-  double heavy_kb = 3200;  ///< mean size in the class of large objects; pages have a sixth of it
+struct CrowdedScenario {
+  double load = 0.6;  ///< what is asked, over what the caches can send
+  double parent_capacity =
+      1;                     ///< seats of the parents from the fifth to the fifteenth second, over the usual
+  bool copies_lost = false;  ///< no cache or parent holds anything from the fifth second on
+  double large_object_kb = 3200;  ///< mean size in the class of large objects; pages have a sixth of it
   std::uint64_t seed = 1;
   RoutingObserver observer{};
 };
@@ -37,8 +38,9 @@
 
 class CrowdedWorld {
  public:
-  explicit CrowdedWorld(const CrowdedPlan& plan) : plan_(plan), draws_(plan.seed * 7919 + 1) {
-    settings_ = settings();
+  explicit CrowdedWorld(const CrowdedScenario& scenario)
+      : scenario_(scenario), draws_(scenario.seed * 7919 + 1) {
+    settings_ = default_settings();
     settings_.router_count = kRouters;
     settings_.routers_by_zone = {0, 0, kRouters};
     settings_.weights = WeightMeaning::nominal;
@@ -74,8 +76,8 @@
       at(kBegin + gap(), [this, i] { ask(i); });
     }
     at(kBegin + 5s, [this] {
-      void_ = plan_.all_void;
-      parent_seats(std::max(1, static_cast<int>(8 * plan_.parents)));
+      void_ = scenario_.copies_lost;
+      parent_seats(std::max(1, static_cast<int>(8 * scenario_.parent_capacity)));
     });
     at(kBegin + 15s, [this] { parent_seats(8); });
     while (!events_.empty() && now_ < kBegin + kAskedFor + 6s) {
@@ -113,7 +115,7 @@
   };
 
   static Endpoint sized(std::string id, int kind, int zone, double weight) {
-    Endpoint m = member(std::move(id), kind, zone);
+    Endpoint m = make_endpoint(std::move(id), kind, zone);
     m.weight = weight;
     return m;
   }
@@ -121,10 +123,10 @@
   void at(Time when, std::function<void()> what) {
     events_.emplace(std::pair(when, ++order_), std::move(what));
   }
-  double mean_kb(int request_class) const { return plan_.heavy_kb / (request_class == 0 ? 1 : 6); }
+  double mean_kb(int request_class) const { return scenario_.large_object_kb / (request_class == 0 ? 1 : 6); }
   Time gap() {
     const double mean = (0.55 * mean_kb(0) + 0.45 * mean_kb(1)) / kPace;
-    return seconds_of(std::exponential_distribution<double>(plan_.load * 24 / mean / kRouters)(draws_));
+    return seconds_of(std::exponential_distribution<double>(scenario_.load * 24 / mean / kRouters)(draws_));
   }
   double part() { return std::uniform_real_distribution<double>(0, 1)(draws_); }
 
@@ -160,7 +162,7 @@
 
   void feed(int i, const Event& event) {
     const auto actions = routers_[static_cast<std::size_t>(i)]->handle(now_, event);
-    if (plan_.observer) plan_.observer(i, now_, event, actions);
+    if (scenario_.observer) scenario_.observer(i, now_, event, actions);
     for (const Action& action : actions) {
       if (const auto* a = std::get_if<Attempt>(&action)) send(*a);
       if (const auto* w = std::get_if<SetTimer>(&action))
@@ -279,7 +281,7 @@
     return result;
   }
 
-  CrowdedPlan plan_;
+  CrowdedScenario scenario_;
   Settings settings_;
   std::mt19937_64 draws_;
   Time now_{kBegin};
--- a/tests/support/routing_world.h
+++ b/tests/support/routing_world.h
@@ -17,7 +17,7 @@
 using RoutingObserver =
     std::function<void(int router, Time now, const Event& event, const std::vector<Action>& actions)>;
 
-inline Settings settings() {
+inline Settings default_settings() {
   Settings s;
   s.zone = 2;
   s.router_count = 1;
@@ -56,7 +56,7 @@
   return s;
 }
 
-inline Endpoint member(std::string id, int kind, int zone, Time started = Time{0}) {
+inline Endpoint make_endpoint(std::string id, int kind, int zone, Time started = Time{0}) {
   Endpoint m;
   m.id = std::move(id);
   m.kind = kind;
@@ -65,85 +65,86 @@
   return m;
 }
 
-inline std::vector<Endpoint> members() {
-  return {member("cache-a", 0, 2),  member("cache-b", 0, 2),  member("cache-c", 0, 2),
-          member("parent-a", 1, 0), member("parent-b", 1, 1), member("origin", 2, 0)};
+inline std::vector<Endpoint> default_endpoints() {
+  return {make_endpoint("cache-a", 0, 2),  make_endpoint("cache-b", 0, 2),  make_endpoint("cache-c", 0, 2),
+          make_endpoint("parent-a", 1, 0), make_endpoint("parent-b", 1, 1), make_endpoint("origin", 2, 0)};
 }
 
 class World {
  public:
-  explicit World(Settings s = settings(), std::vector<Endpoint> list = members(), std::uint64_t seed = 1)
+  explicit World(Settings s = default_settings(), std::vector<Endpoint> list = default_endpoints(),
+                 std::uint64_t seed = 1)
       : router_(std::move(s), seed) {
-    feed(EndpointList{ListKind::from_configuration, std::move(list)});
+    handle(EndpointList{ListKind::from_configuration, std::move(list)});
   }
 
-  std::vector<Action> feed(const Event& event) {
+  std::vector<Action> handle(const Event& event) {
     auto actions = router_.handle(now, event);
-    all.insert(all.end(), actions.begin(), actions.end());
+    all_actions.insert(all_actions.end(), actions.begin(), actions.end());
     return actions;
   }
 
   /// Lets time pass in small steps, so that every timer is served.
-  std::vector<Action> pass(Time span) {
+  std::vector<Action> advance(Time span) {
     std::vector<Action> actions;
     for (const Time end = now + span; now < end;) {
       now = std::min(end, now + Time{2ms});
-      const auto more = feed(TimerFired{1});
+      const auto more = handle(TimerFired{1});
       actions.insert(actions.end(), more.begin(), more.end());
     }
     return actions;
   }
 
-  Request request(std::uint64_t object, int request_class = 0, Time patience = 2500ms) {
+  Request request(std::uint64_t object, int request_class = 0, Time client_timeout = 2500ms) {
     Request r;
-    r.id = "r" + std::to_string(++made_);
+    r.id = "r" + std::to_string(++request_count_);
     r.object = object;
     r.size_kb = 50;
     r.request_class = request_class;
-    r.expires = now + patience;
+    r.expires = now + client_timeout;
     return r;
   }
 
-  std::vector<Action> finish(const Attempt& a, AttemptResult ending, int n = 0,
-                             CacheStatus note = CacheStatus::hit, Time took = 50ms) {
+  std::vector<Action> end_attempt(const Attempt& a, AttemptResult result, int n = 0,
+                                  CacheStatus cache_status = CacheStatus::hit, Time duration = 50ms) {
     Outcome o;
     o.request = a.request;
     o.endpoint = a.endpoint;
     o.attempt = n;
-    o.result = ending;
-    o.cache_status = note;
-    o.duration = took;
-    o.request_finished = ending == AttemptResult::served;
-    return feed(o);
+    o.result = result;
+    o.cache_status = cache_status;
+    o.duration = duration;
+    o.request_finished = result == AttemptResult::served;
+    return handle(o);
   }
 
   /// Ends all attempts that were called off, as the other side does in the end.
-  void end_cancelled() {
-    for (; seen_ < all.size(); ++seen_) {
-      const auto* cancel = std::get_if<Cancel>(&all[seen_]);
+  void end_cancelled_attempts() {
+    for (; next_action_ < all_actions.size(); ++next_action_) {
+      const auto* cancel = std::get_if<Cancel>(&all_actions[next_action_]);
       if (cancel == nullptr) continue;
       Attempt given_up;
       given_up.request = cancel->request;
-      finish(given_up, AttemptResult::cancelled, cancel->attempt, CacheStatus::unknown);
+      end_attempt(given_up, AttemptResult::cancelled, cancel->attempt, CacheStatus::unknown);
     }
   }
 
   /// Asks for an object and has the first attempt served; returns that attempt.
-  Attempt serve(std::uint64_t object, CacheStatus note = CacheStatus::hit);
+  Attempt serve(std::uint64_t object, CacheStatus cache_status = CacheStatus::hit);
 
-  [[nodiscard]] Router::Stats beliefs() const { return router_.stats(); }
+  [[nodiscard]] Router::Stats stats() const { return router_.stats(); }
 
   Time now{1000s};
-  std::vector<Action> all;
+  std::vector<Action> all_actions;
 
  private:
   Router router_;
-  int made_ = 0;
-  std::size_t seen_ = 0;
+  int request_count_ = 0;
+  std::size_t next_action_ = 0;
 };
 
 template <typename A>
-std::vector<A> only(const std::vector<Action>& actions) {
+std::vector<A> actions_of(const std::vector<Action>& actions) {
   std::vector<A> found;
   for (const Action& action : actions) {
     if (const A* a = std::get_if<A>(&action)) found.push_back(*a);
@@ -151,10 +152,10 @@
   return found;
 }
 
-inline Attempt World::serve(std::uint64_t object, CacheStatus note) {
-  const auto sent = only<Attempt>(feed(request(object)));
+inline Attempt World::serve(std::uint64_t object, CacheStatus cache_status) {
+  const auto sent = actions_of<Attempt>(handle(request(object)));
   if (sent.empty()) return {};
-  finish(sent.front(), AttemptResult::served, 0, note);
+  end_attempt(sent.front(), AttemptResult::served, 0, cache_status);
   return sent.front();
 }
 
--- a/tests/support/slow_start_world.h
+++ b/tests/support/slow_start_world.h
@@ -18,15 +18,17 @@
 
 namespace edge_proxy::test {
 
-struct SlowStartPlan {
+struct SlowStartScenario {
   int routers = 20;
-  double load = 1.1;       ///< what is asked, over what all caches can send
-  double told_over = 0;    ///< seconds in which the routers are told of the start, one after another
-  double restarted = 0;    ///< share of the routers that are restarted in the middle, all at one moment
-  double heavy_kb = 3200;  ///< mean size in the heavy class; the light one has a sixth
-  bool sizes_told = true;
+  double load = 1.1;  ///< what is asked, over what all caches can send
+  double update_spread_seconds =
+      0;  ///< seconds in which the routers are told of the start, one after another
+  double restarted_fraction =
+      0;  ///< share of the routers that are restarted in the middle, all at one moment
+  double large_object_kb = 3200;  ///< mean size in the heavy class; the light one has a sixth
+  bool sizes_known = true;
   /// Seconds until a connection to the cold cache is up: all that is decided meanwhile comes there at once.
-  double connects_in = 0;
+  double connect_seconds = 0;
   WeightMeaning weights = WeightMeaning::nominal;
   std::uint64_t seed = 1;
   RoutingObserver observer{};
@@ -34,19 +36,20 @@
 
 struct SlowStartResult {
   /// The worst window: how many calls of mean work came beyond N, over root of N + 1. Chance is given 2.
-  double cache = -1e9, parent = -1e9;
+  double cache_excess = -1e9, parent_excess = -1e9;
   /// Work sent to them over the whole start, over what the settings allow in all.
   double cache_used = 0, parent_used = 0;
-  double served = 0;  ///< share of the requests
+  double served_ratio = 0;  ///< share of the requests
 };
 
 class SlowStartWorld {
  public:
-  explicit SlowStartWorld(const SlowStartPlan& plan) : plan_(plan), draws_(plan.seed * 7919 + 1) {
-    settings_ = settings();
-    settings_.router_count = plan.routers;
-    settings_.routers_by_zone = {0, 0, plan.routers};
-    settings_.weights = plan.weights;
+  explicit SlowStartWorld(const SlowStartScenario& scenario)
+      : scenario_(scenario), draws_(scenario.seed * 7919 + 1) {
+    settings_ = default_settings();
+    settings_.router_count = scenario.routers;
+    settings_.routers_by_zone = {0, 0, scenario.routers};
+    settings_.weights = scenario.weights;
     settings_.cache_status_detail = CacheStatusDetail::none;
     settings_.hedging = settings_.direct_to_sources = false;
     settings_.transfer_kb_per_s = 9100;
@@ -63,12 +66,12 @@
   }
 
   SlowStartResult run() {
-    for (int i = 0; i < plan_.routers; ++i) {
+    for (int i = 0; i < scenario_.routers; ++i) {
       routers_.push_back({});
       start(i);
       push(kBegin + seconds_of(gap()), i, Kind::arrival);
-      push(kStarted + seconds_of(plan_.told_over * i / plan_.routers), i, Kind::told);
-      if (i < plan_.restarted * plan_.routers) push(kStarted + 3s, i, Kind::restart);
+      push(kStarted + seconds_of(scenario_.update_spread_seconds * i / scenario_.routers), i, Kind::told);
+      if (i < scenario_.restarted_fraction * scenario_.routers) push(kStarted + 3s, i, Kind::restart);
     }
     while (!events_.empty() && events_.top().at < kStarted + 22s) {
       const Next next = events_.top();
@@ -77,11 +80,11 @@
       step(next);
     }
     SlowStartResult result;
-    result.cache = cache_.worst;
-    result.parent = parent_.worst;
+    result.cache_excess = cache_.worst;
+    result.parent_excess = parent_.worst;
     result.cache_used = cache_.total / cache_.allowed_in_all(mean_work());
     result.parent_used = parent_.total / parent_.allowed_in_all(mean_work());
-    result.served = static_cast<double>(served_) / std::max(1, asked_);
+    result.served_ratio = static_cast<double>(served_) / std::max(1, asked_);
     return result;
   }
 
@@ -138,11 +141,11 @@
 
   static Time seconds_of(double s) { return Time{static_cast<std::int64_t>(s * 1e6)}; }
   [[nodiscard]] double work_of(int request_class) const {
-    return plan_.heavy_kb / 9100 / (request_class == 0 ? 1 : 6);
+    return scenario_.large_object_kb / 9100 / (request_class == 0 ? 1 : 6);
   }
   [[nodiscard]] double mean_work() const { return 0.55 * work_of(0) + 0.45 * work_of(1); }
   double gap() {
-    const double rate = plan_.load * 4 * kCacheWeight / mean_work() / plan_.routers;
+    const double rate = scenario_.load * 4 * kCacheWeight / mean_work() / scenario_.routers;
     return std::exponential_distribution<double>(rate)(draws_);
   }
 
@@ -152,19 +155,20 @@
   }
 
   [[nodiscard]] Endpoint sized(Endpoint m, double weight) const {
-    m.weight = plan_.weights == WeightMeaning::none ? 1 : weight;
-    if (plan_.weights == WeightMeaning::rough)
+    m.weight = scenario_.weights == WeightMeaning::none ? 1 : weight;
+    if (scenario_.weights == WeightMeaning::rough)
       m.weight *= m.id == "cache-a" || m.id == "parent-a" ? 1.2 : 0.9;
     return m;
   }
   std::vector<Endpoint> list(bool told) const {
-    std::vector<Endpoint> all{sized(member("cache-b", 0, 2), kCacheWeight),
-                              sized(member("cache-c", 0, 2), kCacheWeight),
-                              sized(member("cache-d", 0, 2), kCacheWeight),
-                              sized(member("parent-b", 1, 1), kParentWeight), member("origin", 2, 0)};
+    std::vector<Endpoint> all{sized(make_endpoint("cache-b", 0, 2), kCacheWeight),
+                              sized(make_endpoint("cache-c", 0, 2), kCacheWeight),
+                              sized(make_endpoint("cache-d", 0, 2), kCacheWeight),
+                              sized(make_endpoint("parent-b", 1, 1), kParentWeight),
+                              make_endpoint("origin", 2, 0)};
     if (told) {
-      all.push_back(sized(member("cache-a", 0, 2, kStarted), kCacheWeight));
-      all.push_back(sized(member("parent-a", 1, 0, kStarted), kParentWeight));
+      all.push_back(sized(make_endpoint("cache-a", 0, 2, kStarted), kCacheWeight));
+      all.push_back(sized(make_endpoint("parent-a", 1, 0, kStarted), kParentWeight));
     }
     return all;
   }
@@ -213,7 +217,7 @@
     request.size_kb = work_of(request.request_class) * 9100 *
                       std::exp(std::normal_distribution<double>(-kSigma * kSigma / 2, kSigma)(draws_));
     const Time takes = 40ms + seconds_of(request.size_kb / 9100);
-    if (!plan_.sizes_told) request.size_kb = 0;
+    if (!scenario_.sizes_known) request.size_kb = 0;
     request.expires = now_ + (request.request_class == 0 ? 5s : 2500ms);
     routers_[static_cast<std::size_t>(i)].tries[request.id] = {0, request.request_class, takes};
     feed(i, request);
@@ -244,13 +248,13 @@
   void feed(int i, const Event& event) {
     OneRouter& r = routers_[static_cast<std::size_t>(i)];
     const auto actions = r.router->handle(now_, event);
-    if (plan_.observer) plan_.observer(i, now_, event, actions);
+    if (scenario_.observer) scenario_.observer(i, now_, event, actions);
     for (const Action& action : actions) {
       if (const auto* a = std::get_if<Attempt>(&action)) {
         Asked& asked = r.tries[a->request];
         Time at = now_;
         if (a->endpoint == "cache-a") {
-          if (r.up == Time{0}) r.up = now_ + seconds_of(plan_.connects_in);
+          if (r.up == Time{0}) r.up = now_ + seconds_of(scenario_.connect_seconds);
           at = std::max(at, r.up);
         }
         if (at > now_) {
@@ -269,7 +273,7 @@
     }
   }
 
-  SlowStartPlan plan_;
+  SlowStartScenario scenario_;
   Settings settings_;
   std::mt19937_64 draws_;
   Time now_{kBegin};
