--- a/tests/routing/crowded_world_test.cpp
+++ b/tests/routing/crowded_world_test.cpp
@@ -14,108 +14,113 @@
 constexpr int kRouters = 60;
 constexpr double kWork = 0.05;  // seconds of sending, of each request
 
-Settings fleet_settings() {
-  Settings s = default_settings();
-  s.router_count = kRouters;
-  s.routers_by_zone = {0, 0, kRouters};
-  s.weights = WeightMeaning::nominal;
-  s.cache_status_detail = CacheStatusDetail::none;
-  s.hedging = false;
-  s.direct_to_sources = false;
-  return s;
+Settings many_router_settings() {
+  Settings settings = default_settings();
+  settings.router_count = kRouters;
+  settings.routers_by_zone = {0, 0, kRouters};
+  settings.weights = WeightMeaning::nominal;
+  settings.cache_status_detail = CacheStatusDetail::none;
+  settings.hedging = false;
+  settings.direct_to_sources = false;
+  return settings;
 }
 
-Endpoint sized(Endpoint m, double weight) {
-  m.weight = weight;
-  return m;
+Endpoint with_weight(Endpoint endpoint, double weight) {
+  endpoint.weight = weight;
+  return endpoint;
 }
 
-std::vector<std::unique_ptr<World>> fleet(const std::vector<Endpoint>& list) {
+std::vector<std::unique_ptr<World>> make_worlds(const std::vector<Endpoint>& list) {
   std::vector<std::unique_ptr<World>> worlds;
   for (int i = 0; i < kRouters; ++i)
-    worlds.push_back(std::make_unique<World>(fleet_settings(), list, static_cast<std::uint64_t>(i + 1)));
+    worlds.push_back(
+        std::make_unique<World>(many_router_settings(), list, static_cast<std::uint64_t>(i + 1)));
   return worlds;
 }
 
 /// The most, over all windows of the rule's span, that the fleet's sum took of what pushes a member over.
-double most_of_the_budget(const std::string& cold, double weight, double floor, Time warm) {
-  auto worlds = fleet({sized(make_endpoint("cache-a", 0, 2, cold == "cache-a" ? 1000s : 0s), 6),
-                       sized(make_endpoint("cache-b", 0, 2), 6),
-                       sized(make_endpoint("parent-a", 1, 0, cold == "parent-a" ? 1000s : 0s), 20),
-                       sized(make_endpoint("parent-b", 1, 1), 20), make_endpoint("origin", 2, 0)});
-  std::deque<std::pair<Time, double>> sent;
-  double most = 0, sum = 0;
+double max_budget_utilization(const std::string& warming_id, double weight, double initial_capacity,
+                              Time warm_up_time) {
+  auto worlds =
+      make_worlds({with_weight(make_endpoint("cache-a", 0, 2, warming_id == "cache-a" ? 1000s : 0s), 6),
+                   with_weight(make_endpoint("cache-b", 0, 2), 6),
+                   with_weight(make_endpoint("parent-a", 1, 0, warming_id == "parent-a" ? 1000s : 0s), 20),
+                   with_weight(make_endpoint("parent-b", 1, 1), 20), make_endpoint("origin", 2, 0)});
+  std::deque<std::pair<Time, double>> window;
+  double max_utilization = 0, window_work = 0;
   std::uint64_t object = 0;
-  for (int step = 0; step < warm / 100ms; ++step) {
+  for (int step = 0; step < warm_up_time / 100ms; ++step) {
     for (auto& world : worlds) {
-      for (const Attempt& a : actions_of<Attempt>(world->handle(world->request(++object)))) {
-        if (a.endpoint == cold || a.source == cold) {
-          sent.emplace_back(world->now, kWork);
-          sum += kWork;
+      for (const Attempt& attempt : actions_of<Attempt>(world->handle(world->request(++object)))) {
+        if (attempt.endpoint == warming_id || attempt.source == warming_id) {
+          window.emplace_back(world->now, kWork);
+          window_work += kWork;
         }
-        world->end_attempt(a, AttemptResult::served, 0, CacheStatus::unknown);
+        world->end_attempt(attempt, AttemptResult::served, 0, CacheStatus::unknown);
       }
       world->advance(100ms);
     }
     const Time now = worlds.front()->now;
-    for (; !sent.empty() && sent.front().first + 2s < now; sent.pop_front()) sum -= sent.front().second;
-    const double age = std::min(1.0, std::chrono::duration<double>(now - 1000s) / warm);
-    most = std::max(most, sum / (2 * (floor + (1 - floor) * age) * weight * 2));
+    for (; !window.empty() && window.front().first + 2s < now; window.pop_front())
+      window_work -= window.front().second;
+    const double age = std::min(1.0, std::chrono::duration<double>(now - 1000s) / warm_up_time);
+    max_utilization = std::max(
+        max_utilization, window_work / (2 * (initial_capacity + (1 - initial_capacity) * age) * weight * 2));
   }
-  return most;
+  return max_utilization;
 }
 
-TEST(Fleet, TheSumStaysWithinWhatAColdCacheBears) {
+TEST(ManyRouters, TotalWorkStaysWithinTheLimitOfAWarmingCache) {
   // 600 requests a second, half of them homed at the cold cache: 15 s of sending a second for a weight of 6.
-  const double used = most_of_the_budget("cache-a", 6, 0.25, 16s);
-  EXPECT_LE(used, 1.0);
-  EXPECT_GE(used, 0.2);  // it is used, too
+  const double utilization = max_budget_utilization("cache-a", 6, 0.25, 16s);
+  EXPECT_LE(utilization, 1.0);
+  EXPECT_GE(utilization, 0.2);  // it is used, too
 }
 
-TEST(Fleet, TheSumStaysWithinWhatAColdParentBears) {
-  const double used = most_of_the_budget("parent-a", 20, 0.1, 20s);
-  EXPECT_LE(used, 1.0);
-  EXPECT_GE(used, 0.2);
+TEST(ManyRouters, TotalWorkStaysWithinTheLimitOfAWarmingParent) {
+  const double utilization = max_budget_utilization("parent-a", 20, 0.1, 20s);
+  EXPECT_LE(utilization, 1.0);
+  EXPECT_GE(utilization, 0.2);
 }
 
-TEST(Fleet, FillsStayBoundedWhenAllCopiesGoVoidAtOnce) {
-  // All 300 requests a second miss from the start; 60 fetches a second are in time, and while more are asked
-  // of it the origin answers all of them late.
-  auto worlds =
-      fleet({make_endpoint("cache-a", 0, 2), make_endpoint("cache-b", 0, 2), make_endpoint("parent-a", 1, 0),
-             make_endpoint("parent-b", 1, 1), make_endpoint("origin", 2, 0)});
-  constexpr int kBears = 12;  // in a step of 200 ms
-  std::vector<std::pair<World*, Attempt>> slow, slower;
+TEST(ManyRouters, FillsStayLimitedWhenAllCopiesBecomeInvalid) {
+  // All 300 requests a second miss from the start; 60 fetches a second are in time, and while more are
+  // asked of it the origin answers all of them late.
+  auto worlds = make_worlds({make_endpoint("cache-a", 0, 2), make_endpoint("cache-b", 0, 2),
+                             make_endpoint("parent-a", 1, 0), make_endpoint("parent-b", 1, 1),
+                             make_endpoint("origin", 2, 0)});
+  constexpr int kOriginCapacity = 12;  // in a step of 200 ms
+  std::vector<std::pair<World*, Attempt>> pending_one_step, pending_two_steps;
   std::uint64_t object = 0;
-  int asked_late_in_the_day = 0, most_at_first = 0;
+  int fills_after_first_steps = 0, max_initial_fills = 0;
   for (int step = 0; step < 150; ++step) {
-    std::vector<std::pair<World*, Attempt>> asked;
+    std::vector<std::pair<World*, Attempt>> fills;
     for (auto& world : worlds) {
-      for (const Attempt& a : actions_of<Attempt>(world->handle(world->request(++object)))) {
-        if (a.source == a.endpoint || a.cached_only) {
-          world->end_attempt(a, AttemptResult::cache_miss, 0, CacheStatus::unknown, 1ms);
+      for (const Attempt& attempt : actions_of<Attempt>(world->handle(world->request(++object)))) {
+        if (attempt.source == attempt.endpoint || attempt.cached_only) {
+          world->end_attempt(attempt, AttemptResult::cache_miss, 0, CacheStatus::unknown, 1ms);
         } else {
-          asked.emplace_back(world.get(), a);
+          fills.emplace_back(world.get(), attempt);
         }
       }
     }
-    const int fetches = static_cast<int>(asked.size());
-    if (step < 5) most_at_first = std::max(most_at_first, fetches);
-    if (step >= 50) asked_late_in_the_day += fetches;
-    if (fetches <= kBears) {
-      for (auto& [world, a] : asked)
-        world->end_attempt(a, AttemptResult::served, 0, CacheStatus::unknown, 50ms);
-      asked.clear();
+    const int fill_count = static_cast<int>(fills.size());
+    if (step < 5) max_initial_fills = std::max(max_initial_fills, fill_count);
+    if (step >= 50) fills_after_first_steps += fill_count;
+    if (fill_count <= kOriginCapacity) {
+      for (auto& [world, attempt] : fills)
+        world->end_attempt(attempt, AttemptResult::served, 0, CacheStatus::unknown, 50ms);
+      fills.clear();
     }
     for (auto& world : worlds) world->advance(200ms);
-    for (auto& [world, a] : slower)
-      world->end_attempt(a, AttemptResult::served, 0, CacheStatus::unknown, 600ms);
-    slower = std::exchange(slow, std::move(asked));
+    for (auto& [world, attempt] : pending_two_steps)
+      world->end_attempt(attempt, AttemptResult::served, 0, CacheStatus::unknown, 600ms);
+    pending_two_steps = std::exchange(pending_one_step, std::move(fills));
     for (auto& world : worlds) world->end_cancelled_attempts();
   }
-  EXPECT_GE(most_at_first, 50);
-  EXPECT_LE(asked_late_in_the_day / 100, 2 * kBears);  // in the mean
-  EXPECT_GE(asked_late_in_the_day / 100, kBears / 4);
+  EXPECT_GE(max_initial_fills, 50);
+  EXPECT_LE(fills_after_first_steps / 100, 2 * kOriginCapacity);  // in the mean
+  EXPECT_GE(fills_after_first_steps / 100, kOriginCapacity / 4);
 }
 
 }  // namespace
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -11,18 +11,18 @@
 namespace edge_proxy::test {
 namespace {
 
-std::size_t final_answers(const std::vector<Action>& actions) {
+std::size_t final_answer_count(const std::vector<Action>& actions) {
   return actions_of<Reject>(actions).size() + actions_of<Fail>(actions).size();
 }
 
 // ---- The ordinary path ----
 
-TEST(Ranks, NothingIsBronzeBeforeTheWindowIsFull) {
+TEST(Popularity, NoPartIsBronzeBeforeTheWindowIsFull) {
   World world;
   EXPECT_EQ(world.serve(1).rank, Rank::low);
 }
 
-TEST(Ranks, GoldSilverAndBronzeFollowTheRoutersOwnCounts) {
+TEST(Popularity, RanksFollowTheRouterOwnRequestCounts) {
   World world;
   world.advance(21s);
   for (int i = 0; i < 30; ++i) world.serve(1);
@@ -38,7 +38,7 @@
   EXPECT_TRUE(bronze.parent_uncached);
 }
 
-TEST(Ranks, AClientsRetryIsNotNewDemand) {
+TEST(Popularity, ClientRetriesAreNotCounted) {
   World world;
   world.advance(21s);
   world.serve(5);
@@ -49,13 +49,13 @@
   EXPECT_EQ(sent.front().rank, Rank::uncached);
 }
 
-TEST(Fills, ThatAreHeldBackLeaveACopyInItsGraceTimeToServe) {
+TEST(Fills, DeniedFillAllowsAStaleCopyWithinItsGrace) {
   // Found beside the days on which all copies go void: what was held back was refused, though a copy in its
   // grace time earns half. After a purge no copy from before it will do, whatever its grace.
-  Settings s = default_settings();
-  s.classes[0].max_age = 8s;
-  s.classes[0].grace = 20s;
-  World world(s, {make_endpoint("cache-a", 0, 2)});  // nothing to fill from
+  Settings settings = default_settings();
+  settings.classes[0].max_age = 8s;
+  settings.classes[0].grace = 20s;
+  World world(settings, {make_endpoint("cache-a", 0, 2)});  // nothing to fill from
   const auto held = actions_of<Attempt>(world.handle(world.request(1)));
   ASSERT_EQ(held.size(), 1U);
   EXPECT_EQ(held.front().max_copy_age, 28s);
@@ -63,13 +63,13 @@
   const auto purged = actions_of<Attempt>(world.handle(world.request(2)));
   ASSERT_EQ(purged.size(), 1U);
   EXPECT_EQ(purged.front().max_copy_age, 1s);
-  World filled(s);
+  World filled(settings);
   const auto fill = actions_of<Attempt>(filled.handle(filled.request(1)));
   ASSERT_EQ(fill.size(), 1U);
   EXPECT_EQ(fill.front().max_copy_age, 8s);
 }
 
-TEST(Fills, AreJoinedWhereOneIsUnderWayAndWritesJoinNone) {
+TEST(Fills, ReadsJoinFillsInFlightAndWritesDoNot) {
   // Found on days on which all copies go void at once: each of a location's routers had hot parts filled
   // anew, a fifth of all fills were double, and what was held back came back as a miss beside a running fill.
   World world;
@@ -80,7 +80,7 @@
   EXPECT_FALSE(write.front().join_fill);
 }
 
-TEST(HashOrder, AllRoutersMeetAtOneParentWhateverTheirListOrder) {
+TEST(EndpointSelection, AllRoutersSelectTheSameParentWhateverTheListOrder) {
   Settings other_place = default_settings();
   other_place.zone = 3;
   other_place.routers_by_zone = {0, 0, 1, 1};
@@ -89,60 +89,61 @@
   World here, there(other_place, list);
   std::set<std::string> parents;
   for (std::uint64_t object = 0; object < 40; ++object) {
-    const Attempt a = here.serve(object), b = there.serve(object);
-    EXPECT_EQ(a.source, b.source);
-    parents.insert(a.source);
+    const Attempt attempt = here.serve(object), other = there.serve(object);
+    EXPECT_EQ(attempt.source, other.source);
+    parents.insert(attempt.source);
   }
   EXPECT_EQ(parents.size(), 2U);
 }
 
-TEST(HashOrder, OnlyCachesOfTheOwnLocationAreAsked) {
+TEST(EndpointSelection, SelectsOnlyCachesOfTheSameLocation) {
   auto list = default_endpoints();
   list.push_back(make_endpoint("cache-far", 0, 4));
   World world(default_settings(), list);
   for (std::uint64_t object = 0; object < 60; ++object) EXPECT_NE(world.serve(object).endpoint, "cache-far");
 }
 
-TEST(HashOrder, WithoutParentsFillsComeFromTheOrigin) {
-  Settings s = default_settings();
-  s.parent_kind = -1;
-  World world(s, {make_endpoint("cache-a", 0, 2), make_endpoint("origin", 2, 0)});
+TEST(EndpointSelection, FillsComeFromTheOriginWithoutParents) {
+  Settings settings = default_settings();
+  settings.parent_kind = -1;
+  World world(settings, {make_endpoint("cache-a", 0, 2), make_endpoint("origin", 2, 0)});
   EXPECT_EQ(world.serve(1).source, "origin");
 }
 
-TEST(HashOrder, ALoadedMemberIsPassedOver) {
+TEST(EndpointSelection, SkipsAnEndpointAtItsLoadBound) {
   World world;
   std::set<std::string> used;
   for (int i = 0; i < 30; ++i) {
-    for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(1)))) used.insert(a.endpoint);
+    for (const Attempt& attempt : actions_of<Attempt>(world.handle(world.request(1))))
+      used.insert(attempt.endpoint);
   }
   EXPECT_GE(used.size(), 2U);
 }
 
 // ---- One final answer ----
 
-TEST(FinalAnswer, ComesBeforeATryThatEndsEarly) {
+TEST(FinalAnswer, IsGivenOnceBeforeAnEarlyDeadline) {
   World world;
   world.handle(world.request(1, 0, 100ms));
-  EXPECT_EQ(final_answers(world.advance(100ms)), 1U);
-  EXPECT_EQ(final_answers(world.advance(5s)), 0U);
+  EXPECT_EQ(final_answer_count(world.advance(100ms)), 1U);
+  EXPECT_EQ(final_answer_count(world.advance(5s)), 0U);
 }
 
-TEST(FinalAnswer, NothingIsSentAfterTheEnd) {
+TEST(FinalAnswer, NoAttemptIsSentAfterIt) {
   World world;
   const auto sent = actions_of<Attempt>(world.handle(world.request(1)));
   world.advance(2500ms);
   const auto late = world.end_attempt(sent.front(), AttemptResult::error);
   EXPECT_TRUE(actions_of<Attempt>(late).empty());
-  EXPECT_EQ(final_answers(late), 0U);
+  EXPECT_EQ(final_answer_count(late), 0U);
 }
 
-TEST(FinalAnswer, WithoutAnyMemberARequestIsRefusedAtOnce) {
+TEST(FinalAnswer, IsARejectionAtOnceWithoutEndpoints) {
   World world(default_settings(), {});
-  EXPECT_EQ(final_answers(world.handle(world.request(1))), 1U);
+  EXPECT_EQ(final_answer_count(world.handle(world.request(1))), 1U);
 }
 
-TEST(FinalAnswer, OddEventsAreSafe) {
+TEST(FinalAnswer, UnknownAndRepeatedEventsAreIgnored) {
   World world;
   Outcome unknown;
   unknown.request = "nobody";
@@ -154,45 +155,46 @@
   const auto sent = actions_of<Attempt>(world.handle(world.request(1)));
   world.end_attempt(sent.front(), AttemptResult::served, 7);
   world.end_attempt(sent.front(), AttemptResult::served);
-  EXPECT_EQ(final_answers(world.end_attempt(sent.front(), AttemptResult::served)), 0U);
+  EXPECT_EQ(final_answer_count(world.end_attempt(sent.front(), AttemptResult::served)), 0U);
 }
 
-TEST(FinalAnswer, ARefusalTellsTheClientWhenToComeBackWhereTheSiteHandsThatOn) {
+TEST(FinalAnswer, RejectionHasARetryAfterIfTheSiteSupportsIt) {
   for (const bool handed_on : {false, true}) {
-    Settings s = default_settings();
-    s.retry_after = handed_on;
-    s.max_retry_after = 500ms;
-    World world(s, {});
-    const auto refused = actions_of<Reject>(world.handle(world.request(1)));
-    ASSERT_EQ(refused.size(), 1U);
-    EXPECT_EQ(refused.front().retry_after, handed_on ? 250ms : 0ms);
+    Settings settings = default_settings();
+    settings.retry_after = handed_on;
+    settings.max_retry_after = 500ms;
+    World world(settings, {});
+    const auto rejected = actions_of<Reject>(world.handle(world.request(1)));
+    ASSERT_EQ(rejected.size(), 1U);
+    EXPECT_EQ(rejected.front().retry_after, handed_on ? 250ms : 0ms);
   }
 }
 
 // ---- No effect twice ----
 
-TEST(Fills, GoToTheOriginWhereNoParentIsSound) {
+TEST(Fills, GoToTheOriginWhenNoParentIsUsable) {
   // Guards against refusing every miss while one parent fails and the other has only just started.
   World world;
   Endpoint other = make_endpoint("parent-b", 1, 1);
   other.state = EndpointState::removed;
   world.handle(EndpointList{ListKind::changes, {other}});
   for (std::uint64_t n = 0; n < 100; ++n) {
-    for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(n))))
-      world.end_attempt(a, a.source == "parent-a" ? AttemptResult::error : AttemptResult::served, 0,
-                        CacheStatus::unknown);
+    for (const Attempt& attempt : actions_of<Attempt>(world.handle(world.request(n))))
+      world.end_attempt(attempt, attempt.source == "parent-a" ? AttemptResult::error : AttemptResult::served,
+                        0, CacheStatus::unknown);
     world.advance(50ms);
   }
   world.advance(10s);
   world.handle(EndpointList{ListKind::changes, {make_endpoint("parent-b", 1, 1, world.now)}});
   std::set<std::string> sources;
   for (std::uint64_t n = 1000; n < 1003; ++n) {
-    for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(n)))) sources.insert(a.source);
+    for (const Attempt& attempt : actions_of<Attempt>(world.handle(world.request(n))))
+      sources.insert(attempt.source);
   }
   EXPECT_EQ(sources.count("origin"), 1U);
 }
 
-TEST(Fills, ThatNoParentTakesGoToTheOriginWhileItAnswersInTime) {
+TEST(Fills, GoToTheOriginWhenParentsAreFullWhileItAnswersInTime) {
   // Guards against refusing misses while one parent is lost and the other is full, though the origin has
   // room.
   for (const bool in_time : {true, false}) {
@@ -200,13 +202,13 @@
     std::set<std::string> sources;
     std::size_t at_origin = 0;
     for (std::uint64_t n = 0; n < 200; ++n) {
-      for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(n)))) {
-        if (a.source != "origin") continue;  // the parents answer none
+      for (const Attempt& attempt : actions_of<Attempt>(world.handle(world.request(n)))) {
+        if (attempt.source != "origin") continue;  // the parents answer none
         at_origin += n >= 100 ? 1 : 0;
         if (in_time) {
-          world.end_attempt(a, AttemptResult::served, 0, CacheStatus::unknown);
+          world.end_attempt(attempt, AttemptResult::served, 0, CacheStatus::unknown);
         } else {
-          world.end_attempt(a, AttemptResult::error, 0, CacheStatus::origin_failed);
+          world.end_attempt(attempt, AttemptResult::error, 0, CacheStatus::origin_failed);
         }
       }
     }
@@ -215,46 +217,47 @@
   }
 }
 
-TEST(OwnCopies, GoOutWhereTheyAreInTimeAndTheHotOnesOnlyOnAFreeLink) {
+TEST(LocalCopies, AreServedIfInTimeAndPopularOnesOnlyOnAnIdleLink) {
   World world;
-  const auto own = [&world](std::uint64_t object, Time wait) {
-    Request r = world.request(object);
-    r.local_copy_wait = wait;
-    const auto actions = world.handle(r);
+  const auto is_served_locally = [&world](std::uint64_t object, Time wait) {
+    Request request = world.request(object);
+    request.local_copy_wait = wait;
+    const auto actions = world.handle(request);
     EXPECT_EQ(actions_of<ServeFromLocalCache>(actions).size() + actions_of<Attempt>(actions).size(), 1U);
     return !actions_of<ServeFromLocalCache>(actions).empty();
   };
-  EXPECT_TRUE(own(1, 0ms));
-  EXPECT_TRUE(own(1, 100ms));
-  EXPECT_FALSE(own(1, 100ms));  // asked for the third time: the caches hold it
-  EXPECT_TRUE(own(1, 0ms));
-  EXPECT_FALSE(own(2, 400ms));  // too late: wanted within 0.5 s
+  EXPECT_TRUE(is_served_locally(1, 0ms));
+  EXPECT_TRUE(is_served_locally(1, 100ms));
+  EXPECT_FALSE(is_served_locally(1, 100ms));  // asked for the third time: the caches hold it
+  EXPECT_TRUE(is_served_locally(1, 0ms));
+  EXPECT_FALSE(is_served_locally(2, 400ms));  // too late: wanted within 0.5 s
   EXPECT_EQ(world.stats().in_flight, 2U);
 }
 
-TEST(Health, ErrorsOfOneCacheAloneAreItsOwnAndCostItsSourcesNothing) {
+TEST(Health, ErrorsOfASingleCacheAreNotBlamedOnItsSources) {
   // Found on days with a cache that fails fast: its errors were laid to the parents, all fills were held
   // back, and it went on getting its full part.
   World world;
-  std::size_t at_bad = 0, refused = 0;
+  std::size_t attempts_at_failing_cache = 0, rejected = 0;
   for (std::uint64_t n = 0; n < 600; ++n) {
     const auto actions = world.handle(world.request(n));
-    refused += actions_of<Reject>(actions).size();
-    for (const Attempt& a : actions_of<Attempt>(actions)) {
-      at_bad += n >= 300 && a.endpoint == "cache-a" ? 1 : 0;
+    rejected += actions_of<Reject>(actions).size();
+    for (const Attempt& attempt : actions_of<Attempt>(actions)) {
+      attempts_at_failing_cache += n >= 300 && attempt.endpoint == "cache-a" ? 1 : 0;
       const auto more = world.end_attempt(
-          a, a.endpoint == "cache-a" ? AttemptResult::error : AttemptResult::served, 0, CacheStatus::unknown);
+          attempt, attempt.endpoint == "cache-a" ? AttemptResult::error : AttemptResult::served, 0,
+          CacheStatus::unknown);
       for (const Attempt& again : actions_of<Attempt>(more))
         world.end_attempt(again, AttemptResult::served, 1, CacheStatus::unknown);
-      if (n >= 300) refused += actions_of<Reject>(more).size();
+      if (n >= 300) rejected += actions_of<Reject>(more).size();
     }
     world.advance(20ms);
   }
-  EXPECT_LT(at_bad, 40U);  // of 100 that are its part
-  EXPECT_LT(refused, 40U);
+  EXPECT_LT(attempts_at_failing_cache, 40U);  // of 100 that are its part
+  EXPECT_LT(rejected, 40U);
 }
 
-TEST(Memory, MembersThatHaveLeftAreForgottenWithTheLastRequestThatNamesThem) {
+TEST(Memory, RemovedEndpointsAreFreedWithTheLastRequestThatRefersToThem) {
   World world;
   Attempt held;
   for (int n = 0; n < 500; ++n) {
@@ -283,7 +286,7 @@
   EXPECT_LT(world.stats().table_entries, 20U);
 }
 
-TEST(Effects, WritesReachTheOriginOnly) {
+TEST(RetrySafety, WritesAreSentOnlyToTheOrigin) {
   World world;
   const auto sent = actions_of<Attempt>(world.handle(world.request(1, 1)));
   ASSERT_EQ(sent.size(), 1U);
@@ -291,7 +294,7 @@
   EXPECT_EQ(sent.front().rank, Rank::uncached);
 }
 
-TEST(Effects, AKeyedRequestIsResentOnlyWhileItsDuplicatesAreDiscarded) {
+TEST(RetrySafety, RequestWithKeyIsRetriedOnlyWithinTheDeduplicationWindow) {
   World world;
   auto sent = actions_of<Attempt>(world.handle(world.request(1, 1, 3s)));
   world.advance(200ms);
@@ -301,31 +304,31 @@
   EXPECT_TRUE(actions_of<Attempt>(world.end_attempt(sent.front(), AttemptResult::connection_lost)).empty());
 }
 
-TEST(Health, OneConnectionThatBreaksWithManyAttemptsIsOneFailure) {
+TEST(Health, BrokenConnectionWithManyAttemptsCountsAsOneFailure) {
   // Guards against a sound cache that is shut, and loses its objects, for one connection that was reset.
   World world;
-  const Attempt probe = world.serve(7);
-  const auto broken = [&](AttemptResult ending, int most) {
-    std::vector<Attempt> out;
-    for (std::uint64_t n = 0; n < 200 && static_cast<int>(out.size()) < most; ++n) {
+  const Attempt reference = world.serve(7);
+  const auto break_connection = [&](AttemptResult result, int max_attempts) {
+    std::vector<Attempt> open_attempts;
+    for (std::uint64_t n = 0; n < 200 && static_cast<int>(open_attempts.size()) < max_attempts; ++n) {
       const auto sent = actions_of<Attempt>(world.handle(world.request(1000 + n)));
       if (sent.empty()) continue;
-      if (sent.front().endpoint == probe.endpoint) {
-        out.push_back(sent.front());
+      if (sent.front().endpoint == reference.endpoint) {
+        open_attempts.push_back(sent.front());
       } else {
         world.end_attempt(sent.front(), AttemptResult::served);
       }
     }
-    EXPECT_GE(out.size(), 3U);
-    for (const Attempt& a : out) world.end_attempt(a, ending);
+    EXPECT_GE(open_attempts.size(), 3U);
+    for (const Attempt& attempt : open_attempts) world.end_attempt(attempt, result);
   };
-  broken(AttemptResult::connection_lost, 4);
-  EXPECT_EQ(world.serve(7).endpoint, probe.endpoint);
-  broken(AttemptResult::malformed_response, 4);
-  EXPECT_EQ(world.serve(7).endpoint, probe.endpoint);
+  break_connection(AttemptResult::connection_lost, 4);
+  EXPECT_EQ(world.serve(7).endpoint, reference.endpoint);
+  break_connection(AttemptResult::malformed_response, 4);
+  EXPECT_EQ(world.serve(7).endpoint, reference.endpoint);
 }
 
-TEST(Health, WhatWasSpoiltOnTheWayIsAskedAgainWhereItsCopyIs) {
+TEST(Health, MalformedResponseIsRetriedAtTheSameEndpoint) {
   World world;
   for (std::uint64_t n = 1; n < 10; ++n) {  // more than the budget for further attempts would pay for
     const auto sent = actions_of<Attempt>(world.handle(world.request(n)));
@@ -338,7 +341,7 @@
   }
 }
 
-TEST(Effects, AnUnsafeRequestThatMayHaveRunIsNeitherResentNorRefused) {
+TEST(RetrySafety, NonIdempotentRequestThatMayHaveRunIsNeitherRetriedNorRejected) {
   World world;
   auto sent = actions_of<Attempt>(world.handle(world.request(1, 2, 3s)));
   auto after = world.end_attempt(sent.front(), AttemptResult::connection_lost);
@@ -352,20 +355,20 @@
 
 // ---- Drains ----
 
-TEST(Drains, ADrainingMemberIsNeitherAskedNorNamedAsASource) {
+TEST(EndpointLists, DrainingAndRemovedEndpointsReceiveNothing) {
   World world;
   Endpoint cache = make_endpoint("cache-a", 0, 2), parent = make_endpoint("parent-a", 1, 0);
   cache.state = EndpointState::draining;
   parent.state = EndpointState::removed;
   world.handle(EndpointList{ListKind::changes, {cache, parent}});
   for (std::uint64_t object = 0; object < 60; ++object) {
-    const Attempt a = world.serve(object);
-    EXPECT_NE(a.endpoint, "cache-a");
-    EXPECT_NE(a.source, "parent-a");
+    const Attempt attempt = world.serve(object);
+    EXPECT_NE(attempt.endpoint, "cache-a");
+    EXPECT_NE(attempt.source, "parent-a");
   }
 }
 
-TEST(Drains, AMemberThatAWholeListLacksIsGone) {
+TEST(EndpointLists, EndpointMissingFromACompleteListIsRemoved) {
   World world;
   auto list = default_endpoints();
   list.erase(list.begin());
@@ -376,15 +379,15 @@
 // ---- Cold members ----
 
 /// The work, in seconds of sending, that cache-a is sent in two seconds while it is cold.
-double cold_work(Time since_start, bool asked_far_more_than_served) {
+double work_sent_to_warming_cache(Time since_start, bool with_rejected_load) {
   World world;
   for (int second = 0; second < 20; ++second) {
     for (std::uint64_t i = 0; i < 30; ++i) {
       world.serve(i);
-      if (!asked_far_more_than_served) continue;
+      if (!with_rejected_load) continue;
       for (int more = 0; more < 4; ++more) {
-        for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(i))))
-          world.end_attempt(a, AttemptResult::shed);
+        for (const Attempt& attempt : actions_of<Attempt>(world.handle(world.request(i))))
+          world.end_attempt(attempt, AttemptResult::shed);
       }
     }
     world.advance(1s);
@@ -399,28 +402,28 @@
   return sent * 0.05;
 }
 
-TEST(ColdMembers, GetNoMoreThanTheirBudget) {
+TEST(SlowStartBudget, LimitsTheWorkSentToAWarmingCache) {
   // Served: 1.5 s of sending a second, a third of it each. Budget: 2 x 0.25 x 0.5 x 2 s.
-  EXPECT_LE(cold_work(0s, false), 0.5);
-  EXPECT_GT(cold_work(0s, false), 0.0);
-  EXPECT_GT(cold_work(20s, false), 0.6);
+  EXPECT_LE(work_sent_to_warming_cache(0s, false), 0.5);
+  EXPECT_GT(work_sent_to_warming_cache(0s, false), 0.0);
+  EXPECT_GT(work_sent_to_warming_cache(20s, false), 0.6);
 }
 
-TEST(ColdMembers, TheBudgetDoesNotGrowWithWorkThatWasOnlyAskedFor) { EXPECT_LE(cold_work(0s, true), 0.5); }
+TEST(SlowStartBudget, DoesNotGrowWithRejectedWork) { EXPECT_LE(work_sent_to_warming_cache(0s, true), 0.5); }
 
-TEST(ColdMembers, ARouterThatKnowsNothingYetSendsAColdMemberNothing) {
+TEST(SlowStartBudget, IsZeroForANewRouterWithoutWeights) {
   World world(default_settings(), {make_endpoint("cache-a", 0, 2, 999s), make_endpoint("origin", 2, 0)});
   for (std::uint64_t i = 0; i < 20; ++i) EXPECT_NE(world.serve(i).endpoint, "cache-a");
 }
 
-TEST(ColdMembers, ARouterThatKnowsNothingYetGivesThemTheirPartOfTheToldSize) {
+TEST(SlowStartBudget, FollowsNominalWeightsForANewRouter) {
   // Found on days on which a location is lost with its routers and comes back: new routers knew of no usual
   // load, gave their cold caches nothing and refused nearly all for 18 s.
-  Settings s = default_settings();
-  s.weights = WeightMeaning::nominal;
+  Settings settings = default_settings();
+  settings.weights = WeightMeaning::nominal;
   Endpoint cold = make_endpoint("cache-a", 0, 2, 1000s);
   cold.weight = 4;
-  World world(s, {cold, make_endpoint("origin", 2, 0)});
+  World world(settings, {cold, make_endpoint("origin", 2, 0)});
   const auto sent_in_2s = [&world] {
     std::size_t sent = 0;
     for (std::uint64_t i = 0; i < 200; ++i) {
@@ -437,14 +440,14 @@
   EXPECT_GT(sent_in_2s(), 2.0);
 }
 
-TEST(ColdMembers, APortionOfItsShareIsAllThatARouterUses) {
+TEST(SlowStartBudget, ScalesWithTheQuotaShare) {
   // Guards the others' shares: one whose lease has run out keeps to the little that is left to it at once.
   const auto sent_in_2s = [](double part) {
-    Settings s = default_settings();
-    s.weights = WeightMeaning::nominal;
+    Settings settings = default_settings();
+    settings.weights = WeightMeaning::nominal;
     Endpoint cold = make_endpoint("cache-a", 0, 2, 1000s);
     cold.weight = 4;
-    World world(s, {cold, make_endpoint("origin", 2, 0)});
+    World world(settings, {cold, make_endpoint("origin", 2, 0)});
     world.advance(5s);
     world.handle(QuotaChanged{1, part});
     std::size_t sent = 0;
@@ -460,7 +463,7 @@
   EXPECT_EQ(sent_in_2s(0), 0U);
 }
 
-TEST(ColdMembers, ABudgetOfLessThanARequestIsStretchedInTime) {
+TEST(SlowStartBudget, BelowOneRequestSpacesRequestsInTime) {
   // Found by reckoning for hundreds of routers: each one's part stayed under one request until the cache
   // counted as warm by age, and then all sent at once.
   std::size_t sent = 0;
@@ -478,7 +481,7 @@
   EXPECT_LE(sent, 6U);
 }
 
-TEST(ColdMembers, TheBudgetOutlivesAMassRestart) {
+TEST(SlowStartBudget, SurvivesARestartOfAllCaches) {
   // With every cache cold nothing is served by warm ones, and budgets that follow that went to nothing.
   World world;
   for (int second = 0; second < 20; ++second) {
@@ -486,7 +489,7 @@
     world.advance(1s);
   }
   auto list = default_endpoints();
-  for (Endpoint& m : list) m.started = m.kind == 0 ? world.now : Time{0};
+  for (Endpoint& endpoint : list) endpoint.started = endpoint.kind == 0 ? world.now : Time{0};
   world.handle(EndpointList{ListKind::complete, list});
   world.advance(12s);
   std::size_t at_caches = 0;
@@ -494,7 +497,7 @@
   EXPECT_GE(at_caches, 15U);
 }
 
-TEST(ColdMembers, TheBudgetOutlivesMembersThatFailThoughTheyAreListed) {
+TEST(SlowStartBudget, SurvivesListedEndpointsThatFail) {
   // A silent location is listed for many seconds more; its caches come back cold to all of the demand.
   World world;
   for (int second = 0; second < 20; ++second) {
@@ -503,14 +506,14 @@
   }
   for (int second = 0; second < 12; ++second) {
     for (std::uint64_t i = 0; i < 30; ++i) {
-      for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(i))))
-        world.end_attempt(
-            a, a.endpoint.starts_with("cache") ? AttemptResult::unreachable : AttemptResult::served);
+      for (const Attempt& attempt : actions_of<Attempt>(world.handle(world.request(i))))
+        world.end_attempt(attempt, attempt.endpoint.starts_with("cache") ? AttemptResult::unreachable
+                                                                         : AttemptResult::served);
     }
     world.advance(1s);
   }
   auto list = default_endpoints();
-  for (Endpoint& m : list) m.started = m.kind == 0 ? world.now : Time{0};
+  for (Endpoint& endpoint : list) endpoint.started = endpoint.kind == 0 ? world.now : Time{0};
   world.handle(EndpointList{ListKind::complete, list});
   world.advance(8s);
   std::size_t at_caches = 0;
@@ -520,7 +523,7 @@
 
 // ---- Purges ----
 
-TEST(Purges, BindTheOldestCopyOnEveryAttempt) {
+TEST(Invalidations, LimitTheCopyAgeOfEveryAttempt) {
   World world;
   world.handle(Invalidation{std::uint64_t{1}, 0, 30ms});
   const auto first = actions_of<Attempt>(world.handle(world.request(1)));
@@ -532,12 +535,12 @@
   EXPECT_EQ(world.serve(2).max_copy_age, 0ms);
 }
 
-TEST(Purges, OfAGroupBindAllItsObjects) {
+TEST(Invalidations, OfAGroupLimitTheCopyAgeOfAllItsObjects) {
   World world;
   world.handle(Invalidation{std::nullopt, 9, 10ms});
-  Request r = world.request(1);
-  r.group = 9;
-  EXPECT_EQ(actions_of<Attempt>(world.handle(r)).front().max_copy_age, 10ms);
+  Request request = world.request(1);
+  request.group = 9;
+  EXPECT_EQ(actions_of<Attempt>(world.handle(request)).front().max_copy_age, 10ms);
   world.advance(7s);
   Request later = world.request(2);
   later.group = 9;
@@ -546,27 +549,27 @@
 
 // ---- Guards ----
 
-TEST(Limits, LateWorkIsGivenUpAndItsSlotsFreed) {
+TEST(Limits, LateRequestsAreGivenUpAndTheirAttemptsCancelled) {
   World world;
   for (int i = 0; i < 60; ++i) world.handle(world.request(1));
   const auto actions = world.advance(1100ms);  // the wanted time, and as long again for fills
-  EXPECT_GE(final_answers(actions), 20U);
+  EXPECT_GE(final_answer_count(actions), 20U);
   EXPECT_GE(actions_of<Cancel>(actions).size(), 20U);
 }
 
-TEST(Limits, AMemberThatAnswersLateGetsFewerRequestsAtOnce) {
+TEST(Limits, LateResponsesLowerTheConcurrencyLimit) {
   World world;
   for (int round = 0; round < 40; ++round) {
     world.handle(world.request(1));
-    for (const Attempt& a : actions_of<Attempt>(world.advance(600ms)))
-      world.end_attempt(a, AttemptResult::cancelled, 1);
+    for (const Attempt& attempt : actions_of<Attempt>(world.advance(600ms)))
+      world.end_attempt(attempt, AttemptResult::cancelled, 1);
   }
-  std::size_t at_once = 0;
-  for (int i = 0; i < 100; ++i) at_once += actions_of<Attempt>(world.handle(world.request(1))).size();
-  EXPECT_LT(at_once, 40U);
+  std::size_t open_attempts = 0;
+  for (int i = 0; i < 100; ++i) open_attempts += actions_of<Attempt>(world.handle(world.request(1))).size();
+  EXPECT_LT(open_attempts, 40U);
 }
 
-TEST(Limits, WhereSourcesAreFullOnlyWhatIsKeptIsAskedFor) {
+TEST(Limits, WithFullSourcesOnlyCachedCopiesAreRequested) {
   World world;
   for (std::uint64_t i = 0; i < 200; ++i) {
     auto sent = actions_of<Attempt>(world.handle(world.request(i)));
@@ -582,7 +585,7 @@
   EXPECT_EQ(sent.front().source, sent.front().endpoint);
 }
 
-TEST(Limits, RecoverSoonAfterATrouble) {
+TEST(Limits, RecoverQuicklyAfterAnOverload) {
   // Found in service days: limits that had sunk to one rose by a fiftieth an answer and starved the caches.
   World world(default_settings(), {make_endpoint("cache-a", 0, 2)});
   for (int round = 0; round < 80; ++round) {
@@ -591,51 +594,53 @@
       sent =
           actions_of<Attempt>(world.end_attempt(sent.front(), AttemptResult::shed, n, CacheStatus::unknown));
   }
-  const auto at_once = [&world] {
+  const auto concurrent_attempts = [&world] {
     std::vector<Attempt> sent;
     for (int i = 0; i < 40; ++i) {
-      for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(1)))) sent.push_back(a);
+      for (const Attempt& attempt : actions_of<Attempt>(world.handle(world.request(1))))
+        sent.push_back(attempt);
     }
     return sent;
   };
   for (int round = 0; round < 8; ++round) {
-    for (const Attempt& a : at_once()) world.end_attempt(a, AttemptResult::served, 0, CacheStatus::hit);
+    for (const Attempt& attempt : concurrent_attempts())
+      world.end_attempt(attempt, AttemptResult::served, 0, CacheStatus::hit);
   }
-  EXPECT_GE(at_once().size(), 6U);
+  EXPECT_GE(concurrent_attempts().size(), 6U);
 }
 
-TEST(Limits, ALateHitLowersTheCachesLimitAndALateFillItsSourcesMore) {
+TEST(Limits, LateHitLowersTheCacheLimitAndLateFillMostlyTheSourceLimit) {
   // How many attempts the cache takes at once, and how many fills it is asked for, after a few late answers.
-  const auto room_after = [](CacheStatus note) {
+  const auto capacity_after = [](CacheStatus cache_status) {
     World world(default_settings(), {make_endpoint("cache-a", 0, 2), make_endpoint("parent-a", 1, 0),
                                      make_endpoint("origin", 2, 0)});
     for (int late = 0; late < 8;) {
       const auto sent = actions_of<Attempt>(world.handle(world.request(1)));
       world.advance(510ms);
       if (!sent.empty()) {
-        world.end_attempt(sent.front(), AttemptResult::served, 0, note, 510ms);
+        world.end_attempt(sent.front(), AttemptResult::served, 0, cache_status, 510ms);
         ++late;
       }
       world.end_cancelled_attempts();
     }
     std::size_t fills = 0, all = 0;
     for (int i = 0; i < 40; ++i) {
-      for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(1)))) {
-        if (a.endpoint != "cache-a") continue;
+      for (const Attempt& attempt : actions_of<Attempt>(world.handle(world.request(1)))) {
+        if (attempt.endpoint != "cache-a") continue;
         ++all;
-        fills += a.source != a.endpoint ? 1 : 0;
+        fills += attempt.source != attempt.endpoint ? 1 : 0;
       }
     }
     return std::pair{fills, all};
   };
-  const auto hits = room_after(CacheStatus::hit), fills = room_after(CacheStatus::filled);
+  const auto hits = capacity_after(CacheStatus::hit), fills = capacity_after(CacheStatus::filled);
   EXPECT_GT(fills.second, hits.second);  // late fills are laid to the cache by half
   EXPECT_LT(fills.first, 12U);           // and cost their sources a good part of the 16 they had
 }
 
-TEST(Limits, AnUntoldRefusalIsLaidToTheSourceMoreThanToTheCache) {
+TEST(Limits, RejectionWithoutStatusIsBlamedMostlyOnTheSource) {
   // Found in an incident: parents died silently and the caches were blamed for refusing.
-  const auto looks_after = [](bool with_source) {
+  const auto cache_attempts_after = [](bool with_source) {
     auto list = default_endpoints();
     if (!with_source) list.resize(3);
     World world(default_settings(), list);
@@ -648,23 +653,23 @@
     }
     std::size_t at_caches = 0;
     for (std::uint64_t i = 0; i < 100; ++i) {
-      for (const Attempt& a : actions_of<Attempt>(world.handle(world.request(i)))) {
-        at_caches += a.endpoint.starts_with("cache") ? 1 : 0;
+      for (const Attempt& attempt : actions_of<Attempt>(world.handle(world.request(i)))) {
+        at_caches += attempt.endpoint.starts_with("cache") ? 1 : 0;
       }
     }
     return at_caches;
   };
-  EXPECT_GT(looks_after(true), looks_after(false));
+  EXPECT_GT(cache_attempts_after(true), cache_attempts_after(false));
 }
 
-TEST(Limits, ASlowFillGoesOnWhereThereIsRoom) {
+TEST(Limits, SlowFillContinuesWithSpareCapacity) {
   World world;
   world.handle(world.request(1));
-  EXPECT_EQ(final_answers(world.advance(700ms)), 0U);
-  EXPECT_EQ(final_answers(world.advance(1800ms)), 1U);
+  EXPECT_EQ(final_answer_count(world.advance(700ms)), 0U);
+  EXPECT_EQ(final_answer_count(world.advance(1800ms)), 1U);
 }
 
-TEST(Room, ACrowdedSourceStillTakesFillsThatEarnMoreForTheirTime) {
+TEST(Limits, BusySourceStillAcceptsSmallFills) {
   // Found in service days: on a full link one large fill crowded out several small ones of more worth.
   World world;
   Request large = world.request(1000);
@@ -672,16 +677,16 @@
     world.serve(i, CacheStatus::filled);
     large = world.request(1000 + i);
     large.size_kb = 2000;
-    for (const Attempt& a : actions_of<Attempt>(world.handle(large)))
-      world.end_attempt(a, AttemptResult::served, 0, CacheStatus::filled);
+    for (const Attempt& attempt : actions_of<Attempt>(world.handle(large)))
+      world.end_attempt(attempt, AttemptResult::served, 0, CacheStatus::filled);
   }
   const auto fills = [&world](double kb) {
     int sent = 0;
     for (std::uint64_t i = 0; i < 60; ++i) {
-      Request r = world.request(5000 + i);
-      r.size_kb = kb;
-      for (const Attempt& a : actions_of<Attempt>(world.handle(r)))
-        sent += a.source.starts_with("parent") || a.endpoint.starts_with("parent") ? 1 : 0;
+      Request request = world.request(5000 + i);
+      request.size_kb = kb;
+      for (const Attempt& attempt : actions_of<Attempt>(world.handle(request)))
+        sent += attempt.source.starts_with("parent") || attempt.endpoint.starts_with("parent") ? 1 : 0;
     }
     return sent;
   };
@@ -694,7 +699,7 @@
 /// Asks one object after another, each twice a second, and ends every attempt as `end` says; returns how many
 /// of the last 40 first attempts named a source.
 template <typename End>
-std::size_t fills_of_the_last_40(World& world, int requests, End end) {
+std::size_t fills_in_last_40_requests(World& world, int requests, End end) {
   std::size_t fills = 0;
   for (int i = 0; i < requests; ++i) {
     const auto sent = actions_of<Attempt>(world.handle(world.request(static_cast<std::uint64_t>(i))));
@@ -709,38 +714,38 @@
   return fills;
 }
 
-TEST(Fills, AreHeldBackWhileFillsAreLateAndComeBackSoon) {
+TEST(Fills, AreDeniedWhileFillsAreLateAndRecoverQuickly) {
   // Found at full size: with hundreds of routers each has seldom a fill under way, limits on those never
   // bind, and a purge or a slow origin was answered by more fills than the origin could bear.
   World world;
-  const auto late = [&world](const Attempt& a, int) {
-    const bool fill = a.source != a.endpoint;
+  const auto late = [&world](const Attempt& attempt, int) {
+    const bool fill = attempt.source != attempt.endpoint;
     if (fill) world.advance(510ms);
-    world.end_attempt(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
+    world.end_attempt(attempt, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
                       fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
   };
-  EXPECT_LE(fills_of_the_last_40(world, 100, late), 20U);  // a few to parents, a few to the origin
-  const auto in_time = [&world](const Attempt& a, int) {
-    const bool fill = a.source != a.endpoint;
-    world.end_attempt(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
+  EXPECT_LE(fills_in_last_40_requests(world, 100, late), 20U);  // a few to parents, a few to the origin
+  const auto in_time = [&world](const Attempt& attempt, int) {
+    const bool fill = attempt.source != attempt.endpoint;
+    world.end_attempt(attempt, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
                       fill ? CacheStatus::filled : CacheStatus::unknown);
   };
-  EXPECT_GE(fills_of_the_last_40(world, 140, in_time), 38U);
+  EXPECT_GE(fills_in_last_40_requests(world, 140, in_time), 38U);
 }
 
-TEST(Fills, HeldBackFromTheParentsAreNotAskedOfTheOriginInstead) {
+TEST(Fills, DeniedFromParentsDoNotGoToTheOrigin) {
   // Found on days on which all copies go void at once: what hundreds of routers held back from the parents
   // they asked of the origin, which bears the parents' misses too and answered hardly anything in time.
   World world;
   std::size_t from_origin = 0, held_back = 0;
   for (int i = 0; i < 120; ++i) {
     const auto sent = actions_of<Attempt>(world.handle(world.request(static_cast<std::uint64_t>(i))));
-    for (const Attempt& a : sent) {
-      from_origin += a.source == "origin" && a.endpoint != "origin" ? 1 : 0;
-      held_back += a.cached_only || a.source == a.endpoint ? 1 : 0;
-      const bool fill = !a.cached_only && a.source != a.endpoint;
+    for (const Attempt& attempt : sent) {
+      from_origin += attempt.source == "origin" && attempt.endpoint != "origin" ? 1 : 0;
+      held_back += attempt.cached_only || attempt.source == attempt.endpoint ? 1 : 0;
+      const bool fill = !attempt.cached_only && attempt.source != attempt.endpoint;
       if (fill) world.advance(510ms);
-      world.end_attempt(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
+      world.end_attempt(attempt, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
                         fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
     }
     world.advance(100ms);
@@ -750,61 +755,63 @@
   EXPECT_EQ(from_origin, 0U);
 }
 
-TEST(Fills, AreHeldBackWithoutParentsToo) {
-  Settings s = default_settings();
-  s.parent_kind = -1;
-  World world(
-      s, {make_endpoint("cache-a", 0, 2), make_endpoint("cache-b", 0, 2), make_endpoint("origin", 2, 0)});
-  const auto late = [&world](const Attempt& a, int) {
-    const bool fill = a.source != a.endpoint;
+TEST(Fills, AreDeniedWhileFillsAreLateWithoutParents) {
+  Settings settings = default_settings();
+  settings.parent_kind = -1;
+  World world(settings, {make_endpoint("cache-a", 0, 2), make_endpoint("cache-b", 0, 2),
+                         make_endpoint("origin", 2, 0)});
+  const auto late = [&world](const Attempt& attempt, int) {
+    const bool fill = attempt.source != attempt.endpoint;
     if (fill) world.advance(510ms);
-    world.end_attempt(a, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
+    world.end_attempt(attempt, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
                       fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
   };
-  EXPECT_LE(fills_of_the_last_40(world, 100, late), 15U);
+  EXPECT_LE(fills_in_last_40_requests(world, 100, late), 15U);
 }
 
-TEST(Fills, AreNotBlamedForAnswersThatAreLostToAll) {
+TEST(Fills, RecoverAlthoughSomeResponsesAreLost) {
   // Found on days with lost answers after a slow origin: hits that were lost counted as failed fills, and
   // fills stayed held back long after the origin had recovered.
-  Settings s = default_settings();
-  s.hedging = false;
-  World world(s);
-  const auto end = [&world](const Attempt& a, bool late) {
-    if (a.source == a.endpoint || a.cached_only) {
-      world.end_attempt(a, AttemptResult::cache_miss, 0,
-                        a.cached_only ? CacheStatus::source_miss : CacheStatus::unknown);
+  Settings settings = default_settings();
+  settings.hedging = false;
+  World world(settings);
+  const auto end = [&world](const Attempt& attempt, bool late) {
+    if (attempt.source == attempt.endpoint || attempt.cached_only) {
+      world.end_attempt(attempt, AttemptResult::cache_miss, 0,
+                        attempt.cached_only ? CacheStatus::source_miss : CacheStatus::unknown);
     } else {
       if (late) world.advance(510ms);
-      world.end_attempt(a, AttemptResult::served, 0, CacheStatus::filled_by_origin, late ? 510ms : 50ms);
+      world.end_attempt(attempt, AttemptResult::served, 0, CacheStatus::filled_by_origin,
+                        late ? 510ms : 50ms);
     }
   };
-  fills_of_the_last_40(world, 100, [&end](const Attempt& a, int) { end(a, true); });
-  const auto some_lost = [&end](const Attempt& a, int i) {
-    if (i % 10 >= 2) end(a, false);
+  fills_in_last_40_requests(world, 100, [&end](const Attempt& attempt, int) { end(attempt, true); });
+  const auto some_lost = [&end](const Attempt& attempt, int i) {
+    if (i % 10 >= 2) end(attempt, false);
   };
-  EXPECT_GE(fills_of_the_last_40(world, 300, some_lost), 30U);
+  EXPECT_GE(fills_in_last_40_requests(world, 300, some_lost), 30U);
 }
 
-TEST(Fills, HeldBackForASlowOriginStillAskParentsForWhatTheyHold) {
+TEST(Fills, DeniedForASlowOriginStillUseParentCaches) {
   // Found on days with a slow origin: objects that a parent held were refused with the others.
   World world;
   std::size_t held = 0;
   for (int i = 0; i < 120; ++i) {
     const auto sent = actions_of<Attempt>(world.handle(world.request(static_cast<std::uint64_t>(i))));
     if (sent.empty()) continue;
-    const Attempt& a = sent.front();
-    if (a.source == a.endpoint) {
-      world.end_attempt(a, AttemptResult::cache_miss, 0, CacheStatus::unknown);
-    } else if (a.cached_only) {
-      EXPECT_TRUE(a.source.starts_with("parent"));
+    const Attempt& attempt = sent.front();
+    if (attempt.source == attempt.endpoint) {
+      world.end_attempt(attempt, AttemptResult::cache_miss, 0, CacheStatus::unknown);
+    } else if (attempt.cached_only) {
+      EXPECT_TRUE(attempt.source.starts_with("parent"));
       held += i >= 80 ? 1 : 0;
-      const auto after = world.end_attempt(a, i % 2 == 0 ? AttemptResult::served : AttemptResult::cache_miss,
-                                           0, i % 2 == 0 ? CacheStatus::filled : CacheStatus::source_miss);
+      const auto after =
+          world.end_attempt(attempt, i % 2 == 0 ? AttemptResult::served : AttemptResult::cache_miss, 0,
+                            i % 2 == 0 ? CacheStatus::filled : CacheStatus::source_miss);
       EXPECT_TRUE(actions_of<Attempt>(after).empty());
     } else {
       world.advance(510ms);
-      world.end_attempt(a, AttemptResult::served, 0, CacheStatus::filled_by_origin, 510ms);
+      world.end_attempt(attempt, AttemptResult::served, 0, CacheStatus::filled_by_origin, 510ms);
     }
     world.advance(100ms);
     world.end_cancelled_attempts();
@@ -812,23 +819,23 @@
   EXPECT_GE(held, 20U);
 }
 
-TEST(Fills, AreFewerWhereTheLinkIsToldToBeFull) {
+TEST(Fills, AreFewerWhenLoadReportsShowAFullLink) {
   // Found after a purge at full size: some locations' links were ten times over while others were half empty.
-  const auto fills_at = [](std::optional<double> told) {
+  const auto fills_at = [](std::optional<double> utilization) {
     World world;
-    const auto end = [&world, told](const Attempt& a, int) {
-      const bool fill = a.source != a.endpoint;
-      Outcome o;
-      o.request = a.request;
-      o.endpoint = a.endpoint;
-      o.result = fill ? AttemptResult::served : AttemptResult::cache_miss;
-      o.cache_status = fill ? CacheStatus::filled : CacheStatus::unknown;
-      o.duration = 50ms;
-      o.request_finished = fill;
-      if (told) o.report = LoadReport{{}, {}, {}, {}, told};
-      world.handle(o);
+    const auto end = [&world, utilization](const Attempt& attempt, int) {
+      const bool fill = attempt.source != attempt.endpoint;
+      Outcome outcome;
+      outcome.request = attempt.request;
+      outcome.endpoint = attempt.endpoint;
+      outcome.result = fill ? AttemptResult::served : AttemptResult::cache_miss;
+      outcome.cache_status = fill ? CacheStatus::filled : CacheStatus::unknown;
+      outcome.duration = 50ms;
+      outcome.request_finished = fill;
+      if (utilization) outcome.report = LoadReport{{}, {}, {}, {}, utilization};
+      world.handle(outcome);
     };
-    return fills_of_the_last_40(world, 100, end);
+    return fills_in_last_40_requests(world, 100, end);
   };
   EXPECT_EQ(fills_at(std::nullopt), 40U);
   EXPECT_EQ(fills_at(1.0), 40U);
@@ -836,15 +843,15 @@
   EXPECT_GE(fills_at(10.0), 2U);
 }
 
-TEST(Fills, AParentAskedStraightNamesTheOriginAsItsSource) {
+TEST(Fills, AttemptAtAParentNamesTheOriginAsSource) {
   // Found on a day on which all caches of a location were cold or shut: the parent gave only what it held.
   World world(default_settings(), {make_endpoint("parent-a", 1, 0), make_endpoint("origin", 2, 0)});
-  const Attempt a = world.serve(1);
-  EXPECT_EQ(a.endpoint, "parent-a");
-  EXPECT_EQ(a.source, "origin");
+  const Attempt attempt = world.serve(1);
+  EXPECT_EQ(attempt.endpoint, "parent-a");
+  EXPECT_EQ(attempt.source, "origin");
 }
 
-TEST(Health, ASlowCacheKeepsFewObjectsAndIsForgiven) {
+TEST(Health, SlowCacheReceivesFewObjectsAndRecovers) {
   // Found on days with ageing caches: with one request under way at a time no bound on them moves any away.
   World world;
   const auto at_slow = [&world](Time took) {
@@ -864,7 +871,7 @@
   EXPECT_GE(at_slow(50ms), 35);
 }
 
-TEST(Retries, ASecondCopyGoesToOtherMembers) {
+TEST(Retries, HedgedRequestUsesAnotherEndpointAndSource) {
   World world;
   const auto first = actions_of<Attempt>(world.handle(world.request(1)));
   const auto second = actions_of<Attempt>(world.advance(350ms));
@@ -873,7 +880,7 @@
   EXPECT_NE(second.front().source, first.front().source);
 }
 
-TEST(Retries, AreBoundedByABudget) {
+TEST(Retries, AreLimitedByTheBudget) {
   World world;
   std::size_t sent = 0;
   for (int i = 0; i < 200; ++i) {
@@ -887,13 +894,14 @@
   EXPECT_LE(sent, 200U + 10U + 2U);
 }
 
-TEST(Determinism, TheSameEventsGiveTheSameActions) {
+TEST(Determinism, EqualEventsGiveEqualActions) {
   const auto run = [] {
     World world;
     for (std::uint64_t i = 0; i < 300; ++i) world.serve(i * i % 37);
     world.advance(2s);
     std::string trace;
-    for (const Attempt& a : actions_of<Attempt>(world.all_actions)) trace += a.endpoint + a.source + ";";
+    for (const Attempt& attempt : actions_of<Attempt>(world.all_actions))
+      trace += attempt.endpoint + attempt.source + ";";
     return trace;
   };
   EXPECT_EQ(run(), run());
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -7,7 +7,7 @@
 namespace edge_proxy::test {
 namespace {
 
-void stays_within(SlowStartScenario scenario, int seeds) {
+void expect_within_limits(SlowStartScenario scenario, int seeds) {
   for (const int routers : {3, 20, 30}) {
     for (int seed = 1; seed <= seeds; ++seed) {
       scenario.routers = routers;
@@ -21,24 +21,24 @@
   }
 }
 
-TEST(SlowStart, ToldAtOneInstant) { stays_within({}, 2); }
+TEST(SlowStart, AllRoutersLearnOfTheEndpointsAtOnce) { expect_within_limits({}, 2); }
 
-TEST(SlowStart, HeavyRequestsAndARestartOfAll) {
+TEST(SlowStart, LargeObjectsAndARestartOfAllRouters) {
   SlowStartScenario scenario;
   scenario.large_object_kb = 12000;
   scenario.restarted_fraction = 1;
-  stays_within(scenario, 2);
+  expect_within_limits(scenario, 2);
 }
 
-TEST(SlowStart, WhereRequestsDoNotTellTheirSize) {
+TEST(SlowStart, RequestsWithoutASize) {
   // Found on another customer's day: what is not told weighed nothing, and a cold cache fell over at 3.8
   // times what it could give (2.5 allowed).
   SlowStartScenario scenario;
   scenario.sizes_known = false;
-  stays_within(scenario, 2);
+  expect_within_limits(scenario, 2);
 }
 
-TEST(SlowStart, ThreeHundredWithSharesBelowOneRequest) {
+TEST(SlowStart, ThreeHundredRoutersWithSharesBelowOneRequest) {
   SlowStartScenario scenario;
   scenario.routers = 300;
   scenario.sizes_known = false;
--- a/tests/routing/source_layout_test.cpp
+++ b/tests/routing/source_layout_test.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr int kMaxLines = 600;  // that are not blank
+constexpr int kMaxNonBlankLines = 600;  // that are not blank
 constexpr std::size_t kMaxColumns = 110;
 
-void check_file(const std::filesystem::path& path) {
+void expect_file_within_limits(const std::filesystem::path& path) {
   std::ifstream file(path);
   ASSERT_TRUE(file.is_open()) << path;
   int lines = 0;
@@ -22,15 +22,15 @@
     longest = std::max(longest, line.size());
   }
   EXPECT_GT(lines, 0) << path;
-  EXPECT_LE(lines, kMaxLines) << path;
+  EXPECT_LE(lines, kMaxNonBlankLines) << path;
   EXPECT_LE(longest, kMaxColumns) << path;
 }
 
-int check_folder(const std::string& folder) {
+int expect_folder_within_limits(const std::string& folder) {
   int files = 0;
   for (const auto& entry : std::filesystem::recursive_directory_iterator(folder)) {
     if (entry.path().extension() != ".cpp" && entry.path().extension() != ".h") continue;
-    check_file(entry.path());
+    expect_file_within_limits(entry.path());
     ++files;
   }
   return files;
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-TEST(SourceLayout, EveryFileStaysWithinItsBounds) {
-  EXPECT_GT(check_folder(EDGE_PROXY_SOURCE_DIR "/src"), 0);
-  EXPECT_GT(check_folder(EDGE_PROXY_SOURCE_DIR "/include"), 0);
+TEST(SourceLayout, FilesStayWithinLineAndColumnLimits) {
+  EXPECT_GT(expect_folder_within_limits(EDGE_PROXY_SOURCE_DIR "/src"), 0);
+  EXPECT_GT(expect_folder_within_limits(EDGE_PROXY_SOURCE_DIR "/include"), 0);
 }
--- a/tests/support/routing_world.h
+++ b/tests/support/routing_world.h
@@ -18,11 +18,11 @@
     std::function<void(int router, Time now, const Event& event, const std::vector<Action>& actions)>;
 
 inline Settings default_settings() {
-  Settings s;
-  s.zone = 2;
-  s.router_count = 1;
-  s.routers_by_zone = {0, 0, 1};
-  s.hub_by_zone = {0, 1, 0};
+  Settings settings;
+  settings.zone = 2;
+  settings.router_count = 1;
+  settings.routers_by_zone = {0, 0, 1};
+  settings.hub_by_zone = {0, 1, 0};
   RequestClass pages;
   pages.latency_objective = 400ms;
   pages.latency_objective_per_transfer_time = 2;
@@ -35,34 +35,34 @@
   forms.uncacheable = true;
   RequestClass orders = forms;
   orders.idempotency = Idempotency::none;
-  s.classes = {pages, forms, orders};
-  s.parent_kind = 1;
-  s.origin_kind = 2;
-  s.direct_to_sources = true;
-  s.cache_status_detail = CacheStatusDetail::all;
-  s.transfer_kb_per_s = 1000;
-  s.tick = 2ms;
-  s.initial_capacity = 0.25;
-  s.warm_up_time = 16s;
-  s.overload_factor = 2;
-  s.overload_window = 2s;
-  s.parent_initial_capacity = 0.1;
-  s.parent_warm_up_time = 20s;
-  s.parent_overload_factor = 2;
-  s.invalidation_settled_after = 6s;
-  s.max_attempts = 8;
-  s.cancellation = true;
-  s.hedging = true;
-  return s;
+  settings.classes = {pages, forms, orders};
+  settings.parent_kind = 1;
+  settings.origin_kind = 2;
+  settings.direct_to_sources = true;
+  settings.cache_status_detail = CacheStatusDetail::all;
+  settings.transfer_kb_per_s = 1000;
+  settings.tick = 2ms;
+  settings.initial_capacity = 0.25;
+  settings.warm_up_time = 16s;
+  settings.overload_factor = 2;
+  settings.overload_window = 2s;
+  settings.parent_initial_capacity = 0.1;
+  settings.parent_warm_up_time = 20s;
+  settings.parent_overload_factor = 2;
+  settings.invalidation_settled_after = 6s;
+  settings.max_attempts = 8;
+  settings.cancellation = true;
+  settings.hedging = true;
+  return settings;
 }
 
 inline Endpoint make_endpoint(std::string id, int kind, int zone, Time started = Time{0}) {
-  Endpoint m;
-  m.id = std::move(id);
-  m.kind = kind;
-  m.zone = zone;
-  m.started = started;
-  return m;
+  Endpoint endpoint;
+  endpoint.id = std::move(id);
+  endpoint.kind = kind;
+  endpoint.zone = zone;
+  endpoint.started = started;
+  return endpoint;
 }
 
 inline std::vector<Endpoint> default_endpoints() {
@@ -72,9 +72,9 @@
 
 class World {
  public:
-  explicit World(Settings s = default_settings(), std::vector<Endpoint> list = default_endpoints(),
+  explicit World(Settings settings = default_settings(), std::vector<Endpoint> list = default_endpoints(),
                  std::uint64_t seed = 1)
-      : router_(std::move(s), seed) {
+      : router_(std::move(settings), seed) {
     handle(EndpointList{ListKind::from_configuration, std::move(list)});
   }
 
@@ -96,26 +96,26 @@
   }
 
   Request request(std::uint64_t object, int request_class = 0, Time client_timeout = 2500ms) {
-    Request r;
-    r.id = "r" + std::to_string(++request_count_);
-    r.object = object;
-    r.size_kb = 50;
-    r.request_class = request_class;
-    r.expires = now + client_timeout;
-    return r;
+    Request request;
+    request.id = "r" + std::to_string(++request_count_);
+    request.object = object;
+    request.size_kb = 50;
+    request.request_class = request_class;
+    request.expires = now + client_timeout;
+    return request;
   }
 
-  std::vector<Action> end_attempt(const Attempt& a, AttemptResult result, int n = 0,
+  std::vector<Action> end_attempt(const Attempt& attempt, AttemptResult result, int number = 0,
                                   CacheStatus cache_status = CacheStatus::hit, Time duration = 50ms) {
-    Outcome o;
-    o.request = a.request;
-    o.endpoint = a.endpoint;
-    o.attempt = n;
-    o.result = result;
-    o.cache_status = cache_status;
-    o.duration = duration;
-    o.request_finished = result == AttemptResult::served;
-    return handle(o);
+    Outcome outcome;
+    outcome.request = attempt.request;
+    outcome.endpoint = attempt.endpoint;
+    outcome.attempt = number;
+    outcome.result = result;
+    outcome.cache_status = cache_status;
+    outcome.duration = duration;
+    outcome.request_finished = result == AttemptResult::served;
+    return handle(outcome);
   }
 
   /// Ends all attempts that were called off, as the other side does in the end.
@@ -143,11 +143,11 @@
   std::size_t next_action_ = 0;
 };
 
-template <typename A>
-std::vector<A> actions_of(const std::vector<Action>& actions) {
-  std::vector<A> found;
+template <typename ActionType>
+std::vector<ActionType> actions_of(const std::vector<Action>& actions) {
+  std::vector<ActionType> found;
   for (const Action& action : actions) {
-    if (const A* a = std::get_if<A>(&action)) found.push_back(*a);
+    if (const ActionType* match = std::get_if<ActionType>(&action)) found.push_back(*match);
   }
   return found;
 }
--- a/tests/support/slow_start_world.h
+++ b/tests/support/slow_start_world.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
 /// Many routers that decide alone, in virtual time over the real module, while a cache and a parent have just
-/// started: what their sum sends there, held against what the settings allow.
+/// started: what their window_work sends there, held against what the settings allow.
 #pragma once
 
 #include <algorithm>
@@ -35,7 +35,8 @@
 };
 
 struct SlowStartResult {
-  /// The worst window: how many calls of mean work came beyond N, over root of N + 1. Chance is given 2.
+  /// The worst window: how many calls of mean work came beyond N, over root of N + 1. Chance is
+  /// given 2.
   double cache_excess = -1e9, parent_excess = -1e9;
   /// Work sent to them over the whole start, over what the settings allow in all.
   double cache_used = 0, parent_used = 0;
@@ -45,7 +46,7 @@
 class SlowStartWorld {
  public:
   explicit SlowStartWorld(const SlowStartScenario& scenario)
-      : scenario_(scenario), draws_(scenario.seed * 7919 + 1) {
+      : scenario_(scenario), random_(scenario.seed * 7919 + 1) {
     settings_ = default_settings();
     settings_.router_count = scenario.routers;
     settings_.routers_by_zone = {0, 0, scenario.routers};
@@ -68,220 +69,225 @@
   SlowStartResult run() {
     for (int i = 0; i < scenario_.routers; ++i) {
       routers_.push_back({});
-      start(i);
-      push(kBegin + seconds_of(gap()), i, Kind::arrival);
-      push(kStarted + seconds_of(scenario_.update_spread_seconds * i / scenario_.routers), i, Kind::told);
-      if (i < scenario_.restarted_fraction * scenario_.routers) push(kStarted + 3s, i, Kind::restart);
+      start_router(i);
+      schedule(kBegin + seconds_of(next_interarrival_seconds()), i, Kind::arrival);
+      schedule(kEndpointStart + seconds_of(scenario_.update_spread_seconds * i / scenario_.routers), i,
+               Kind::list_update);
+      if (i < scenario_.restarted_fraction * scenario_.routers)
+        schedule(kEndpointStart + 3s, i, Kind::restart);
     }
-    while (!events_.empty() && events_.top().at < kStarted + 22s) {
-      const Next next = events_.top();
+    while (!events_.empty() && events_.top().at < kEndpointStart + 22s) {
+      const ScheduledEvent event = events_.top();
       events_.pop();
-      now_ = next.at;
-      step(next);
+      now_ = event.at;
+      process(event);
     }
     SlowStartResult result;
-    result.cache_excess = cache_.worst;
-    result.parent_excess = parent_.worst;
-    result.cache_used = cache_.total / cache_.allowed_in_all(mean_work());
-    result.parent_used = parent_.total / parent_.allowed_in_all(mean_work());
-    result.served_ratio = static_cast<double>(served_) / std::max(1, asked_);
+    result.cache_excess = cache_.worst_excess;
+    result.parent_excess = parent_.worst_excess;
+    result.cache_used = cache_.total_work / cache_.total_allowed_work(mean_work());
+    result.parent_used = parent_.total_work / parent_.total_allowed_work(mean_work());
+    result.served_ratio = static_cast<double>(served_count_) / std::max(1, request_count_);
     return result;
   }
 
  private:
-  enum class Kind { arrival, told, restart, wake, done, written };
-  struct Next {
+  enum class Kind { arrival, list_update, restart, timer, attempt_end, attempt_sent };
+  struct ScheduledEvent {
     Time at{0};
     std::uint64_t order = 0;
     int router = 0;
     Kind kind = Kind::arrival;
-    int life = 0;
+    int generation = 0;
     Attempt attempt;
     int number = 0;
-    bool operator>(const Next& other) const {
+    bool operator>(const ScheduledEvent& other) const {
       return std::pair(at, order) > std::pair(other.at, other.order);
     }
   };
-  struct Asked {
+  struct RequestState {
     int attempts = 0, request_class = 0;
-    Time takes{0};
+    Time duration{0};
   };
-  struct OneRouter {
+  struct RouterState {
     std::unique_ptr<Router> router;
-    bool told = false;
-    int life = 0;                        ///< a restart makes void what was under way
-    Time up{0};                          ///< when its connection to the cold cache comes up; 0: it has none
-    std::map<std::string, Asked> tries;  ///< by request
+    bool has_list_update = false;
+    int generation = 0;    ///< a restart makes void what was under way
+    Time connected_at{0};  ///< when its connection to the cold cache comes up; 0: it has none
+    std::map<std::string, RequestState> requests;  ///< by request
   };
   /// A member that starts cold, as the bench counts it.
-  struct Cold {
-    double weight, multiple, floor, warm;
-    double worst = -1e9, total = 0, sum = 0;
-    std::deque<std::pair<Time, double>> sent{};
-    [[nodiscard]] double allowed(Time now) const {
-      const double age = std::chrono::duration<double>(now - kStarted).count() / warm;
-      return multiple * (floor + (1 - floor) * std::min(1.0, age)) * weight * 2;
+  struct WarmingEndpoint {
+    double weight, overload_factor, initial_capacity, warm_up_seconds;
+    double worst_excess = -1e9, total_work = 0, window_work = 0;
+    std::deque<std::pair<Time, double>> window{};
+    [[nodiscard]] double allowed_work(Time now) const {
+      const double age = std::chrono::duration<double>(now - kEndpointStart).count() / warm_up_seconds;
+      return overload_factor * (initial_capacity + (1 - initial_capacity) * std::min(1.0, age)) * weight * 2;
     }
-    [[nodiscard]] double allowed_in_all(double) const {
-      return multiple * (floor + (1 - floor) / 2) * weight * warm;
+    [[nodiscard]] double total_allowed_work(double) const {
+      return overload_factor * (initial_capacity + (1 - initial_capacity) / 2) * weight * warm_up_seconds;
     }
-    void add(Time now, double work, double mean) {
-      if (std::chrono::duration<double>(now - kStarted).count() > warm) return;
-      sent.emplace_back(now, work);
-      sum += work;
-      total += work;
-      for (; sent.front().first <= now - 2s; sent.pop_front()) sum -= sent.front().second;
-      const double n = allowed(now) / mean;
-      worst = std::max(worst, (sum / mean - n) / (std::sqrt(n) + 1));
+    void record_sent(Time now, double work, double mean) {
+      if (std::chrono::duration<double>(now - kEndpointStart).count() > warm_up_seconds) return;
+      window.emplace_back(now, work);
+      window_work += work;
+      total_work += work;
+      for (; window.front().first <= now - 2s; window.pop_front()) window_work -= window.front().second;
+      const double allowed_requests = allowed_work(now) / mean;
+      worst_excess =
+          std::max(worst_excess, (window_work / mean - allowed_requests) / (std::sqrt(allowed_requests) + 1));
     }
   };
 
-  static constexpr Time kBegin{1000s}, kStarted{1006s};
+  static constexpr Time kBegin{1000s}, kEndpointStart{1006s};
   static constexpr double kCacheWeight = 6, kParentWeight = 24;
 
-  static Time seconds_of(double s) { return Time{static_cast<std::int64_t>(s * 1e6)}; }
+  static Time seconds_of(double seconds) { return Time{static_cast<std::int64_t>(seconds * 1e6)}; }
   [[nodiscard]] double work_of(int request_class) const {
     return scenario_.large_object_kb / 9100 / (request_class == 0 ? 1 : 6);
   }
   [[nodiscard]] double mean_work() const { return 0.55 * work_of(0) + 0.45 * work_of(1); }
-  double gap() {
+  double next_interarrival_seconds() {
     const double rate = scenario_.load * 4 * kCacheWeight / mean_work() / scenario_.routers;
-    return std::exponential_distribution<double>(rate)(draws_);
+    return std::exponential_distribution<double>(rate)(random_);
   }
 
-  void push(Time at, int router, Kind kind, Attempt attempt = {}, int number = 0) {
-    events_.push({at, ++order_, router, kind, routers_[static_cast<std::size_t>(router)].life,
+  void schedule(Time at, int router, Kind kind, Attempt attempt = {}, int number = 0) {
+    events_.push({at, ++order_, router, kind, routers_[static_cast<std::size_t>(router)].generation,
                   std::move(attempt), number});
   }
 
-  [[nodiscard]] Endpoint sized(Endpoint m, double weight) const {
-    m.weight = scenario_.weights == WeightMeaning::none ? 1 : weight;
+  [[nodiscard]] Endpoint with_weight(Endpoint endpoint, double weight) const {
+    endpoint.weight = scenario_.weights == WeightMeaning::none ? 1 : weight;
     if (scenario_.weights == WeightMeaning::rough)
-      m.weight *= m.id == "cache-a" || m.id == "parent-a" ? 1.2 : 0.9;
-    return m;
+      endpoint.weight *= endpoint.id == "cache-a" || endpoint.id == "parent-a" ? 1.2 : 0.9;
+    return endpoint;
   }
-  std::vector<Endpoint> list(bool told) const {
-    std::vector<Endpoint> all{sized(make_endpoint("cache-b", 0, 2), kCacheWeight),
-                              sized(make_endpoint("cache-c", 0, 2), kCacheWeight),
-                              sized(make_endpoint("cache-d", 0, 2), kCacheWeight),
-                              sized(make_endpoint("parent-b", 1, 1), kParentWeight),
-                              make_endpoint("origin", 2, 0)};
-    if (told) {
-      all.push_back(sized(make_endpoint("cache-a", 0, 2, kStarted), kCacheWeight));
-      all.push_back(sized(make_endpoint("parent-a", 1, 0, kStarted), kParentWeight));
+  std::vector<Endpoint> endpoint_list(bool includes_new) const {
+    std::vector<Endpoint> endpoints{with_weight(make_endpoint("cache-b", 0, 2), kCacheWeight),
+                                    with_weight(make_endpoint("cache-c", 0, 2), kCacheWeight),
+                                    with_weight(make_endpoint("cache-d", 0, 2), kCacheWeight),
+                                    with_weight(make_endpoint("parent-b", 1, 1), kParentWeight),
+                                    make_endpoint("origin", 2, 0)};
+    if (includes_new) {
+      endpoints.push_back(with_weight(make_endpoint("cache-a", 0, 2, kEndpointStart), kCacheWeight));
+      endpoints.push_back(with_weight(make_endpoint("parent-a", 1, 0, kEndpointStart), kParentWeight));
     }
-    return all;
+    return endpoints;
   }
 
-  void start(int i) {
-    OneRouter& r = routers_[static_cast<std::size_t>(i)];
-    ++r.life;
-    r.up = Time{0};
-    r.tries.clear();
-    r.router = std::make_unique<Router>(settings_, draws_());
-    feed(i, EndpointList{ListKind::from_configuration, list(r.told)});
+  void start_router(int router_index) {
+    RouterState& router = routers_[static_cast<std::size_t>(router_index)];
+    ++router.generation;
+    router.connected_at = Time{0};
+    router.requests.clear();
+    router.router = std::make_unique<Router>(settings_, random_());
+    handle(router_index, EndpointList{ListKind::from_configuration, endpoint_list(router.has_list_update)});
   }
 
-  void step(const Next& next) {
-    OneRouter& r = routers_[static_cast<std::size_t>(next.router)];
-    switch (next.kind) {
+  void process(const ScheduledEvent& event) {
+    RouterState& router = routers_[static_cast<std::size_t>(event.router)];
+    switch (event.kind) {
       case Kind::arrival:
-        push(now_ + seconds_of(gap()), next.router, Kind::arrival);
-        ask(next.router);
+        schedule(now_ + seconds_of(next_interarrival_seconds()), event.router, Kind::arrival);
+        send_request(event.router);
         break;
-      case Kind::told:
-        r.told = true;
-        feed(next.router, EndpointList{ListKind::changes, list(true)});
+      case Kind::list_update:
+        router.has_list_update = true;
+        handle(event.router, EndpointList{ListKind::changes, endpoint_list(true)});
         break;
       case Kind::restart:
-        start(next.router);
+        start_router(event.router);
         break;
-      case Kind::wake:
-        if (next.life == r.life) feed(next.router, TimerFired{1});
+      case Kind::timer:
+        if (event.generation == router.generation) handle(event.router, TimerFired{1});
         break;
-      case Kind::done:
-        if (next.life == r.life) done(next);
+      case Kind::attempt_end:
+        if (event.generation == router.generation) end_attempt(event);
         break;
-      case Kind::written:
-        if (next.life == r.life) written(next.attempt, next.number);
+      case Kind::attempt_sent:
+        if (event.generation == router.generation) record_attempt_sent(event.attempt, event.number);
         break;
     }
   }
 
-  void ask(int i) {
+  void send_request(int router_index) {
     Request request;
-    request.id = "r" + std::to_string(++asked_);
-    request.request_class = std::uniform_real_distribution<double>(0, 1)(draws_) < 0.55 ? 0 : 1;
-    request.object = draws_();
+    request.id = "r" + std::to_string(++request_count_);
+    request.request_class = std::uniform_real_distribution<double>(0, 1)(random_) < 0.55 ? 0 : 1;
+    request.object = random_();
     constexpr double kSigma = 1.1;  // sizes vary widely, as the sites say
     request.size_kb = work_of(request.request_class) * 9100 *
-                      std::exp(std::normal_distribution<double>(-kSigma * kSigma / 2, kSigma)(draws_));
-    const Time takes = 40ms + seconds_of(request.size_kb / 9100);
+                      std::exp(std::normal_distribution<double>(-kSigma * kSigma / 2, kSigma)(random_));
+    const Time duration = 40ms + seconds_of(request.size_kb / 9100);
     if (!scenario_.sizes_known) request.size_kb = 0;
     request.expires = now_ + (request.request_class == 0 ? 5s : 2500ms);
-    routers_[static_cast<std::size_t>(i)].tries[request.id] = {0, request.request_class, takes};
-    feed(i, request);
+    routers_[static_cast<std::size_t>(router_index)].requests[request.id] = {0, request.request_class,
+                                                                             duration};
+    handle(router_index, request);
   }
 
-  void done(const Next& next) {
-    auto& tries = routers_[static_cast<std::size_t>(next.router)].tries;
-    const auto found = tries.find(next.attempt.request);
-    Outcome o;
-    o.request = next.attempt.request;
-    o.endpoint = next.attempt.endpoint;
-    o.attempt = next.number;
-    o.result = found == tries.end() ? AttemptResult::cancelled : AttemptResult::served;
-    o.request_finished = true;
-    if (found != tries.end()) {
-      o.duration = found->second.takes;
-      ++served_;
-      tries.erase(found);
+  void end_attempt(const ScheduledEvent& event) {
+    auto& requests = routers_[static_cast<std::size_t>(event.router)].requests;
+    const auto found = requests.find(event.attempt.request);
+    Outcome outcome;
+    outcome.request = event.attempt.request;
+    outcome.endpoint = event.attempt.endpoint;
+    outcome.attempt = event.number;
+    outcome.result = found == requests.end() ? AttemptResult::cancelled : AttemptResult::served;
+    outcome.request_finished = true;
+    if (found != requests.end()) {
+      outcome.duration = found->second.duration;
+      ++served_count_;
+      requests.erase(found);
     }
-    feed(next.router, o);
+    handle(event.router, outcome);
   }
 
-  void written(const Attempt& a, int request_class) {
-    if (a.endpoint == "cache-a") cache_.add(now_, work_of(request_class), mean_work());
-    if (a.source == "parent-a") parent_.add(now_, work_of(request_class), mean_work());
+  void record_attempt_sent(const Attempt& attempt, int request_class) {
+    if (attempt.endpoint == "cache-a") cache_.record_sent(now_, work_of(request_class), mean_work());
+    if (attempt.source == "parent-a") parent_.record_sent(now_, work_of(request_class), mean_work());
   }
 
-  void feed(int i, const Event& event) {
-    OneRouter& r = routers_[static_cast<std::size_t>(i)];
-    const auto actions = r.router->handle(now_, event);
-    if (scenario_.observer) scenario_.observer(i, now_, event, actions);
+  void handle(int router_index, const Event& event) {
+    RouterState& router = routers_[static_cast<std::size_t>(router_index)];
+    const auto actions = router.router->handle(now_, event);
+    if (scenario_.observer) scenario_.observer(router_index, now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* a = std::get_if<Attempt>(&action)) {
-        Asked& asked = r.tries[a->request];
+      if (const auto* attempt = std::get_if<Attempt>(&action)) {
+        RequestState& request = router.requests[attempt->request];
         Time at = now_;
-        if (a->endpoint == "cache-a") {
-          if (r.up == Time{0}) r.up = now_ + seconds_of(scenario_.connect_seconds);
-          at = std::max(at, r.up);
+        if (attempt->endpoint == "cache-a") {
+          if (router.connected_at == Time{0})
+            router.connected_at = now_ + seconds_of(scenario_.connect_seconds);
+          at = std::max(at, router.connected_at);
         }
         if (at > now_) {
-          push(at, i, Kind::written, *a, asked.request_class);
+          schedule(at, router_index, Kind::attempt_sent, *attempt, request.request_class);
         } else {
-          written(*a, asked.request_class);
+          record_attempt_sent(*attempt, request.request_class);
         }
-        push(at + asked.takes, i, Kind::done, *a, asked.attempts++);
-      } else if (const auto* w = std::get_if<SetTimer>(&action)) {
-        push(now_ + w->after, i, Kind::wake);
-      } else if (const auto* refuse = std::get_if<Reject>(&action)) {
-        r.tries.erase(refuse->request);
+        schedule(at + request.duration, router_index, Kind::attempt_end, *attempt, request.attempts++);
+      } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
+        schedule(now_ + timer->after, router_index, Kind::timer);
+      } else if (const auto* reject = std::get_if<Reject>(&action)) {
+        router.requests.erase(reject->request);
       } else if (const auto* fail = std::get_if<Fail>(&action)) {
-        r.tries.erase(fail->request);
+        router.requests.erase(fail->request);
       }
     }
   }
 
   SlowStartScenario scenario_;
   Settings settings_;
-  std::mt19937_64 draws_;
+  std::mt19937_64 random_;
   Time now_{kBegin};
   std::uint64_t order_ = 0;
-  std::vector<OneRouter> routers_;
-  std::priority_queue<Next, std::vector<Next>, std::greater<>> events_;
-  Cold cache_{kCacheWeight, 4, 0.18, 18}, parent_{kParentWeight, 2, 0.07, 22};
-  int asked_ = 0, served_ = 0;
+  std::vector<RouterState> routers_;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> events_;
+  WarmingEndpoint cache_{kCacheWeight, 4, 0.18, 18}, parent_{kParentWeight, 2, 0.07, 22};
+  int request_count_ = 0, served_count_ = 0;
 };
 
 }  // namespace edge_proxy::test
