--- a/src/routing/attempt_planner.h
+++ b/src/routing/attempt_planner.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The route of the next attempt of a request: its endpoint, and the source from which a miss is filled.
-/// Decides from endpoint selection, fill admission and retry safety.
+/// Chooses the route of the next attempt of a request: its endpoint, and the source from which a cache miss
+/// is filled. Combines endpoint selection, fill admission and retry safety.
 #pragma once
 
 #include <cstddef>
@@ -19,13 +19,13 @@
 
 struct Route {
   std::size_t endpoint = 0;
-  std::size_t source = 0;       ///< the endpoint itself: no fill
-  bool is_cached_only = false;  ///< the source, a parent, gives only what it has cached
-  double work = 0;              ///< for slow start, in seconds of transfer
+  std::size_t source = 0;       ///< the endpoint itself if no fill is allowed
+  bool is_cached_only = false;  ///< the source is a parent that serves only from its cache
+  double work = 0;              ///< size of the request for slow start, in seconds of transfer
 };
 
-/// The parts from which routes are planned. They have to outlive the planner.
-struct PlannerParts {
+/// The components that the planner consults. They must outlive it.
+struct PlannerDependencies {
   const Settings& settings;
   const EndpointTable& endpoints;
   const EndpointSelector& selector;
@@ -36,13 +36,14 @@
 
 class AttemptPlanner {
  public:
-  explicit AttemptPlanner(const PlannerParts& parts) : parts_(parts) {}
+  explicit AttemptPlanner(const PlannerDependencies& dependencies) : deps_(dependencies) {}
 
-  /// The next attempt's route; nothing where there is none. `work`: size of the request for slow start.
+  /// Returns the route of the next attempt, or nothing if no attempt is possible. `work` is the size of the
+  /// request for slow start, in seconds of transfer.
   [[nodiscard]] std::optional<Route> plan(Time now, const PendingRequest& pending, double work);
 
-  /// The attempt for a route, before it is among the request's attempts.
-  [[nodiscard]] Attempt build(Time now, const PendingRequest& pending, const Route& route) const;
+  /// Builds the attempt for a route. Call it before the attempt is added to `pending.attempts`.
+  [[nodiscard]] Attempt build_attempt(Time now, const PendingRequest& pending, const Route& route) const;
 
  private:
   struct SourceChoice {
@@ -50,7 +51,7 @@
     bool is_cached_only = false;
   };
 
-  [[nodiscard]] bool has_attempt_left(Time now, const PendingRequest& pending) const;
+  [[nodiscard]] bool has_attempts_left(Time now, const PendingRequest& pending) const;
   [[nodiscard]] std::optional<Route> plan_at_origin(Time now, const PendingRequest& pending,
                                                     double work) const;
   [[nodiscard]] std::optional<Route> plan_cacheable(Time now, const PendingRequest& pending, double work);
@@ -59,7 +60,7 @@
                                                         double work) const;
   [[nodiscard]] bool is_below_limit(std::size_t endpoint) const;
 
-  PlannerParts parts_;
+  PlannerDependencies deps_;
 };
 
 }  // namespace edge_proxy::routing
--- a/tests/support/routing_world.h
+++ b/tests/support/routing_world.h
@@ -17,12 +17,12 @@
 using RoutingObserver =
     std::function<void(int router, Time now, const Event& event, const std::vector<Action>& actions)>;
 
-inline Settings settings() {
-  Settings s;
-  s.zone = 2;
-  s.router_count = 1;
-  s.routers_by_zone = {0, 0, 1};
-  s.hub_by_zone = {0, 1, 0};
+inline Settings default_settings() {
+  Settings settings;
+  settings.zone = 2;
+  settings.router_count = 1;
+  settings.routers_by_zone = {0, 0, 1};
+  settings.hub_by_zone = {0, 1, 0};
   RequestClass pages;
   pages.latency_objective = 400ms;
   pages.latency_objective_per_transfer_time = 2;
@@ -35,126 +35,127 @@
   forms.uncacheable = true;
   RequestClass orders = forms;
   orders.idempotency = Idempotency::none;
-  s.classes = {pages, forms, orders};
-  s.parent_kind = 1;
-  s.origin_kind = 2;
-  s.direct_to_sources = true;
-  s.cache_status_detail = CacheStatusDetail::all;
-  s.transfer_kb_per_s = 1000;
-  s.tick = 2ms;
-  s.initial_capacity = 0.25;
-  s.warm_up_time = 16s;
-  s.overload_factor = 2;
-  s.overload_window = 2s;
-  s.parent_initial_capacity = 0.1;
-  s.parent_warm_up_time = 20s;
-  s.parent_overload_factor = 2;
-  s.invalidation_settled_after = 6s;
-  s.max_attempts = 8;
-  s.cancellation = true;
-  s.hedging = true;
-  return s;
+  settings.classes = {pages, forms, orders};
+  settings.parent_kind = 1;
+  settings.origin_kind = 2;
+  settings.direct_to_sources = true;
+  settings.cache_status_detail = CacheStatusDetail::all;
+  settings.transfer_kb_per_s = 1000;
+  settings.tick = 2ms;
+  settings.initial_capacity = 0.25;
+  settings.warm_up_time = 16s;
+  settings.overload_factor = 2;
+  settings.overload_window = 2s;
+  settings.parent_initial_capacity = 0.1;
+  settings.parent_warm_up_time = 20s;
+  settings.parent_overload_factor = 2;
+  settings.invalidation_settled_after = 6s;
+  settings.max_attempts = 8;
+  settings.cancellation = true;
+  settings.hedging = true;
+  return settings;
 }
 
-inline Endpoint member(std::string id, int kind, int zone, Time started = Time{0}) {
-  Endpoint m;
-  m.id = std::move(id);
-  m.kind = kind;
-  m.zone = zone;
-  m.started = started;
-  return m;
+inline Endpoint make_endpoint(std::string id, int kind, int zone, Time started = Time{0}) {
+  Endpoint endpoint;
+  endpoint.id = std::move(id);
+  endpoint.kind = kind;
+  endpoint.zone = zone;
+  endpoint.started = started;
+  return endpoint;
 }
 
-inline std::vector<Endpoint> members() {
-  return {member("cache-a", 0, 2),  member("cache-b", 0, 2),  member("cache-c", 0, 2),
-          member("parent-a", 1, 0), member("parent-b", 1, 1), member("origin", 2, 0)};
+inline std::vector<Endpoint> default_endpoints() {
+  return {make_endpoint("cache-a", 0, 2),  make_endpoint("cache-b", 0, 2),  make_endpoint("cache-c", 0, 2),
+          make_endpoint("parent-a", 1, 0), make_endpoint("parent-b", 1, 1), make_endpoint("origin", 2, 0)};
 }
 
 class World {
  public:
-  explicit World(Settings s = settings(), std::vector<Endpoint> list = members(), std::uint64_t seed = 1)
-      : router_(std::move(s), seed) {
-    feed(EndpointList{ListKind::from_configuration, std::move(list)});
+  explicit World(Settings settings = default_settings(), std::vector<Endpoint> list = default_endpoints(),
+                 std::uint64_t seed = 1)
+      : router_(std::move(settings), seed) {
+    handle(EndpointList{ListKind::from_configuration, std::move(list)});
   }
 
-  std::vector<Action> feed(const Event& event) {
+  std::vector<Action> handle(const Event& event) {
     auto actions = router_.handle(now, event);
-    all.insert(all.end(), actions.begin(), actions.end());
+    all_actions.insert(all_actions.end(), actions.begin(), actions.end());
     return actions;
   }
 
   /// Lets time pass in small steps, so that every timer is served.
-  std::vector<Action> pass(Time span) {
+  std::vector<Action> advance(Time span) {
     std::vector<Action> actions;
     for (const Time end = now + span; now < end;) {
       now = std::min(end, now + Time{2ms});
-      const auto more = feed(TimerFired{1});
+      const auto more = handle(TimerFired{1});
       actions.insert(actions.end(), more.begin(), more.end());
     }
     return actions;
   }
 
-  Request request(std::uint64_t object, int request_class = 0, Time patience = 2500ms) {
-    Request r;
-    r.id = "r" + std::to_string(++made_);
-    r.object = object;
-    r.size_kb = 50;
-    r.request_class = request_class;
-    r.expires = now + patience;
-    return r;
+  Request request(std::uint64_t object, int request_class = 0, Time client_timeout = 2500ms) {
+    Request request;
+    request.id = "r" + std::to_string(++request_count_);
+    request.object = object;
+    request.size_kb = 50;
+    request.request_class = request_class;
+    request.expires = now + client_timeout;
+    return request;
   }
 
-  std::vector<Action> finish(const Attempt& a, AttemptResult ending, int n = 0,
-                             CacheStatus note = CacheStatus::hit, Time took = 50ms) {
-    Outcome o;
-    o.request = a.request;
-    o.endpoint = a.endpoint;
-    o.attempt = n;
-    o.result = ending;
-    o.cache_status = note;
-    o.duration = took;
-    o.request_finished = ending == AttemptResult::served;
-    return feed(o);
+  std::vector<Action> end_attempt(const Attempt& attempt, AttemptResult result, int number = 0,
+                                  CacheStatus cache_status = CacheStatus::hit, Time duration = 50ms) {
+    Outcome outcome;
+    outcome.request = attempt.request;
+    outcome.endpoint = attempt.endpoint;
+    outcome.attempt = number;
+    outcome.result = result;
+    outcome.cache_status = cache_status;
+    outcome.duration = duration;
+    outcome.request_finished = result == AttemptResult::served;
+    return handle(outcome);
   }
 
   /// Ends all attempts that were called off, as the other side does in the end.
-  void end_cancelled() {
-    for (; seen_ < all.size(); ++seen_) {
-      const auto* cancel = std::get_if<Cancel>(&all[seen_]);
+  void end_cancelled_attempts() {
+    for (; next_action_ < all_actions.size(); ++next_action_) {
+      const auto* cancel = std::get_if<Cancel>(&all_actions[next_action_]);
       if (cancel == nullptr) continue;
       Attempt given_up;
       given_up.request = cancel->request;
-      finish(given_up, AttemptResult::cancelled, cancel->attempt, CacheStatus::unknown);
+      end_attempt(given_up, AttemptResult::cancelled, cancel->attempt, CacheStatus::unknown);
     }
   }
 
   /// Asks for an object and has the first attempt served; returns that attempt.
-  Attempt serve(std::uint64_t object, CacheStatus note = CacheStatus::hit);
+  Attempt serve(std::uint64_t object, CacheStatus cache_status = CacheStatus::hit);
 
-  [[nodiscard]] Router::Stats beliefs() const { return router_.stats(); }
+  [[nodiscard]] Router::Stats stats() const { return router_.stats(); }
 
   Time now{1000s};
-  std::vector<Action> all;
+  std::vector<Action> all_actions;
 
  private:
   Router router_;
-  int made_ = 0;
-  std::size_t seen_ = 0;
+  int request_count_ = 0;
+  std::size_t next_action_ = 0;
 };
 
-template <typename A>
-std::vector<A> only(const std::vector<Action>& actions) {
-  std::vector<A> found;
+template <typename ActionType>
+std::vector<ActionType> actions_of(const std::vector<Action>& actions) {
+  std::vector<ActionType> found;
   for (const Action& action : actions) {
-    if (const A* a = std::get_if<A>(&action)) found.push_back(*a);
+    if (const ActionType* match = std::get_if<ActionType>(&action)) found.push_back(*match);
   }
   return found;
 }
 
-inline Attempt World::serve(std::uint64_t object, CacheStatus note) {
-  const auto sent = only<Attempt>(feed(request(object)));
+inline Attempt World::serve(std::uint64_t object, CacheStatus cache_status) {
+  const auto sent = actions_of<Attempt>(handle(request(object)));
   if (sent.empty()) return {};
-  finish(sent.front(), AttemptResult::served, 0, note);
+  end_attempt(sent.front(), AttemptResult::served, 0, cache_status);
   return sent.front();
 }
 
