--- a/tests/routing/crowded_world_test.cpp
+++ b/tests/routing/crowded_world_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Many routers side by side in virtual time: what each does alone adds up.
+// Sixty routers in virtual time, which decide independently: their combined work and fills must stay within
+// what an endpoint can serve.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +13,7 @@
 namespace {
 
 constexpr int kRouters = 60;
-constexpr double kWork = 0.05;  // seconds of sending, of each request
+constexpr double kWork = 0.05;  // seconds of transfer per request
 
 Settings many_router_settings() {
   Settings settings = default_settings();
@@ -38,7 +39,8 @@
   return worlds;
 }
 
-/// The most, over all windows of the rule's span, that the fleet's sum took of what pushes a member over.
+/// Returns the maximum, over all overload windows, of the work that all routers together sent to the endpoint
+/// `warming_id`, divided by the work at which it fails.
 double max_budget_utilization(const std::string& warming_id, double weight, double initial_capacity,
                               Time warm_up_time) {
   auto worlds =
@@ -71,10 +73,11 @@
 }
 
 TEST(ManyRouters, TotalWorkStaysWithinTheLimitOfAWarmingCache) {
-  // 600 requests a second, half of them homed at the cold cache: 15 s of sending a second for a weight of 6.
+  // 600 requests per second, half of which belong to the cache that is warming up: 15 s of transfer per
+  // second for a weight of 6.
   const double utilization = max_budget_utilization("cache-a", 6, 0.25, 16s);
   EXPECT_LE(utilization, 1.0);
-  EXPECT_GE(utilization, 0.2);  // it is used, too
+  EXPECT_GE(utilization, 0.2);  // the endpoint must receive requests as well
 }
 
 TEST(ManyRouters, TotalWorkStaysWithinTheLimitOfAWarmingParent) {
@@ -84,12 +87,13 @@
 }
 
 TEST(ManyRouters, FillsStayLimitedWhenAllCopiesBecomeInvalid) {
-  // All 300 requests a second miss from the start; 60 fetches a second are in time, and while more are
-  // asked of it the origin answers all of them late.
+  // Guards against fills that overload the origin after a large invalidation. All 300 requests per second
+  // miss from the start. The origin answers 60 fills per second in time; with more fills it answers all of
+  // them late.
   auto worlds = make_worlds({make_endpoint("cache-a", 0, 2), make_endpoint("cache-b", 0, 2),
                              make_endpoint("parent-a", 1, 0), make_endpoint("parent-b", 1, 1),
                              make_endpoint("origin", 2, 0)});
-  constexpr int kOriginCapacity = 12;  // in a step of 200 ms
+  constexpr int kOriginCapacity = 12;  // fills in a step of 200 ms
   std::vector<std::pair<World*, Attempt>> pending_one_step, pending_two_steps;
   std::uint64_t object = 0;
   int fills_after_first_steps = 0, max_initial_fills = 0;
@@ -119,7 +123,7 @@
     for (auto& world : worlds) world->end_cancelled_attempts();
   }
   EXPECT_GE(max_initial_fills, 50);
-  EXPECT_LE(fills_after_first_steps / 100, 2 * kOriginCapacity);  // in the mean
+  EXPECT_LE(fills_after_first_steps / 100, 2 * kOriginCapacity);  // mean over 100 steps
   EXPECT_GE(fills_after_first_steps / 100, kOriginCapacity / 4);
 }
 
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -15,7 +15,7 @@
   return actions_of<Reject>(actions).size() + actions_of<Fail>(actions).size();
 }
 
-// ---- The ordinary path ----
+// ---- Popularity, endpoint selection and fills ----
 
 TEST(Popularity, NoPartIsBronzeBeforeTheWindowIsFull) {
   World world;
@@ -50,12 +50,12 @@
 }
 
 TEST(Fills, DeniedFillAllowsAStaleCopyWithinItsGrace) {
-  // Found beside the days on which all copies go void: what was held back was refused, though a copy in its
-  // grace time earns half. After a purge no copy from before it will do, whatever its grace.
+  // Guards against rejecting a request whose fill is denied, although a stale copy within its grace scores
+  // half. After an invalidation no older copy may be served, even within its grace.
   Settings settings = default_settings();
   settings.classes[0].max_age = 8s;
   settings.classes[0].grace = 20s;
-  World world(settings, {make_endpoint("cache-a", 0, 2)});  // nothing to fill from
+  World world(settings, {make_endpoint("cache-a", 0, 2)});  // no source for fills
   const auto held = actions_of<Attempt>(world.handle(world.request(1)));
   ASSERT_EQ(held.size(), 1U);
   EXPECT_EQ(held.front().max_copy_age, 28s);
@@ -70,8 +70,9 @@
 }
 
 TEST(Fills, ReadsJoinFillsInFlightAndWritesDoNot) {
-  // Found on days on which all copies go void at once: each of a location's routers had hot parts filled
-  // anew, a fifth of all fills were double, and what was held back came back as a miss beside a running fill.
+  // Guards against duplicate fills after all copies become invalid at once. Without joined fills each router
+  // of a location fills popular parts itself: a fifth of all fills were duplicates, and a request whose fill
+  // was denied ended as a miss although a fill of its part was in flight.
   World world;
   const auto read = actions_of<Attempt>(world.handle(world.request(1)));
   const auto write = actions_of<Attempt>(world.handle(world.request(2, 1)));
@@ -81,12 +82,12 @@
 }
 
 TEST(EndpointSelection, AllRoutersSelectTheSameParentWhateverTheListOrder) {
-  Settings other_place = default_settings();
-  other_place.zone = 3;
-  other_place.routers_by_zone = {0, 0, 1, 1};
+  Settings other_zone = default_settings();
+  other_zone.zone = 3;
+  other_zone.routers_by_zone = {0, 0, 1, 1};
   std::vector<Endpoint> list = {make_endpoint("cache-z", 0, 3), make_endpoint("origin", 2, 0),
                                 make_endpoint("parent-b", 1, 1), make_endpoint("parent-a", 1, 0)};
-  World here, there(other_place, list);
+  World here, there(other_zone, list);
   std::set<std::string> parents;
   for (std::uint64_t object = 0; object < 40; ++object) {
     const Attempt attempt = here.serve(object), other = there.serve(object);
@@ -159,21 +160,21 @@
 }
 
 TEST(FinalAnswer, RejectionHasARetryAfterIfTheSiteSupportsIt) {
-  for (const bool handed_on : {false, true}) {
+  for (const bool supports_retry_after : {false, true}) {
     Settings settings = default_settings();
-    settings.retry_after = handed_on;
+    settings.retry_after = supports_retry_after;
     settings.max_retry_after = 500ms;
     World world(settings, {});
     const auto rejected = actions_of<Reject>(world.handle(world.request(1)));
     ASSERT_EQ(rejected.size(), 1U);
-    EXPECT_EQ(rejected.front().retry_after, handed_on ? 250ms : 0ms);
+    EXPECT_EQ(rejected.front().retry_after, supports_retry_after ? 250ms : 0ms);
   }
 }
 
-// ---- No effect twice ----
+// ---- Sources, local copies, health and retry safety ----
 
 TEST(Fills, GoToTheOriginWhenNoParentIsUsable) {
-  // Guards against refusing every miss while one parent fails and the other has only just started.
+  // Guards against rejecting every miss while one parent fails and the other is warming up.
   World world;
   Endpoint other = make_endpoint("parent-b", 1, 1);
   other.state = EndpointState::removed;
@@ -195,15 +196,15 @@
 }
 
 TEST(Fills, GoToTheOriginWhenParentsAreFullWhileItAnswersInTime) {
-  // Guards against refusing misses while one parent is lost and the other is full, though the origin has
-  // room.
+  // Guards against rejecting misses while one parent is lost and the other is full, although the origin has
+  // capacity.
   for (const bool in_time : {true, false}) {
     World world;
     std::set<std::string> sources;
     std::size_t at_origin = 0;
     for (std::uint64_t n = 0; n < 200; ++n) {
       for (const Attempt& attempt : actions_of<Attempt>(world.handle(world.request(n)))) {
-        if (attempt.source != "origin") continue;  // the parents answer none
+        if (attempt.source != "origin") continue;  // the parents never answer
         at_origin += n >= 100 ? 1 : 0;
         if (in_time) {
           world.end_attempt(attempt, AttemptResult::served, 0, CacheStatus::unknown);
@@ -228,15 +229,15 @@
   };
   EXPECT_TRUE(is_served_locally(1, 0ms));
   EXPECT_TRUE(is_served_locally(1, 100ms));
-  EXPECT_FALSE(is_served_locally(1, 100ms));  // asked for the third time: the caches hold it
+  EXPECT_FALSE(is_served_locally(1, 100ms));  // third request: the part counts as popular
   EXPECT_TRUE(is_served_locally(1, 0ms));
-  EXPECT_FALSE(is_served_locally(2, 400ms));  // too late: wanted within 0.5 s
+  EXPECT_FALSE(is_served_locally(2, 400ms));  // too late: the latency objective is 0.5 s
   EXPECT_EQ(world.stats().in_flight, 2U);
 }
 
 TEST(Health, ErrorsOfASingleCacheAreNotBlamedOnItsSources) {
-  // Found on days with a cache that fails fast: its errors were laid to the parents, all fills were held
-  // back, and it went on getting its full part.
+  // Guards against blaming the parents for a cache that fails fast: all fills were denied, and the cache kept
+  // receiving its full share of the requests.
   World world;
   std::size_t attempts_at_failing_cache = 0, rejected = 0;
   for (std::uint64_t n = 0; n < 600; ++n) {
@@ -253,7 +254,7 @@
     }
     world.advance(20ms);
   }
-  EXPECT_LT(attempts_at_failing_cache, 40U);  // of 100 that are its part
+  EXPECT_LT(attempts_at_failing_cache, 40U);  // its even share is 100
   EXPECT_LT(rejected, 40U);
 }
 
@@ -268,14 +269,14 @@
     const auto sent = actions_of<Attempt>(world.handle(world.request(static_cast<std::uint64_t>(n))));
     ASSERT_EQ(sent.size(), 1U);
     if (held.request.empty() && sent.front().endpoint == next.id) {
-      held = sent.front();  // stays out for long after its member has left
+      held = sent.front();  // stays open long after its endpoint is removed
     } else {
       world.end_attempt(sent.front(), AttemptResult::served);
     }
     world.advance(10ms);
   }
   ASSERT_FALSE(held.request.empty());
-  // Six of the start, the newest, and those that the one request and its second copy still name.
+  // The six initial endpoints, the newest one, and those of the open attempt and of its hedged request.
   EXPECT_LE(world.stats().endpoints, 9U);
   EXPECT_GE(world.stats().endpoints, 8U);
   EXPECT_LE(world.stats().in_flight, 2U);
@@ -305,7 +306,7 @@
 }
 
 TEST(Health, BrokenConnectionWithManyAttemptsCountsAsOneFailure) {
-  // Guards against a sound cache that is shut, and loses its objects, for one connection that was reset.
+  // Guards against ejecting a healthy cache, which moves its objects away, because of one reset connection.
   World world;
   const Attempt reference = world.serve(7);
   const auto break_connection = [&](AttemptResult result, int max_attempts) {
@@ -330,7 +331,7 @@
 
 TEST(Health, MalformedResponseIsRetriedAtTheSameEndpoint) {
   World world;
-  for (std::uint64_t n = 1; n < 10; ++n) {  // more than the budget for further attempts would pay for
+  for (std::uint64_t n = 1; n < 10; ++n) {  // more retries than the retry budget has
     const auto sent = actions_of<Attempt>(world.handle(world.request(n)));
     ASSERT_EQ(sent.size(), 1U);
     const auto again =
@@ -353,7 +354,7 @@
   EXPECT_EQ(actions_of<Attempt>(after).size(), 1U);
 }
 
-// ---- Drains ----
+// ---- Endpoint lists ----
 
 TEST(EndpointLists, DrainingAndRemovedEndpointsReceiveNothing) {
   World world;
@@ -376,9 +377,10 @@
   for (std::uint64_t object = 0; object < 60; ++object) EXPECT_NE(world.serve(object).endpoint, "cache-a");
 }
 
-// ---- Cold members ----
+// ---- Slow start ----
 
-/// The work, in seconds of sending, that cache-a is sent in two seconds while it is cold.
+/// Returns the work, in seconds of transfer, that cache-a receives within two seconds, `since_start` after
+/// its start. `with_rejected_load` adds requests that are all rejected before that.
 double work_sent_to_warming_cache(Time since_start, bool with_rejected_load) {
   World world;
   for (int second = 0; second < 20; ++second) {
@@ -403,7 +405,7 @@
 }
 
 TEST(SlowStartBudget, LimitsTheWorkSentToAWarmingCache) {
-  // Served: 1.5 s of sending a second, a third of it each. Budget: 2 x 0.25 x 0.5 x 2 s.
+  // The caches serve 1.5 s of transfer per second, a third of it each. The budget is 2 x 0.25 x 0.5 x 2 s.
   EXPECT_LE(work_sent_to_warming_cache(0s, false), 0.5);
   EXPECT_GT(work_sent_to_warming_cache(0s, false), 0.0);
   EXPECT_GT(work_sent_to_warming_cache(20s, false), 0.6);
@@ -417,8 +419,8 @@
 }
 
 TEST(SlowStartBudget, FollowsNominalWeightsForANewRouter) {
-  // Found on days on which a location is lost with its routers and comes back: new routers knew of no usual
-  // load, gave their cold caches nothing and refused nearly all for 18 s.
+  // Guards against an outage after a location and its routers restart together: new routers have no mean
+  // load, so that they sent nothing to caches that were warming up and rejected nearly all requests for 18 s.
   Settings settings = default_settings();
   settings.weights = WeightMeaning::nominal;
   Endpoint cold = make_endpoint("cache-a", 0, 2, 1000s);
@@ -432,7 +434,8 @@
     }
     return static_cast<double>(sent) * 0.05;
   };
-  // 2 x 0.25 x 4 x 2 s of work would push it over at the start; a process beside this one may send as well.
+  // The cache fails at 2 x 0.25 x 4 x 2 s of work at its start. During the handover time the process that
+  // this router replaces may send as well.
   const double at_first = sent_in_2s();
   EXPECT_GT(at_first, 0.8);
   EXPECT_LT(at_first, 4 * 0.45);
@@ -441,7 +444,8 @@
 }
 
 TEST(SlowStartBudget, ScalesWithTheQuotaShare) {
-  // Guards the others' shares: one whose lease has run out keeps to the little that is left to it at once.
+  // Guards the shares of the other routers: a router whose quota lease has expired must limit itself to its
+  // reduced share immediately.
   const auto sent_in_2s = [](double part) {
     Settings settings = default_settings();
     settings.weights = WeightMeaning::nominal;
@@ -464,12 +468,12 @@
 }
 
 TEST(SlowStartBudget, BelowOneRequestSpacesRequestsInTime) {
-  // Found by reckoning for hundreds of routers: each one's part stayed under one request until the cache
-  // counted as warm by age, and then all sent at once.
+  // Guards against a burst from hundreds of routers: the share of each stays below one request until the
+  // cache counts as warm by its age, and then all routers would send at once.
   std::size_t sent = 0;
   World world;
   for (int second = 0; second < 20; ++second) {
-    world.serve(static_cast<std::uint64_t>(second));  // 0.05 s of sending a second over three caches
+    world.serve(static_cast<std::uint64_t>(second));  // 0.05 s of transfer per second over three caches
     world.advance(1s);
   }
   world.handle(EndpointList{ListKind::changes, {make_endpoint("cache-a", 0, 2, world.now)}});
@@ -482,7 +486,8 @@
 }
 
 TEST(SlowStartBudget, SurvivesARestartOfAllCaches) {
-  // With every cache cold nothing is served by warm ones, and budgets that follow that went to nothing.
+  // Guards against budgets that drop to zero: while all caches are warming up, none of the served work comes
+  // from warm caches, and a mean load that followed it would approach zero.
   World world;
   for (int second = 0; second < 20; ++second) {
     for (std::uint64_t i = 0; i < 30; ++i) world.serve(i);
@@ -498,7 +503,8 @@
 }
 
 TEST(SlowStartBudget, SurvivesListedEndpointsThatFail) {
-  // A silent location is listed for many seconds more; its caches come back cold to all of the demand.
+  // Guards against budgets that drop to zero while the caches of an unreachable location are still listed.
+  // When they come back, they are warming up and face the full demand.
   World world;
   for (int second = 0; second < 20; ++second) {
     for (std::uint64_t i = 0; i < 30; ++i) world.serve(i);
@@ -521,7 +527,7 @@
   EXPECT_GE(at_caches, 15U);
 }
 
-// ---- Purges ----
+// ---- Invalidations ----
 
 TEST(Invalidations, LimitTheCopyAgeOfEveryAttempt) {
   World world;
@@ -547,12 +553,12 @@
   EXPECT_EQ(actions_of<Attempt>(world.handle(later)).front().max_copy_age, 7010ms);
 }
 
-// ---- Guards ----
+// ---- Concurrency limits ----
 
 TEST(Limits, LateRequestsAreGivenUpAndTheirAttemptsCancelled) {
   World world;
   for (int i = 0; i < 60; ++i) world.handle(world.request(1));
-  const auto actions = world.advance(1100ms);  // the wanted time, and as long again for fills
+  const auto actions = world.advance(1100ms);  // the latency objective, and the same time again for fills
   EXPECT_GE(final_answer_count(actions), 20U);
   EXPECT_GE(actions_of<Cancel>(actions).size(), 20U);
 }
@@ -586,7 +592,8 @@
 }
 
 TEST(Limits, RecoverQuicklyAfterAnOverload) {
-  // Found in service days: limits that had sunk to one rose by a fiftieth an answer and starved the caches.
+  // Guards against limits that recover too slowly: limits of 1 that rose by a fiftieth per response left the
+  // caches idle.
   World world(default_settings(), {make_endpoint("cache-a", 0, 2)});
   for (int round = 0; round < 80; ++round) {
     auto sent = actions_of<Attempt>(world.handle(world.request(1)));
@@ -610,7 +617,7 @@
 }
 
 TEST(Limits, LateHitLowersTheCacheLimitAndLateFillMostlyTheSourceLimit) {
-  // How many attempts the cache takes at once, and how many fills it is asked for, after a few late answers.
+  // Returns the numbers of concurrent fills and concurrent attempts at the cache after eight late responses.
   const auto capacity_after = [](CacheStatus cache_status) {
     World world(default_settings(), {make_endpoint("cache-a", 0, 2), make_endpoint("parent-a", 1, 0),
                                      make_endpoint("origin", 2, 0)});
@@ -634,12 +641,12 @@
     return std::pair{fills, all};
   };
   const auto hits = capacity_after(CacheStatus::hit), fills = capacity_after(CacheStatus::filled);
-  EXPECT_GT(fills.second, hits.second);  // late fills are laid to the cache by half
-  EXPECT_LT(fills.first, 12U);           // and cost their sources a good part of the 16 they had
+  EXPECT_GT(fills.second, hits.second);  // the cache gets half of the blame for late fills
+  EXPECT_LT(fills.first, 12U);           // the source limit was 16 before
 }
 
 TEST(Limits, RejectionWithoutStatusIsBlamedMostlyOnTheSource) {
-  // Found in an incident: parents died silently and the caches were blamed for refusing.
+  // Guards against blaming the caches when parents fail without a status in the responses.
   const auto cache_attempts_after = [](bool with_source) {
     auto list = default_endpoints();
     if (!with_source) list.resize(3);
@@ -670,10 +677,10 @@
 }
 
 TEST(Limits, BusySourceStillAcceptsSmallFills) {
-  // Found in service days: on a full link one large fill crowded out several small ones of more worth.
+  // Guards against a large fill that displaces several small fills of a higher value on a full link.
   World world;
   Request large = world.request(1000);
-  for (std::uint64_t i = 0; i < 40; ++i) {  // the usual mix
+  for (std::uint64_t i = 0; i < 40; ++i) {  // establishes the mean work and value
     world.serve(i, CacheStatus::filled);
     large = world.request(1000 + i);
     large.size_kb = 2000;
@@ -691,13 +698,13 @@
     return sent;
   };
   EXPECT_GT(fills(2000), 0);
-  EXPECT_GT(fills(20), 0);  // the large ones have left room
+  EXPECT_GT(fills(20), 0);  // the large fills leave capacity for small ones
 }
 
-// ---- What all routers share ----
+// ---- Fill admission ----
 
-/// Asks one object after another, each twice a second, and ends every attempt as `end` says; returns how many
-/// of the last 40 first attempts named a source.
+/// Sends requests for different objects, one per 100 ms, and calls `end` for the first attempt of each.
+/// Returns how many of the last 40 first attempts had a source for a fill.
 template <typename End>
 std::size_t fills_in_last_40_requests(World& world, int requests, End end) {
   std::size_t fills = 0;
@@ -715,8 +722,9 @@
 }
 
 TEST(Fills, AreDeniedWhileFillsAreLateAndRecoverQuickly) {
-  // Found at full size: with hundreds of routers each has seldom a fill under way, limits on those never
-  // bind, and a purge or a slow origin was answered by more fills than the origin could bear.
+  // Guards against an overload of the origin. With hundreds of routers each one rarely has a fill in flight,
+  // so that concurrency limits have no effect, and after an invalidation or with a slow origin the routers
+  // sent more fills than the origin could serve.
   World world;
   const auto late = [&world](const Attempt& attempt, int) {
     const bool fill = attempt.source != attempt.endpoint;
@@ -724,7 +732,7 @@
     world.end_attempt(attempt, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
                       fill ? CacheStatus::filled : CacheStatus::unknown, 510ms);
   };
-  EXPECT_LE(fills_in_last_40_requests(world, 100, late), 20U);  // a few to parents, a few to the origin
+  EXPECT_LE(fills_in_last_40_requests(world, 100, late), 20U);  // a few remain for parents and the origin
   const auto in_time = [&world](const Attempt& attempt, int) {
     const bool fill = attempt.source != attempt.endpoint;
     world.end_attempt(attempt, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
@@ -734,15 +742,16 @@
 }
 
 TEST(Fills, DeniedFromParentsDoNotGoToTheOrigin) {
-  // Found on days on which all copies go void at once: what hundreds of routers held back from the parents
-  // they asked of the origin, which bears the parents' misses too and answered hardly anything in time.
+  // Guards against an overload of the origin after all copies become invalid: hundreds of routers sent the
+  // fills that were denied from the parents to the origin. The origin serves the parents' misses as well, and
+  // hardly any response was in time.
   World world;
-  std::size_t from_origin = 0, held_back = 0;
+  std::size_t from_origin = 0, denied_fills = 0;
   for (int i = 0; i < 120; ++i) {
     const auto sent = actions_of<Attempt>(world.handle(world.request(static_cast<std::uint64_t>(i))));
     for (const Attempt& attempt : sent) {
       from_origin += attempt.source == "origin" && attempt.endpoint != "origin" ? 1 : 0;
-      held_back += attempt.cached_only || attempt.source == attempt.endpoint ? 1 : 0;
+      denied_fills += attempt.cached_only || attempt.source == attempt.endpoint ? 1 : 0;
       const bool fill = !attempt.cached_only && attempt.source != attempt.endpoint;
       if (fill) world.advance(510ms);
       world.end_attempt(attempt, fill ? AttemptResult::served : AttemptResult::cache_miss, 0,
@@ -751,7 +760,7 @@
     world.advance(100ms);
     world.end_cancelled_attempts();
   }
-  EXPECT_GE(held_back, 20U);
+  EXPECT_GE(denied_fills, 20U);
   EXPECT_EQ(from_origin, 0U);
 }
 
@@ -770,8 +779,8 @@
 }
 
 TEST(Fills, RecoverAlthoughSomeResponsesAreLost) {
-  // Found on days with lost answers after a slow origin: hits that were lost counted as failed fills, and
-  // fills stayed held back long after the origin had recovered.
+  // Guards against denying fills long after a slow origin has recovered: responses that are lost for hits and
+  // fills alike must not count as failed fills.
   Settings settings = default_settings();
   settings.hedging = false;
   World world(settings);
@@ -793,7 +802,7 @@
 }
 
 TEST(Fills, DeniedForASlowOriginStillUseParentCaches) {
-  // Found on days with a slow origin: objects that a parent held were refused with the others.
+  // Guards against rejecting objects that a parent has cached while fills are denied for a slow origin.
   World world;
   std::size_t held = 0;
   for (int i = 0; i < 120; ++i) {
@@ -820,7 +829,8 @@
 }
 
 TEST(Fills, AreFewerWhenLoadReportsShowAFullLink) {
-  // Found after a purge at full size: some locations' links were ten times over while others were half empty.
+  // Guards against overloaded links after a large invalidation: the demand on the links of some locations was
+  // ten times their capacity while other links were half empty.
   const auto fills_at = [](std::optional<double> utilization) {
     World world;
     const auto end = [&world, utilization](const Attempt& attempt, int) {
@@ -844,7 +854,8 @@
 }
 
 TEST(Fills, AttemptAtAParentNamesTheOriginAsSource) {
-  // Found on a day on which all caches of a location were cold or shut: the parent gave only what it held.
+  // Guards against misses while all caches of a location are warming up or ejected: a parent that receives
+  // the attempt itself serves only from its cache unless the attempt names another source.
   World world(default_settings(), {make_endpoint("parent-a", 1, 0), make_endpoint("origin", 2, 0)});
   const Attempt attempt = world.serve(1);
   EXPECT_EQ(attempt.endpoint, "parent-a");
@@ -852,7 +863,8 @@
 }
 
 TEST(Health, SlowCacheReceivesFewObjectsAndRecovers) {
-  // Found on days with ageing caches: with one request under way at a time no bound on them moves any away.
+  // Guards against a slow cache that keeps all its objects: with one request in flight at a time no
+  // concurrency limit moves any object away.
   World world;
   const auto at_slow = [&world](Time took) {
     int count = 0;
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Slow start over many routers: see slow_start_world.h. bench/slow_start_figures.cpp plays hundreds of seeds.
+// Slow start with many routers, simulated by slow_start_world.h. bench/slow_start_figures.cpp runs hundreds
+// of seeds.
 #include <gtest/gtest.h>
 
 #include "support/slow_start_world.h"
@@ -15,7 +16,7 @@
       const SlowStartResult result = SlowStartWorld(scenario).run();
       EXPECT_LE(result.cache_excess, 2) << routers << " routers, seed " << seed;
       EXPECT_LE(result.parent_excess, 2) << routers << " routers, seed " << seed;
-      EXPECT_GE(result.cache_used, 0.05) << "it is used, too";
+      EXPECT_GE(result.cache_used, 0.05) << "the cache must receive requests as well";
       EXPECT_GE(result.parent_used, 0.05);
     }
   }
@@ -31,8 +32,8 @@
 }
 
 TEST(SlowStart, RequestsWithoutASize) {
-  // Found on another customer's day: what is not told weighed nothing, and a cold cache fell over at 3.8
-  // times what it could give (2.5 allowed).
+  // Guards against an overload of a cache that is warming up: requests without a size counted as zero work,
+  // and the cache failed at 3.8 times its capacity (2.5 allowed).
   SlowStartScenario scenario;
   scenario.sizes_known = false;
   expect_within_limits(scenario, 2);
--- a/tests/routing/source_layout_test.cpp
+++ b/tests/routing/source_layout_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Bounds on the size of source files, over the whole tree.
+// Checks the limits on the length of the source files and of their lines, in src and include.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int kMaxNonBlankLines = 600;  // that are not blank
+constexpr int kMaxNonBlankLines = 600;
 constexpr std::size_t kMaxColumns = 110;
 
 void expect_file_within_limits(const std::filesystem::path& path) {
--- a/tests/support/crowded_world.h
+++ b/tests/support/crowded_world.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// A few routers in virtual time over the real module, with caches, parents and an origin that work on so
-/// many requests at once and let the others wait: who is is_answered when there is too much to do.
+/// Simulates a few real routers in virtual time, with caches, parents and an origin that have a limited
+/// number of slots and a queue. Shows which requests are answered under overload.
 #pragma once
 
 #include <algorithm>
@@ -22,16 +22,20 @@
 namespace edge_proxy::test {
 
 struct CrowdedScenario {
-  double load = 0.6;  ///< what is asked, over what the caches can send
-  double parent_capacity =
-      1;                     ///< seats of the parents from the fifth to the fifteenth second, over the usual
-  bool copies_lost = false;  ///< no cache or parent holds anything from the fifth second on
-  double large_object_kb = 3200;  ///< mean size in the class of large objects; pages have a sixth of it
+  /// Requested work, divided by what the caches can send.
+  double load = 0.6;
+  /// Slots of the parents from the fifth to the fifteenth second, as a multiple of the normal number.
+  double parent_capacity = 1;
+  /// Whether the initial copies of all caches and parents are lost at the fifth second.
+  bool copies_lost = false;
+  /// Mean size in the class of large objects; pages have a sixth of it.
+  double large_object_kb = 3200;
   std::uint64_t seed = 1;
   RoutingObserver observer{};
 };
 
-/// By class: the share of the requests that were answered, in time or late, and of the largest tenth.
+/// By class: the fraction of all requests that were answered, in time or late, and the same fraction of the
+/// tenth with the largest objects (of the largest quarter with less than 400 requests).
 struct CrowdedResult {
   std::vector<double> all, largest;
 };
@@ -99,7 +103,8 @@
     std::uint64_t object = 0;
     bool is_answered = false;
   };
-  /// What an attempt wants of one station after another; it ends when none is left, or is given up.
+  /// An attempt in progress: it takes a slot of one server after another, and ends after the last step or
+  /// when it is cancelled.
   struct Job {
     Attempt attempt;
     int number = 0;
@@ -152,7 +157,7 @@
     request.request_class = draw < 0.53 ? 0 : draw < 0.97 ? 1 : 2;
     request.write = request.request_class == 2;
     request.object = random_() % 4000;
-    constexpr double kSigma = 1.1;  // sizes vary widely, as the sites say
+    constexpr double kSigma = 1.1;  // of the log-normal distribution of sizes, which vary widely
     request.size_kb = mean_kb(request.request_class) *
                       std::exp(std::normal_distribution<double>(-kSigma * kSigma / 2, kSigma)(random_));
     request.expires = now_ + settings_.classes[static_cast<std::size_t>(request.request_class)].deadline;
@@ -242,7 +247,7 @@
     start_next(id);
   }
 
-  void end_attempt(JobPtr job, AttemptResult result) {  // a share of its own: what the table holds goes here
+  void end_attempt(JobPtr job, AttemptResult result) {  // by value: erasing it from jobs_ must not destroy it
     if (std::exchange(job->is_ended, true)) return;
     release_slot(job);
     jobs_.erase({job->attempt.request, job->number});
@@ -259,7 +264,7 @@
     outcome.result = result;
     outcome.duration = now_ - job->sent;
     outcome.request_finished = result == AttemptResult::served;
-    // Told as an event of its own: the module may be in the middle of another.
+    // Scheduled as a separate event, because the router may be handling another one.
     schedule(now_, [this, router = request.router, outcome] { handle(router, outcome); });
   }
 
--- a/tests/support/routing_world.h
+++ b/tests/support/routing_world.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// A router with a few members, fed by hand.
+/// Test harness: one router with three caches, two parents and an origin, whose events the test supplies.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,8 @@
 
 using namespace std::chrono_literals;
 
-/// Sees each event that a world hands to a router, with that router's number and the actions it gave.
+/// Called for each event that a simulated world passes to a router, with the number of the router and the
+/// actions that it returned.
 using RoutingObserver =
     std::function<void(int router, Time now, const Event& event, const std::vector<Action>& actions)>;
 
@@ -70,6 +71,7 @@
           make_endpoint("parent-a", 1, 0), make_endpoint("parent-b", 1, 1), make_endpoint("origin", 2, 0)};
 }
 
+/// A router in virtual time. Collects all actions that it returns.
 class World {
  public:
   explicit World(Settings settings = default_settings(), std::vector<Endpoint> list = default_endpoints(),
@@ -84,7 +86,7 @@
     return actions;
   }
 
-  /// Lets time pass in small steps, so that every timer is served.
+  /// Advances the time in steps of 2 ms and feeds a TimerFired at each, so that every timer runs.
   std::vector<Action> advance(Time span) {
     std::vector<Action> actions;
     for (const Time end = now + span; now < end;) {
@@ -118,7 +120,7 @@
     return handle(outcome);
   }
 
-  /// Ends all attempts that were called off, as the other side does in the end.
+  /// Feeds an Outcome for each cancelled attempt that has none yet.
   void end_cancelled_attempts() {
     for (; next_action_ < all_actions.size(); ++next_action_) {
       const auto* cancel = std::get_if<Cancel>(&all_actions[next_action_]);
@@ -129,7 +131,7 @@
     }
   }
 
-  /// Asks for an object and has the first attempt served; returns that attempt.
+  /// Requests an object, ends the first attempt as served, and returns that attempt.
   Attempt serve(std::uint64_t object, CacheStatus cache_status = CacheStatus::hit);
 
   [[nodiscard]] Router::Stats stats() const { return router_.stats(); }
@@ -143,6 +145,7 @@
   std::size_t next_action_ = 0;
 };
 
+/// Returns the actions of one type.
 template <typename ActionType>
 std::vector<ActionType> actions_of(const std::vector<Action>& actions) {
   std::vector<ActionType> found;
--- a/tests/support/slow_start_world.h
+++ b/tests/support/slow_start_world.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Many routers that decide alone, in virtual time over the real module, while a cache and a parent have just
-/// started: what their window_work sends there, held against what the settings allow.
+/// Simulates many real routers in virtual time, which decide independently, while a cache and a parent are
+/// warming up. Compares the work that all of them send there with the limit from the settings.
 #pragma once
 
 #include <algorithm>
@@ -20,14 +20,18 @@
 
 struct SlowStartScenario {
   int routers = 20;
-  double load = 1.1;  ///< what is asked, over what all caches can send
-  double update_spread_seconds =
-      0;  ///< seconds in which the routers are told of the start, one after another
-  double restarted_fraction =
-      0;  ///< share of the routers that are restarted in the middle, all at one moment
-  double large_object_kb = 3200;  ///< mean size in the heavy class; the light one has a sixth
+  /// Requested work, divided by what all caches can send.
+  double load = 1.1;
+  /// Seconds over which the routers learn of the new endpoints, one after another.
+  double update_spread_seconds = 0;
+  /// Fraction of the routers that restart in the middle of the warm-up, all at the same time.
+  double restarted_fraction = 0;
+  /// Mean size in the class of large objects; the other class has a sixth of it.
+  double large_object_kb = 3200;
+  /// Whether requests state their size.
   bool sizes_known = true;
-  /// Seconds until a connection to the cold cache is up: all that is decided meanwhile comes there at once.
+  /// Seconds until a router's connection to the new cache is up. Attempts that it sends before arrive
+  /// together at that time.
   double connect_seconds = 0;
   WeightMeaning weights = WeightMeaning::nominal;
   std::uint64_t seed = 1;
@@ -35,12 +39,13 @@
 };
 
 struct SlowStartResult {
-  /// The worst window: how many calls of mean work came beyond N, over root of N + 1. Chance is
-  /// given 2.
+  /// Excess over the limit in the worst overload window: (requests - N) / (sqrt(N) + 1), where N is the
+  /// number of requests of mean work that the limit allows. Up to 2 is accepted as random variation.
   double cache_excess = -1e9, parent_excess = -1e9;
-  /// Work sent to them over the whole start, over what the settings allow in all.
+  /// Work sent during the warm-up, divided by the work that the settings allow.
   double cache_used = 0, parent_used = 0;
-  double served_ratio = 0;  ///< share of the requests
+  /// Fraction of the requests that were served.
+  double served_ratio = 0;
 };
 
 class SlowStartWorld {
@@ -112,11 +117,11 @@
   struct RouterState {
     std::unique_ptr<Router> router;
     bool has_list_update = false;
-    int generation = 0;    ///< a restart makes void what was under way
-    Time connected_at{0};  ///< when its connection to the cold cache comes up; 0: it has none
-    std::map<std::string, RequestState> requests;  ///< by request
+    int generation = 0;    ///< incremented at a restart, which invalidates earlier events
+    Time connected_at{0};  ///< when its connection to the new cache is up; 0: it has none
+    std::map<std::string, RequestState> requests;  ///< by request id
   };
-  /// A member that starts cold, as the bench counts it.
+  /// An endpoint that is warming up, with the work that it received.
   struct WarmingEndpoint {
     double weight, overload_factor, initial_capacity, warm_up_seconds;
     double worst_excess = -1e9, total_work = 0, window_work = 0;
@@ -217,7 +222,7 @@
     request.id = "r" + std::to_string(++request_count_);
     request.request_class = std::uniform_real_distribution<double>(0, 1)(random_) < 0.55 ? 0 : 1;
     request.object = random_();
-    constexpr double kSigma = 1.1;  // sizes vary widely, as the sites say
+    constexpr double kSigma = 1.1;  // of the log-normal distribution of sizes, which vary widely
     request.size_kb = work_of(request.request_class) * 9100 *
                       std::exp(std::normal_distribution<double>(-kSigma * kSigma / 2, kSigma)(random_));
     const Time duration = 40ms + seconds_of(request.size_kb / 9100);
