--- a/tests/proxy/discovery_watch_test.cpp
+++ b/tests/proxy/discovery_watch_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The watch on the list and repeated attempts at rare moments, in virtual time.
+// Tests of the discovery stream and of retries when several events coincide, in virtual time.
 #include <gtest/gtest.h>
 
 #include "support/virtual_time_harness.h"
@@ -7,41 +7,42 @@
 namespace edge_proxy::test {
 namespace {
 
-std::string draining(int no, const std::string& id) {
+/// Returns a scenario line with an event that marks the member as draining.
+std::string drain_event(int no, const std::string& id) {
   return R"(bulletin send {"no":)" + std::to_string(no) +
          R"(,"roster":{"revision":2,"complete":false,"members":[)" + member_json(id, id + ":1", "leaving") +
          "]}}\n";
 }
 
-// ---- The watch ----
+// ---- The discovery stream ----
 
-TEST(Watch, ABulletinThatTakesHalfASecondToAnswerIsReadAllTheSame) {
-  // Guards against hanging up on it each time before it has spoken: the list would never come.
-  VirtualTimeHarness stage(std::vector<std::string>{});
-  run_scenario(stage, "anna send probe 1\nanna expect unready 1");
-  std::string told;
-  for (int waited = 0; waited < 4000 && stage.log().find("list no=1") == std::string::npos; waited += 50) {
-    told += stage.take_received("bulletin");
-    const std::size_t calls = told.size();
-    if (calls == 0) {
-      stage.wait(std::chrono::milliseconds(50));
+TEST(DiscoveryStream, ReadsFromAServiceThatRespondsAfterHalfASecond) {
+  // With a timeout shorter than the response time, the proxy would disconnect each time before the response
+  // and never get the list.
+  VirtualTimeHarness harness(std::vector<std::string>{});
+  run_scenario(harness, "anna send probe 1\nanna expect unready 1");
+  std::string unanswered_calls;
+  for (int waited = 0; waited < 4000 && harness.log().find("list no=1") == std::string::npos; waited += 50) {
+    unanswered_calls += harness.take_received("bulletin");
+    if (unanswered_calls.empty()) {
+      harness.wait(std::chrono::milliseconds(50));
       continue;
     }
-    stage.wait(std::chrono::milliseconds(500));
-    const std::string more = stage.take_received("bulletin");
-    told = more;  // it has hung up and called again: the answer to the first call comes to nothing
+    harness.wait(std::chrono::milliseconds(500));
+    const std::string more = harness.take_received("bulletin");
+    unanswered_calls = more;  // not empty if the proxy has reconnected: the first call is obsolete then
     if (!more.empty()) continue;
-    run_scenario(stage,
+    run_scenario(harness,
                  "bulletin send head\nbulletin send "
                  R"({"no":1,"roster":{"revision":1,"complete":true,"members":[)" +
                      member_json("box-1", "box-1:1") + "]}}\n");
   }
-  run_scenario(stage, "edge expect log list no=1 complete=1\nanna send probe 2\nanna expect ready 2");
+  run_scenario(harness, "edge expect log list no=1 complete=1\nanna send probe 2\nanna expect ready 2");
 }
 
-TEST(Watch, AnEventThatIsHalfReadWhenTheBulletinMovesIsAskedForAnew) {
-  VirtualTimeHarness stage;
-  run_scenario(stage, R"(
+TEST(DiscoveryStream, RequestsAPartlyReadEventAgainAfterAnAddressChange) {
+  VirtualTimeHarness harness;
+  run_scenario(harness, R"(
     bulletin expect get last=1
     bulletin send head
     bulletin send raw id: 2\ndata: {"no":2,"recall":{"lot":17,
@@ -56,26 +57,26 @@
   )");
 }
 
-TEST(Watch, OneThatBringsBytesAndNeverEndsALineIsAskedAnew) {
-  // Guards against taking it for alive: drains and purges wait in the bulletin.
-  VirtualTimeHarness stage;
-  run_scenario(stage, "bulletin expect get last=1\nbulletin send head\nbulletin send comment");
-  std::string asked;
+TEST(DiscoveryStream, ReconnectsIfNoLineIsCompleted) {
+  // Such a connection must not count as alive, since drains and invalidations may be waiting.
+  VirtualTimeHarness harness;
+  run_scenario(harness, "bulletin expect get last=1\nbulletin send head\nbulletin send comment");
+  std::string requests;
   int waited = 0;
-  for (; waited < 6000 && asked.find("Last-Event-ID: 1") == std::string::npos; waited += 100) {
-    stage.send("bulletin", ":");
-    stage.wait(std::chrono::milliseconds(100));
-    asked += stage.take_received("bulletin");
+  for (; waited < 6000 && requests.find("Last-Event-ID: 1") == std::string::npos; waited += 100) {
+    harness.send("bulletin", ":");
+    harness.wait(std::chrono::milliseconds(100));
+    requests += harness.take_received("bulletin");
   }
   EXPECT_LE(waited, 5300);
-  EXPECT_GE(waited, 4900) << "a long line may come in pieces";
-  EXPECT_NE(stage.log().find("closed kind=bulletin"), std::string::npos);
+  EXPECT_GE(waited, 4900) << "a long line may arrive in pieces";
+  EXPECT_NE(harness.log().find("closed kind=bulletin"), std::string::npos);
 }
 
-/// Two requests share a connection whose stream breaks; another one is up. Both are to be asked again 10 ms
-/// later, and 200 ms pass in which the program has no time.
-void stand_before_a_repeat(VirtualTimeHarness& stage) {
-  run_scenario(stage, R"(
+/// Two requests share a connection that fails because of a malformed response, while another connection is
+/// open. Both retries are due 10 ms later, but the event loop stalls for 200 ms.
+void stall_before_retries(VirtualTimeHarness& harness) {
+  run_scenario(harness, R"(
     bulletin expect get last=1
     bulletin send head
     anna send 1 pages
@@ -84,32 +85,32 @@
     box-1 expect serve 2
     box-1 send raw what is this
   )");
-  stage.stall_event_loop(std::chrono::milliseconds(200));
-  stage.deliver_unsplit();
+  harness.stall_event_loop(std::chrono::milliseconds(200));
+  harness.deliver_unsplit();
 }
 
-TEST(Watch, ADrainThatComesWithAnAttemptThatIsDueBindsIt) {
-  // Guards against what is due going before what has come.
-  VirtualTimeHarness stage;
-  stand_before_a_repeat(stage);
-  run_scenario(stage,
-               draining(2, "box-1") + "box-1 expect nothing\nanna expect refused 1\nbert expect refused 2");
+TEST(DiscoveryStream, AppliesADrainBeforeADueRetry) {
+  // An input that has arrived must be applied before expired timers.
+  VirtualTimeHarness harness;
+  stall_before_retries(harness);
+  run_scenario(harness, drain_event(2, "box-1") +
+                            "box-1 expect nothing\nanna expect refused 1\nbert expect refused 2");
 }
 
-TEST(Watch, AClientsEndThatComesWithAnAttemptThatIsDueBindsIt) {
-  VirtualTimeHarness stage;
-  stand_before_a_repeat(stage);
-  run_scenario(stage, "anna close\nwait 100\nbox-1 expect serve 2\nbox-1 expect nothing");
+TEST(DiscoveryStream, AppliesADisconnectBeforeADueRetry) {
+  VirtualTimeHarness harness;
+  stall_before_retries(harness);
+  run_scenario(harness, "anna close\nwait 100\nbox-1 expect serve 2\nbox-1 expect nothing");
 }
 
-TEST(Watch, WhatWaitsBehindARequestThatIsNotTakenIsRecheckedWhenItIsWritten) {
-  VirtualTimeHarness stage;
-  run_scenario(stage, R"(
+TEST(DiscoveryStream, ChecksQueuedRequestsAgainWhenTheyAreWritten) {
+  VirtualTimeHarness harness;
+  run_scenario(harness, R"(
     box-1 set delayed_connect
     anna send 1 video
     bert send 2 video
     carl send 3 video
-    # it comes up and reads nothing: one request is on its way, the others can still be taken back
+    # the connection is established, but the cache reads nothing: one request is written, two are queued
     box-1 set not_reading
     box-1 expect serve 1
     box-1 expect nothing
@@ -120,8 +121,8 @@
   )");
 }
 
-/// A request is on its way to a cache that has served one and reads nothing any more.
-constexpr const char* kStuck = R"(
+/// A request is being written to a cache that has served one request and has stopped reading.
+constexpr const char* kStalledWrite = R"(
     bulletin expect get last=1
     bulletin send head
     anna send 1 pages
@@ -133,103 +134,105 @@
     box-1 expect serve 2 from=up-1
 )";
 
-TEST(Watch, ADrainEndsTheConnectionOnWhichARequestIsStuck) {
-  // Guards the drain: the member reads again seconds later, and the request would begin then.
-  VirtualTimeHarness stage;
-  run_scenario(stage, kStuck);
-  run_scenario(stage,
-               draining(2, "box-1") + "edge expect log reason=stalled\nwait 20\nanna expect refused 2");
+TEST(DiscoveryStream, ADrainClosesAConnectionWithAStalledRequest) {
+  // If the member started to read again seconds later, it would start the request while draining.
+  VirtualTimeHarness harness;
+  run_scenario(harness, kStalledWrite);
+  run_scenario(harness,
+               drain_event(2, "box-1") + "edge expect log reason=stalled\nwait 20\nanna expect refused 2");
 }
 
-TEST(Watch, ADrainingSourceAndAPurgeEndItToo) {
-  for (const std::string& news :
-       {draining(2, "up-1"),
+TEST(DiscoveryStream, ADrainingSourceAndAnInvalidationCloseAConnectionWithAStalledRequest) {
+  for (const std::string& event :
+       {drain_event(2, "up-1"),
         std::string(R"(bulletin send {"no":2,"recall":{"lot":17,"issued":1}})") + "\n"}) {
-    VirtualTimeHarness stage;
-    run_scenario(stage, kStuck + news + "edge expect log reason=stalled");
+    VirtualTimeHarness harness;
+    run_scenario(harness, kStalledWrite + event + "edge expect log reason=stalled");
   }
 }
 
-/// The list says that this member has gone, or is another process now.
-std::string gone(const std::string& id) {
+/// These return scenario lines with events that report the member as removed or as another process.
+std::string removal_event(const std::string& id) {
   return R"(bulletin send {"no":2,"roster":{"revision":2,"complete":false,"members":[)" +
          member_json(id, id + ":1", "left") + "]}}\n";
 }
-std::string replaced(const std::string& id) {
+std::string replacement_event(const std::string& id) {
   return R"(bulletin send {"no":2,"roster":{"revision":2,"complete":false,"members":[)" +
          member_json(id, id + ":1", "active", 1764576000123) + "]}}\n";
 }
 
-TEST(Watch, AnAnswerThatCameWithTheNewsThatItsCacheIsGoneIsServed) {
-  // The list is read first. Guards the answer, which is not read yet then, and a keyed request against being
-  // taken for one that may have run and gave nothing.
-  for (const std::string& news : {gone("box-1"), replaced("box-1")}) {
-    SCOPED_TRACE(news);
-    VirtualTimeHarness stage;
-    run_scenario(stage, "bulletin send head\nanna send 1 order unique=k\nbox-1 expect serve 1");
-    stage.set_unread_bytes("box-1", "0000000000000001 HIT ver=a 1\r\nb\r\n");
-    run_scenario(stage, news + "anna expect served 1 body=b\nedge expect log closed kind=member");
-    EXPECT_EQ(stage.log().find("wrong request="), std::string::npos) << stage.log();
+TEST(DiscoveryStream, ServesAnUnreadAnswerOfARemovedCache) {
+  // The endpoint list is read before the answer, which is still unread when the cache is removed. The answer
+  // must not be lost, and the keyed request must not count as one that may have run without an answer.
+  for (const std::string& event : {removal_event("box-1"), replacement_event("box-1")}) {
+    SCOPED_TRACE(event);
+    VirtualTimeHarness harness;
+    run_scenario(harness, "bulletin send head\nanna send 1 order unique=k\nbox-1 expect serve 1");
+    harness.set_unread_bytes("box-1", "0000000000000001 HIT ver=a 1\r\nb\r\n");
+    run_scenario(harness, event + "anna expect served 1 body=b\nedge expect log closed kind=member");
+    EXPECT_EQ(harness.log().find("wrong request="), std::string::npos) << harness.log();
   }
 }
 
-TEST(Watch, WhatACacheThatIsGoneHasNotAnsweredWhollyMayHaveRun) {
-  // Guards the rules on drains and repeats: nothing new goes there, and what has not come by now is not
-  // waited for. What the connection still brings is no answer to the further attempt.
-  VirtualTimeHarness stage({"box-1", "box-2", "up-1", "main"});
-  run_scenario(stage, "bulletin send head\nanna send 1 pages\nwait 1");
-  const bool one = !stage.take_received("box-1").empty();
-  const std::string first = one ? "box-1" : "box-2", other = one ? "box-2" : "box-1";
-  stage.set_unread_bytes(first, "0000000000000001 HIT ver=a 4\r\nhal");
-  run_scenario(stage, gone(first) + "edge expect log reason=member_left requests=1\nwait 10\n" + other +
-                          " expect serve 1\n" + other + " send HIT 1 ver=a b\nanna expect served 1 body=b");
+TEST(DiscoveryStream, RetriesAfterAPartialAnswerOfARemovedCache) {
+  // The removed cache gets no new attempts, and the rest of its answer is not waited for. The bytes that its
+  // connection still delivers are not assigned to the next attempt.
+  VirtualTimeHarness harness({"box-1", "box-2", "up-1", "main"});
+  run_scenario(harness, "bulletin send head\nanna send 1 pages\nwait 1");
+  const bool is_box_1 = !harness.take_received("box-1").empty();
+  const std::string first = is_box_1 ? "box-1" : "box-2", other = is_box_1 ? "box-2" : "box-1";
+  harness.set_unread_bytes(first, "0000000000000001 HIT ver=a 4\r\nhal");
+  run_scenario(harness, removal_event(first) + "edge expect log reason=member_left requests=1\nwait 10\n" +
+                            other + " expect serve 1\n" + other +
+                            " send HIT 1 ver=a b\nanna expect served 1 body=b");
 }
 
-// ---- Repeats ----
+// ---- Retries ----
 
-/// An order that may have run at one cache; the other one's connections come up late.
-std::string repeat_waits(VirtualTimeHarness& stage, int fails_after) {
+/// A keyed request may have run at one cache, and its retry waits for a connection to the other one. Returns
+/// the name of the other cache.
+std::string wait_for_retry(VirtualTimeHarness& harness, int failure_after_ms) {
   run_scenario(
-      stage,
+      harness,
       "box-1 set delayed_connect\nbox-2 set delayed_connect\nanna send 1 order unique=k limit=3000\nwait 1");
-  // Whichever was chosen has a connection coming up; the one that is let up first is not the other.
-  run_scenario(stage, "box-1 set normal\nwait 1");
-  const bool one = stage.take_received("box-1").find("serve ") != std::string::npos;
-  const std::string first = one ? "box-1" : "box-2", other = one ? "box-2" : "box-1";
-  if (one) {
-    run_scenario(stage, "wait " + std::to_string(fails_after) + "\nbox-1 close reset\nwait 1");
+  // If box-1 was selected, it gets the request as soon as its connection is established.
+  run_scenario(harness, "box-1 set normal\nwait 1");
+  const bool is_box_1 = harness.take_received("box-1").find("serve ") != std::string::npos;
+  const std::string first = is_box_1 ? "box-1" : "box-2", other = is_box_1 ? "box-2" : "box-1";
+  if (is_box_1) {
+    run_scenario(harness, "wait " + std::to_string(failure_after_ms) + "\nbox-1 close reset\nwait 1");
   } else {
-    run_scenario(stage, "box-1 set delayed_connect\nbox-2 set normal\nwait 1\nbox-2 expect serve 1\nwait " +
-                            std::to_string(fails_after) + "\nbox-2 close reset\nwait 1");
+    run_scenario(harness, "box-1 set delayed_connect\nbox-2 set normal\nwait 1\nbox-2 expect serve 1\nwait " +
+                              std::to_string(failure_after_ms) + "\nbox-2 close reset\nwait 1");
   }
   return other;
 }
 
-TEST(Repeats, AKeyedRequestThatWaitsUntilAfterItsWindowIsNotWritten) {
-  VirtualTimeHarness stage({"box-1", "box-2", "up-1", "up-2", "main"});
-  const std::string other = repeat_waits(stage, 1900);  // the window is 2 s
-  run_scenario(stage, "wait 120\n" + other + " set normal\n" + other +
-                          " expect nothing\nwait 1\nanna expect refused 1");
+TEST(Retries, DoesNotWriteAKeyedRequestAfterItsWindow) {
+  VirtualTimeHarness harness({"box-1", "box-2", "up-1", "up-2", "main"});
+  const std::string other = wait_for_retry(harness, 1900);  // the window is 2 s
+  run_scenario(harness, "wait 120\n" + other + " set normal\n" + other +
+                            " expect nothing\nwait 1\nanna expect refused 1");
 }
 
-TEST(Repeats, AKeyedRequestIsRepeatedWithinItsWindow) {
-  VirtualTimeHarness stage({"box-1", "box-2", "up-1", "up-2", "main"});
-  const std::string other = repeat_waits(stage, 1900);
-  run_scenario(stage, "wait 60\n" + other + " set normal\n" + other + " expect serve 1 replay=k\n" + other +
-                          " send HIT 1 ver=a b\nanna expect served 1");
+TEST(Retries, RetriesAKeyedRequestWithinItsWindow) {
+  VirtualTimeHarness harness({"box-1", "box-2", "up-1", "up-2", "main"});
+  const std::string other = wait_for_retry(harness, 1900);
+  run_scenario(harness, "wait 60\n" + other + " set normal\n" + other + " expect serve 1 replay=k\n" + other +
+                            " send HIT 1 ver=a b\nanna expect served 1");
 }
 
-TEST(Repeats, ASecondAnswerIsNotTakenForThatOfTheNextAttempt) {
-  // Where requests go straight to the origin, the next attempt goes to the same member. Taken for its own,
-  // the second answer would let a third attempt out beside the second.
-  VirtualTimeHarness stage({"box-1", "up-1", "main"}, 192, [](std::string config) {
+TEST(Retries, ARepeatedAnswerIsNotAssignedToTheNextAttempt) {
+  // If requests go straight to the origin, the next attempt goes to the same member. If the second answer
+  // were assigned to that attempt, a third attempt would be sent while the second is outstanding.
+  VirtualTimeHarness harness({"box-1", "up-1", "main"}, 192, [](std::string config) {
     const std::string key = R"("straight":false)";
     return config.replace(config.find(key), key.size(), R"("straight":true)");
   });
-  run_scenario(stage, "anna send 1 order unique=k\nmain expect serve 1");
+  run_scenario(harness, "anna send 1 order unique=k\nmain expect serve 1");
   const std::string shed = "0000000000000001 SHED - 0\r\n\r\n";
-  stage.send("main", shed + shed);
-  run_scenario(stage,
+  harness.send("main", shed + shed);
+  run_scenario(harness,
                "main expect serve 1\nmain expect nothing\nmain send HIT 1 ver=a b\nanna expect served 1");
 }
 
