--- a/src/admission/fill_admission.cpp
+++ b/src/admission/fill_admission.cpp
@@ -25,10 +25,10 @@
 }  // namespace
 
 void FillAdmission::decay(Time now) {
-  const double kept = std::exp(-std::chrono::duration<double>(now - decayed_at_) / kDecayTime);
+  const double remaining_fraction = std::exp(-std::chrono::duration<double>(now - decayed_at_) / kDecayTime);
   for (double* count :
        {&in_time_, &rejected_, &timed_out_, &source_asked_, &denied_, &cached_, &cached_timed_out_}) {
-    *count *= kept;
+    *count *= remaining_fraction;
   }
   decayed_at_ = now;
 }
@@ -40,9 +40,9 @@
 
 /// Part of the fills wanted that is admitted: more than were in time, the less so the more failed.
 double FillAdmission::admitted_ratio(double max_ratio) const {
-  const double ended = in_time_ + failed_count();
-  const double excess = 1 + kMaxExcess * std::pow(in_time_ / std::max(ended, 1.0), kExcessExponent);
-  return std::min((excess * in_time_ + 1) / std::max(ended + denied_, 1.0), max_ratio);
+  const double ended_count = in_time_ + failed_count();
+  const double excess = 1 + kMaxExcess * std::pow(in_time_ / std::max(ended_count, 1.0), kExcessExponent);
+  return std::min((excess * in_time_ + 1) / std::max(ended_count + denied_, 1.0), max_ratio);
 }
 
 void FillAdmission::record_cost(double cost) {
@@ -56,17 +56,17 @@
 /// part of each.
 double FillAdmission::credit_for(double cost, double admitted_ratio) const {
   const std::size_t count = std::min(fills_requested_, recent_costs_.size());
-  const auto newest = recent_costs_.begin() + static_cast<std::ptrdiff_t>(count);
+  const auto recent_end = recent_costs_.begin() + static_cast<std::ptrdiff_t>(count);
   const double lowest_equal = (1 - kCostTolerance) * cost;
   const double highest_equal = (1 + kCostTolerance) * cost;
-  const auto cheaper = std::count_if(recent_costs_.begin(), newest,
-                                     [lowest_equal](double other) { return other < lowest_equal; });
-  const auto equal =
-      std::count_if(recent_costs_.begin(), newest, [lowest_equal, highest_equal](double other) {
+  const auto cheaper_count = std::count_if(recent_costs_.begin(), recent_end,
+                                           [lowest_equal](double other) { return other < lowest_equal; });
+  const auto equal_count =
+      std::count_if(recent_costs_.begin(), recent_end, [lowest_equal, highest_equal](double other) {
         return other >= lowest_equal && other <= highest_equal;
       });
-  const double capacity = admitted_ratio * static_cast<double>(count) - static_cast<double>(cheaper);
-  return std::clamp(capacity / static_cast<double>(equal), 0.0, 1.0);
+  const double capacity = admitted_ratio * static_cast<double>(count) - static_cast<double>(cheaper_count);
+  return std::clamp(capacity / static_cast<double>(equal_count), 0.0, 1.0);
 }
 
 bool FillAdmission::admit(Time now, double cost, double max_ratio) {
--- a/src/admission/quota_leases.cpp
+++ b/src/admission/quota_leases.cpp
@@ -45,7 +45,7 @@
   drop_rejoined_holders();
   participates_ = participates;
   if (!participates) on_forgotten();
-  update(now);
+  update_state(now);
 }
 
 /// Those of `before` that are missing or replaced may still use their leases, unless they shut down.
@@ -111,10 +111,10 @@
     if (ack.member_names_hash == member_names_hash_) counted_by_.insert(ack.from);
     if (ack.confirmed) renewed_at_[ack.from] = std::max(renewed_at_[ack.from], ack.ping_sent);
   }
-  update(now);
+  update_state(now);
 }
 
-void QuotaLeases::update(Time now) {
+void QuotaLeases::update_state(Time now) {
   schedule_fencing(now);
   drop_fenced(now);
   update_confirmation(now);
@@ -190,9 +190,9 @@
 
 /// An equal part of the reserve, whatever the number of members without a lease.
 QuotaLeases::QuotaShare QuotaLeases::reserve_share(std::size_t counted) const {
-  const std::size_t most_members = std::max(settings_.max_members, counted);
-  const double part = settings_.reserve_share / static_cast<double>(most_members);
-  return {part, part, false, Time::max()};
+  const std::size_t member_capacity = std::max(settings_.max_members, counted);
+  const double fraction = settings_.reserve_share / static_cast<double>(member_capacity);
+  return {fraction, fraction, false, Time::max()};
 }
 
 std::size_t QuotaLeases::unregistered_holders() const {
--- a/src/admission/quota_leases.h
+++ b/src/admission/quota_leases.h
@@ -126,7 +126,7 @@
   void drop_rejoined_holders();
   void drop_acks_of(const std::string& name);
 
-  void update(Time now);
+  void update_state(Time now);
   void schedule_fencing(Time now);
   [[nodiscard]] bool acknowledged_by_all(const UnfencedRecord& record) const;
   [[nodiscard]] std::size_t confirmed_acknowledgements(const UnfencedRecord& record) const;
--- a/src/event_loop/membership_sockets.cpp
+++ b/src/event_loop/membership_sockets.cpp
@@ -26,7 +26,7 @@
 constexpr std::uint64_t kNoReplyStream = 0;
 
 /// `host:port`.
-std::string text_of(GSocketAddress* address) {
+std::string format_address(GSocketAddress* address) {
   if (address == nullptr || !G_IS_INET_SOCKET_ADDRESS(address)) return "unknown";
   auto* inet = G_INET_SOCKET_ADDRESS(address);
   gchar* host = g_inet_address_to_string(g_inet_socket_address_get_address(inet));
@@ -68,18 +68,19 @@
 }
 
 void MembershipSockets::try_to_start() {
-  std::string why;
+  std::string error_message;
   std::optional<membership::Identity> identity;
-  if (store_.lock(why) && bind(why)) {
+  if (store_.lock(error_message) && bind(error_message)) {
     const membership::Settings& settings = config_.settings;
     identity = store_.open(
-        {settings.name, settings.address, 0, 0, settings.zone, membership::MemberStatus::alive, {}}, why);
+        {settings.name, settings.address, 0, 0, settings.zone, membership::MemberStatus::alive, {}},
+        error_message);
   }
   if (!identity) {
     datagram_socket_.reset();
     listener_.reset();
-    if (why != logged_wait_reason_) callbacks_.log("peers wait: " + why);
-    logged_wait_reason_ = why;
+    if (error_message != logged_start_error_) callbacks_.log("peers wait: " + error_message);
+    logged_start_error_ = error_message;
     return;
   }
   read_source_ = watch_socket<&MembershipSockets::read_datagrams>(datagram_socket_.get(), G_IO_IN, this);
@@ -87,12 +88,12 @@
   callbacks_.ready(std::move(*identity));
 }
 
-bool MembershipSockets::bind(std::string& why) {
+bool MembershipSockets::bind(std::string& error_message) {
   Error error;
   datagram_socket_ = open_socket(G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP, error);
   if (datagram_socket_) listener_ = open_socket(G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, error);
   if (datagram_socket_ && listener_ && g_socket_listen(listener_.get(), error.out_ptr())) return true;
-  why = "can't listen on " + config_.listen_address + ": " + error.text();
+  error_message = "can't listen on " + config_.listen_address + ": " + error.text();
   return false;
 }
 
@@ -127,7 +128,7 @@
     // Guards the clients against a flood: what comes beyond the bound costs no more than its reading.
     if (exceeds_datagram_rate(from.get())) continue;
     on_bytes({buffer.data(), static_cast<std::size_t>(size)}, config_.settings.max_datagram_bytes,
-             text_of(from.get()), kNoReplyStream);
+             format_address(from.get()), kNoReplyStream);
   }
 }
 
@@ -137,7 +138,7 @@
   if (second != std::exchange(rate_second_, second)) datagrams_in_second_ = 0;
   if (++datagrams_in_second_ <= config_.max_datagrams_per_s) return false;
   if (datagrams_in_second_ == config_.max_datagrams_per_s + 1)
-    callbacks_.log("peers flooded from=" + text_of(sender) + " more than " +
+    callbacks_.log("peers flooded from=" + format_address(sender) + " more than " +
                    std::to_string(config_.max_datagrams_per_s) + " a second");
   return true;
 }
@@ -178,7 +179,7 @@
     // Guards the descriptors that clients and caches need: a member beyond the bound tries again later.
     if (!has_stream_capacity()) continue;
     const ObjectPtr<GSocketAddress> peer(g_socket_get_remote_address(socket.get(), nullptr));
-    Stream& stream = add_stream(std::move(socket), text_of(peer.get()), StreamRole::responder);
+    Stream& stream = add_stream(std::move(socket), format_address(peer.get()), StreamRole::responder);
     watch(stream);
   }
 }
@@ -220,8 +221,8 @@
   stream->peer = std::move(peer);
   stream->role = role;
   // Guards the bound on streams against those that send nothing.
-  stream->timeout = call_every<[](Stream* late) {
-    late->sockets->close_stream(late->id);
+  stream->timeout = call_every<[](Stream* expired) {
+    expired->sockets->close_stream(expired->id);
     return SourceAction::remove;
   }>(kStreamTimeout, stream.get());
   Stream& added = *stream;
--- a/src/event_loop/membership_sockets.h
+++ b/src/event_loop/membership_sockets.h
@@ -54,7 +54,7 @@
 
   SourceAction retry_start();
   void try_to_start();
-  [[nodiscard]] bool bind(std::string& why);
+  [[nodiscard]] bool bind(std::string& error_message);
   [[nodiscard]] ObjectPtr<GSocket> open_socket(GSocketType type, GSocketProtocol protocol,
                                                Error& error) const;
   void read_datagrams();
@@ -80,7 +80,7 @@
   Source read_source_;
   Source accept_source_;
   Source start_retry_source_;
-  std::string logged_wait_reason_;  ///< why it can't start yet
+  std::string logged_start_error_;  ///< why it can't start yet
   std::map<std::uint64_t, std::unique_ptr<Stream>> streams_;
   std::uint64_t last_stream_id_ = 0;
   std::int64_t rate_second_ = 0;  ///< of the monotonic clock, in which datagrams are counted
--- a/src/event_loop/membership_store.cpp
+++ b/src/event_loop/membership_store.cpp
@@ -23,9 +23,9 @@
 
 std::string checksum_of(std::string_view bytes) {
   const XXH64_hash_t sum = XXH3_64bits(bytes.data(), bytes.size());
-  std::string out(kChecksumBytes, '\0');
-  std::memcpy(out.data(), &sum, kChecksumBytes);
-  return out;
+  std::string checksum(kChecksumBytes, '\0');
+  std::memcpy(checksum.data(), &sum, kChecksumBytes);
+  return checksum;
 }
 
 std::uint64_t new_disk_id() {
@@ -54,19 +54,19 @@
       path_(folder + "/peers-" + name),
       cluster_(std::move(cluster)),
       log_(std::move(log)),
-      file_(path_, [this](const char* why) { log_(std::string("peers keep failed: ") + why); }) {}
+      file_(path_, [this](const char* reason) { log_(std::string("peers keep failed: ") + reason); }) {}
 
-bool MembershipStore::lock(std::string& why) {
+bool MembershipStore::lock(std::string& error_message) {
   if (lock_.is_open()) return true;
   storage::FileDescriptor file(
       ::open((path_ + ".lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, storage::kFileMode));
   if (!file.is_open()) {
-    why = "can't open the folder: " + std::string(std::strerror(errno));
+    error_message = "can't open the folder: " + std::string(std::strerror(errno));
     return false;
   }
   // Guards against two processes that would be one member: the second waits until the first has gone.
   if (flock(file.get(), LOCK_EX | LOCK_NB) != 0) {
-    why = "another process uses the folder";
+    error_message = "another process uses the folder";
     return false;
   }
   lock_ = std::move(file);
@@ -76,13 +76,13 @@
 std::optional<membership::Message> MembershipStore::read() const {
   std::ifstream file(path_, std::ios::binary);
   if (!file) return std::nullopt;
-  const std::string all(std::istreambuf_iterator<char>(file), {});
-  if (all.empty()) return std::nullopt;
+  const std::string content(std::istreambuf_iterator<char>(file), {});
+  if (content.empty()) return std::nullopt;
   // Guards against a torn file and flipped bits: a file with a wrong checksum is not used at all.
-  if (all.size() > kChecksumBytes &&
-      checksum_of(std::string_view(all).substr(kChecksumBytes)) == all.substr(0, kChecksumBytes)) {
+  if (content.size() > kChecksumBytes &&
+      checksum_of(std::string_view(content).substr(kChecksumBytes)) == content.substr(0, kChecksumBytes)) {
     auto decoded =
-        membership::decode(std::string_view(all).substr(kChecksumBytes), cluster_, kMaxStoredBytes);
+        membership::decode(std::string_view(content).substr(kChecksumBytes), cluster_, kMaxStoredBytes);
     if (auto* message = std::get_if<membership::Message>(&decoded)) return std::move(*message);
   }
   log_("peers kept file unreadable: starts as another member under its name");
@@ -100,7 +100,7 @@
 }
 
 std::optional<membership::Identity> MembershipStore::open(const membership::MemberUpdate& self,
-                                                          std::string& why) {
+                                                          std::string& error_message) {
   membership::Identity identity;
   membership::MemberUpdate updated_self = self;
   if (auto stored = read()) {
@@ -115,19 +115,19 @@
   }
   updated_self.disk_id = identity.disk_id;
   updated_self.incarnation = identity.incarnation;
-  if (!write_durably(file_content(updated_self, identity.known_members), why)) return std::nullopt;
+  if (!write_durably(file_content(updated_self, identity.known_members), error_message)) return std::nullopt;
   return identity;
 }
 
-bool MembershipStore::write_durably(const std::string& bytes, std::string& why) const {
+bool MembershipStore::write_durably(const std::string& bytes, std::string& error_message) const {
   const std::string new_path = path_ + ".new";
   if (!write_and_sync(new_path, bytes)) {
-    why = std::strerror(errno);
+    error_message = std::strerror(errno);
     return false;
   }
   const storage::FileDescriptor folder(::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (std::rename(new_path.c_str(), path_.c_str()) != 0 || !folder.is_open() || fsync(folder.get()) != 0) {
-    why = std::strerror(errno);
+    error_message = std::strerror(errno);
     return false;
   }
   return true;
--- a/src/event_loop/membership_store.h
+++ b/src/event_loop/membership_store.h
@@ -26,12 +26,12 @@
   MembershipStore(const MembershipStore&) = delete;
   MembershipStore& operator=(const MembershipStore&) = delete;
 
-  /// Locks the folder for this process. False: another one has it, or it can't be opened (`why`).
-  bool lock(std::string& why);
-  /// The identity of this process, once its new incarnation is on the disk. None where that failed (`why`):
-  /// the process must not take part, since it could not refute statements on its earlier incarnations later
-  /// on.
-  std::optional<membership::Identity> open(const membership::MemberUpdate& self, std::string& why);
+  /// Locks the folder for this process. False: another one has it, or it can't be opened (`error_message`).
+  bool lock(std::string& error_message);
+  /// The identity of this process, once its new incarnation is on the disk. None where that failed
+  /// (`error_message`): the process must not take part, since it could not refute statements on its earlier
+  /// incarnations later on.
+  std::optional<membership::Identity> open(const membership::MemberUpdate& self, std::string& error_message);
   /// Writes in the background; the latest call counts.
   void persist(const membership::MemberUpdate& self, std::vector<membership::MemberUpdate> members);
 
@@ -39,7 +39,7 @@
   [[nodiscard]] std::string file_content(const membership::MemberUpdate& self,
                                          std::vector<membership::MemberUpdate> members) const;
   [[nodiscard]] std::optional<membership::Message> read() const;
-  [[nodiscard]] bool write_durably(const std::string& bytes, std::string& why) const;
+  [[nodiscard]] bool write_durably(const std::string& bytes, std::string& error_message) const;
 
   std::string folder_;
   std::string path_;
--- a/src/membership/broadcast_queue.h
+++ b/src/membership/broadcast_queue.h
@@ -33,18 +33,18 @@
   /// dropped.
   template <typename SizeOf>
   std::vector<MemberUpdate> take(std::size_t max_bytes, std::size_t max_transmits, SizeOf&& size_of) {
-    std::vector<MemberUpdate> taken;
+    std::vector<MemberUpdate> selected;
     std::vector<std::string> keys;
     for (const auto& [position, key] : by_position_) {
       const MemberUpdate& update = items_.at(key).update;
       const std::size_t size = size_of(update);
       if (size > max_bytes) break;
       max_bytes -= size;
-      taken.push_back(update);
+      selected.push_back(update);
       keys.push_back(key);
     }
     for (const std::string& key : keys) count_transmit(key, max_transmits);
-    return taken;
+    return selected;
   }
 
   [[nodiscard]] bool empty() const { return items_.empty(); }
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -27,14 +27,14 @@
   return address.empty() || is_valid_address(address);
 }
 
-void write(const MemberUpdate& update, pb::MemberUpdate& out) {
-  out.set_name(update.name);
-  out.set_address(update.address);
-  out.set_disk_id(update.disk_id);
-  out.set_incarnation(update.incarnation);
-  out.set_zone(static_cast<std::uint32_t>(update.zone));
-  out.set_status(static_cast<std::uint32_t>(update.status));
-  out.set_reported_by(update.reported_by);
+void write(const MemberUpdate& update, pb::MemberUpdate& encoded) {
+  encoded.set_name(update.name);
+  encoded.set_address(update.address);
+  encoded.set_disk_id(update.disk_id);
+  encoded.set_incarnation(update.incarnation);
+  encoded.set_zone(static_cast<std::uint32_t>(update.zone));
+  encoded.set_status(static_cast<std::uint32_t>(update.status));
+  encoded.set_reported_by(update.reported_by);
 }
 
 bool is_valid(const pb::MemberUpdate& update) {
@@ -42,14 +42,14 @@
          update.status() < kMemberStatusCount && is_empty_or_valid_name(update.reported_by());
 }
 
-MemberUpdate read(const pb::MemberUpdate& in) {
-  return {.name = in.name(),
-          .address = in.address(),
-          .disk_id = in.disk_id(),
-          .incarnation = in.incarnation(),
-          .zone = static_cast<int>(in.zone()),
-          .status = static_cast<MemberStatus>(in.status()),
-          .reported_by = in.reported_by()};
+MemberUpdate read(const pb::MemberUpdate& encoded) {
+  return {.name = encoded.name(),
+          .address = encoded.address(),
+          .disk_id = encoded.disk_id(),
+          .incarnation = encoded.incarnation(),
+          .zone = static_cast<int>(encoded.zone()),
+          .status = static_cast<MemberStatus>(encoded.status()),
+          .reported_by = encoded.reported_by()};
 }
 
 bool is_valid(const pb::Message& message) {
@@ -66,21 +66,21 @@
                      [](const pb::MemberUpdate& update) { return is_valid(update); });
 }
 
-Message read(const pb::Message& in) {
+Message read(const pb::Message& encoded) {
   Message message;
-  message.kind = static_cast<MessageKind>(in.kind());
-  message.sequence = in.sequence();
-  message.to = in.to();
-  message.from = read(in.from());
-  message.digest = in.digest();
-  message.target = in.target();
-  message.target_address = in.target_address();
-  message.counted_disk = in.counted_disk();
-  message.member_names_hash = in.member_names_hash();
-  message.confirmed = in.confirmed();
-  message.payload = in.user_payload();
-  message.updates.reserve(static_cast<std::size_t>(in.updates_size()));
-  for (const pb::MemberUpdate& update : in.updates()) message.updates.push_back(read(update));
+  message.kind = static_cast<MessageKind>(encoded.kind());
+  message.sequence = encoded.sequence();
+  message.to = encoded.to();
+  message.from = read(encoded.from());
+  message.digest = encoded.digest();
+  message.target = encoded.target();
+  message.target_address = encoded.target_address();
+  message.counted_disk = encoded.counted_disk();
+  message.member_names_hash = encoded.member_names_hash();
+  message.confirmed = encoded.confirmed();
+  message.payload = encoded.user_payload();
+  message.updates.reserve(static_cast<std::size_t>(encoded.updates_size()));
+  for (const pb::MemberUpdate& update : encoded.updates()) message.updates.push_back(read(update));
   return message;
 }
 
@@ -93,8 +93,8 @@
   return value;
 }
 
-bool take_char(std::string_view& text, char wanted) {
-  if (text.empty() || text.front() != wanted) return false;
+bool take_char(std::string_view& text, char expected) {
+  if (text.empty() || text.front() != expected) return false;
   text.remove_prefix(1);
   return true;
 }
@@ -138,23 +138,23 @@
 }
 
 std::string encode(const Message& message, const std::string& cluster) {
-  pb::Message out;
-  out.set_cluster(cluster);
-  out.set_kind(static_cast<std::uint32_t>(message.kind));
-  out.set_sequence(message.sequence);
-  out.set_to(message.to);
-  write(message.from, *out.mutable_from());
-  out.set_digest(message.digest);
-  out.set_target(message.target);
-  out.set_target_address(message.target_address);
-  for (const MemberUpdate& update : message.updates) write(update, *out.add_updates());
-  out.set_counted_disk(message.counted_disk);
-  out.set_member_names_hash(message.member_names_hash);
-  out.set_confirmed(message.confirmed);
-  out.set_user_payload(message.payload);
+  pb::Message encoded;
+  encoded.set_cluster(cluster);
+  encoded.set_kind(static_cast<std::uint32_t>(message.kind));
+  encoded.set_sequence(message.sequence);
+  encoded.set_to(message.to);
+  write(message.from, *encoded.mutable_from());
+  encoded.set_digest(message.digest);
+  encoded.set_target(message.target);
+  encoded.set_target_address(message.target_address);
+  for (const MemberUpdate& update : message.updates) write(update, *encoded.add_updates());
+  encoded.set_counted_disk(message.counted_disk);
+  encoded.set_member_names_hash(message.member_names_hash);
+  encoded.set_confirmed(message.confirmed);
+  encoded.set_user_payload(message.payload);
   pb::Envelope envelope;
   envelope.set_version(kProtocolVersion);
-  out.SerializeToString(envelope.mutable_payload());
+  encoded.SerializeToString(envelope.mutable_payload());
   envelope.set_checksum(checksum_of(envelope.payload()));
   return envelope.SerializeAsString();
 }
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 
 /// With a message from a member this recently, the way from it to here is open.
-constexpr Time kRecentlyHeard = 3s;
+constexpr Time kRecentMessageWindow = 3s;
 
 }  // namespace
 
@@ -26,8 +26,8 @@
       next_probe_(context.now) {}
 
 void FailureDetector::start() {
-  std::uniform_int_distribution<Time::rep> phase(0, context_.settings.probe_interval.count());
-  next_probe_ += Time{phase(context_.random)};
+  std::uniform_int_distribution<Time::rep> offset(0, context_.settings.probe_interval.count());
+  next_probe_ += Time{offset(context_.random)};
 }
 
 // ---- Messages ----
@@ -110,7 +110,7 @@
 }
 
 void FailureDetector::on_indirect_ack(Member& member) {
-  const bool is_heard = context_.now - member.last_heard < kRecentlyHeard;
+  const bool is_heard = context_.now - member.last_heard < kRecentMessageWindow;
   set_reachability(member, is_heard ? Reachability::one_way : Reachability::indirect);
   health_.recover();
 }
--- a/src/membership/messenger.cpp
+++ b/src/membership/messenger.cpp
@@ -27,15 +27,15 @@
 /// The receiver's own status goes first, in every message: only the receiver can refute it, and a later start
 /// leaves it less time to do so.
 void Messenger::send_to(const std::string& address, const std::string& to, Message message) {
-  std::size_t room = room_in(message);
+  std::size_t remaining = remaining_bytes(message);
   const Member* receiver = context_.view.find(to);
   if (receiver != nullptr && context_.settings.lifeguard && receiver->update.status != MemberStatus::alive &&
-      encoded_size(receiver->update) <= room) {
+      encoded_size(receiver->update) <= remaining) {
     message.updates.push_back(receiver->update);
-    room -= encoded_size(receiver->update);
+    remaining -= encoded_size(receiver->update);
   }
   if (!broadcasts_.empty()) {
-    for (MemberUpdate& update : broadcasts_.take(room, max_transmits(), encoded_size)) {
+    for (MemberUpdate& update : broadcasts_.take(remaining, max_transmits(), encoded_size)) {
       message.updates.push_back(std::move(update));
     }
   }
@@ -43,16 +43,16 @@
 }
 
 /// Bytes that are left for further updates.
-std::size_t Messenger::room_in(const Message& message) const {
+std::size_t Messenger::remaining_bytes(const Message& message) const {
   const std::size_t max_bytes = context_.settings.max_datagram_bytes;
-  std::size_t room = max_bytes - std::min(max_bytes, header_size(message, context_.settings.cluster));
-  for (const MemberUpdate& update : message.updates) room -= std::min(room, encoded_size(update));
-  return room;
+  std::size_t remaining = max_bytes - std::min(max_bytes, header_size(message, context_.settings.cluster));
+  for (const MemberUpdate& update : message.updates) remaining -= std::min(remaining, encoded_size(update));
+  return remaining;
 }
 
 std::size_t Messenger::max_transmits() const {
-  const auto members = static_cast<double>(context_.view.registered());
-  const double transmits = std::ceil(context_.settings.retransmit_factor * std::log10(members + 1));
+  const auto member_count = static_cast<double>(context_.view.registered());
+  const double transmits = std::ceil(context_.settings.retransmit_factor * std::log10(member_count + 1));
   return std::max(static_cast<std::size_t>(transmits), kMinTransmits);
 }
 
--- a/src/membership/messenger.h
+++ b/src/membership/messenger.h
@@ -41,7 +41,7 @@
 
  private:
   void send_to(const std::string& address, const std::string& to, Message message);
-  [[nodiscard]] std::size_t room_in(const Message& message) const;
+  [[nodiscard]] std::size_t remaining_bytes(const Message& message) const;
   [[nodiscard]] std::size_t max_transmits() const;
 
   Context& context_;
--- a/src/membership/probe_order.cpp
+++ b/src/membership/probe_order.cpp
@@ -5,6 +5,12 @@
 #include <utility>
 
 namespace edge_proxy::membership {
+namespace {
+
+constexpr std::size_t kDrawsPerMember = 4;
+constexpr std::size_t kExtraDraws = 8;
+
+}  // namespace
 
 void ProbeOrder::start(std::vector<std::string> names) {
   order_ = std::move(names);
@@ -42,7 +48,7 @@
 std::vector<std::string> ProbeOrder::random_members(std::size_t count, const std::string& excluded) {
   std::vector<std::string> drawn;
   // The order holds nearly all reachable members: the cost of a draw does not grow with their number.
-  const std::size_t max_draws = 4 * count + 8;
+  const std::size_t max_draws = kDrawsPerMember * count + kExtraDraws;
   for (std::size_t draw = 0; draw < max_draws && drawn.size() < count && !order_.empty(); ++draw) {
     const std::string& name = order_[context_.random() % order_.size()];
     const Member* member = context_.view.find(name);
--- a/src/membership/quota_adapter.cpp
+++ b/src/membership/quota_adapter.cpp
@@ -73,13 +73,13 @@
 }
 
 std::uint64_t QuotaAdapter::add_announcements(Message& ping) const {
-  std::size_t room = context_.settings.max_datagram_bytes / 2;
+  std::size_t remaining = context_.settings.max_datagram_bytes / 2;
   for (const std::string& name : leases_.announced_names()) {
     const Member* member = context_.view.find(name);
     if (member == nullptr) continue;
     const std::size_t size = encoded_size(member->update);
-    if (size > room) return 0;
-    room -= size;
+    if (size > remaining) return 0;
+    remaining -= size;
     ping.updates.push_back(member->update);
   }
   return leases_.announced_version();
@@ -87,11 +87,11 @@
 
 void QuotaAdapter::fill_ack(Message& ack, const MemberUpdate& ping_sender) {
   refresh();
-  const Member* known = context_.view.find(ping_sender.name);
+  const Member* member = context_.view.find(ping_sender.name);
   // Only the process that is the member here is counted: neither another one of its name nor one that was
   // forgotten.
-  if (known != nullptr && known->update.disk_id == ping_sender.disk_id &&
-      known->update.incarnation == ping_sender.incarnation) {
+  if (member != nullptr && member->update.disk_id == ping_sender.disk_id &&
+      member->update.incarnation == ping_sender.incarnation) {
     ack.counted_disk = leases_.counted_disk_of(ping_sender.name);
   }
   ack.member_names_hash = leases_.member_names_hash();
@@ -108,20 +108,20 @@
 }
 
 std::vector<MemberUpdate> QuotaAdapter::persistent_state() const {
-  std::vector<MemberUpdate> all = context_.view.updates();
+  std::vector<MemberUpdate> state = context_.view.updates();
   for (const QuotaLeases::UnfencedHolder& holder : leases_.unfenced_holders()) {
     const Member* member = context_.view.find(holder.name);
     const bool is_in_table = member != nullptr && member->update.status == MemberStatus::forgotten &&
                              member->update.disk_id == holder.identity.disk;
     if (is_in_table) continue;
-    all.push_back({.name = holder.name,
-                   .address = context_.settings.address,  // unused, but has to be valid
-                   .disk_id = holder.identity.disk,
-                   .incarnation = kHolderIncarnation,
-                   .zone = holder.identity.zone,
-                   .status = MemberStatus::forgotten});
+    state.push_back({.name = holder.name,
+                     .address = context_.settings.address,  // unused, but has to be valid
+                     .disk_id = holder.identity.disk,
+                     .incarnation = kHolderIncarnation,
+                     .zone = holder.identity.zone,
+                     .status = MemberStatus::forgotten});
   }
-  return all;
+  return state;
 }
 
 bool QuotaAdapter::is_holder_only(const MemberUpdate& stored) {
--- a/src/membership/reducer.cpp
+++ b/src/membership/reducer.cpp
@@ -79,7 +79,7 @@
   const Time gap = due < now ? now - due : Time{0};
   context_.now = std::max(context_.now, now);
   if (settings().lifeguard && gap > kStallThreshold) on_loop_stall(gap);
-  std::visit([this](const auto& alternative) { on(alternative); }, input);
+  std::visit([this](const auto& alternative) { on_input(alternative); }, input);
   if (!context_.has_left) run_timers();
   quota_.refresh();
   if (quota_.take_unfenced_changed()) context_.effects.emplace_back(PersistState{});
@@ -88,7 +88,7 @@
 
 // ---- Inputs ----
 
-void State::on(const MessageReceived& input) {
+void State::on_input(const MessageReceived& input) {
   const Message& message = input.message;
   if (!accepts(message)) return;
   const std::string& name = message.from.name;
@@ -157,7 +157,7 @@
   context_.effects.emplace_back(UserMessageReceived{message.from.name, message.payload});
 }
 
-void State::on(const MessageRejected& input) {
+void State::on_input(const MessageRejected& input) {
   const std::uint64_t count = ++context_.counters.decode_errors[static_cast<std::size_t>(input.reason)];
   // Guards the log against a flood of them: the counts are among the metrics.
   if (context_.now - decode_error_logged_at_ < kDecodeErrorLogInterval) return;
@@ -166,7 +166,7 @@
                " count=" + std::to_string(count));
 }
 
-void State::on(const ShutdownRequested&) {
+void State::on_input(const ShutdownRequested&) {
   if (context_.has_left) return;
   if (context_.is_participating()) {
     MemberUpdate update = self();
@@ -182,7 +182,7 @@
   context_.effects.emplace_back(PersistState{});
 }
 
-void State::on(const ForgetMember& input) {
+void State::on_input(const ForgetMember& input) {
   const Member* member = context_.view.find(input.name);
   if (member == nullptr || member->update.status != MemberStatus::dead) return;
   MemberUpdate update = member->update;
@@ -191,7 +191,7 @@
   merge(update, "an operator's word");
 }
 
-void State::on(const SendUserMessage& input) {
+void State::on_input(const SendUserMessage& input) {
   const Member* member = context_.view.find(input.to);
   if (member == nullptr || !is_registered(member->update.status) || !context_.is_participating()) return;
   Message message = messenger_.make_message(MessageKind::user_message, input.to, 0);
--- a/src/membership/reducer.h
+++ b/src/membership/reducer.h
@@ -64,12 +64,12 @@
   [[nodiscard]] std::size_t entries() const;
 
  private:
-  void on(const MessageReceived& input);
-  void on(const MessageRejected& input);
-  void on(const TimerExpired&) {}
-  void on(const ShutdownRequested&);
-  void on(const ForgetMember& input);
-  void on(const SendUserMessage& input);
+  void on_input(const MessageReceived& input);
+  void on_input(const MessageRejected& input);
+  void on_input(const TimerExpired&) {}
+  void on_input(const ShutdownRequested&);
+  void on_input(const ForgetMember& input);
+  void on_input(const SendUserMessage& input);
 
   void restore_members(const std::vector<MemberUpdate>& stored);
   bool accepts(const Message& message);
--- a/src/membership/report.cpp
+++ b/src/membership/report.cpp
@@ -20,76 +20,76 @@
 
 // ---- JSON ----
 
-void write(Writer& out, const char* key, std::string_view value) {
-  out.Key(key);
-  out.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+void write(Writer& writer, const char* key, std::string_view value) {
+  writer.Key(key);
+  writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
 }
-void write(Writer& out, const char* key, std::uint64_t value) {
-  out.Key(key);
-  out.Uint64(value);
+void write(Writer& writer, const char* key, std::uint64_t value) {
+  writer.Key(key);
+  writer.Uint64(value);
 }
-void write_flag(Writer& out, const char* key, bool value) {
-  out.Key(key);
-  out.Bool(value);
+void write_flag(Writer& writer, const char* key, bool value) {
+  writer.Key(key);
+  writer.Bool(value);
 }
-void write_fraction(Writer& out, const char* key, double value) {
-  out.Key(key);
-  out.Double(value);
+void write_fraction(Writer& writer, const char* key, double value) {
+  writer.Key(key);
+  writer.Double(value);
 }
 
-void write_suspicion(Writer& out, const Member& member) {
+void write_suspicion(Writer& writer, const Member& member) {
   if (member.update.status == MemberStatus::suspect) {
-    out.Key("suspected_by");
-    out.StartArray();
-    for (const std::string& reporter : member.suspected_by) out.String(reporter.c_str());
-    out.EndArray();
+    writer.Key("suspected_by");
+    writer.StartArray();
+    for (const std::string& reporter : member.suspected_by) writer.String(reporter.c_str());
+    writer.EndArray();
   } else if (!member.update.reported_by.empty()) {
-    write(out, "by", member.update.reported_by);
+    write(writer, "by", member.update.reported_by);
   }
 }
 
-void write_member(Writer& out, const Member& member, bool is_self, Time now) {
+void write_member(Writer& writer, const Member& member, bool is_self, Time now) {
   const MemberUpdate& update = member.update;
-  out.StartObject();
-  write(out, "name", update.name);
-  write(out, "state", name_of(update.status));
-  write(out, "since_ms", static_cast<std::uint64_t>((now - member.status_since).count() / 1000));
-  write(out, "incarnation", update.incarnation);
-  write(out, "disk", std::to_string(update.disk_id));
-  write(out, "address", update.address);
-  write(out, "zone", static_cast<std::uint64_t>(update.zone));
+  writer.StartObject();
+  write(writer, "name", update.name);
+  write(writer, "state", name_of(update.status));
+  write(writer, "since_ms", static_cast<std::uint64_t>((now - member.status_since).count() / 1000));
+  write(writer, "incarnation", update.incarnation);
+  write(writer, "disk", std::to_string(update.disk_id));
+  write(writer, "address", update.address);
+  write(writer, "zone", static_cast<std::uint64_t>(update.zone));
   if (is_self) {
-    write_flag(out, "self", true);
+    write_flag(writer, "self", true);
   } else {
-    write(out, "way", name_of(member.reachability));
-    if (member.last_heard > Time{0}) write(out, "heard_ms", milliseconds_between(member.last_heard, now));
+    write(writer, "way", name_of(member.reachability));
+    if (member.last_heard > Time{0}) write(writer, "heard_ms", milliseconds_between(member.last_heard, now));
   }
-  write_suspicion(out, member);
-  out.EndObject();
+  write_suspicion(writer, member);
+  writer.EndObject();
 }
 
-void write_members(Writer& out, const State& state, Time now) {
+void write_members(Writer& writer, const State& state, Time now) {
   std::vector<const Member*> members;
   for (const auto& [name, member] : state.view().members()) members.push_back(&member);
   std::sort(members.begin(), members.end(),
             [](const Member* left, const Member* right) { return left->update.name < right->update.name; });
-  out.Key("members");
-  out.StartArray();
+  writer.Key("members");
+  writer.StartArray();
   for (const Member* member : members) {
-    write_member(out, *member, member->update.name == state.settings().name, now);
+    write_member(writer, *member, member->update.name == state.settings().name, now);
   }
-  out.EndArray();
+  writer.EndArray();
 }
 
-void write_quota(Writer& out, const admission::QuotaLeases& quota, Time now) {
+void write_quota(Writer& writer, const admission::QuotaLeases& quota, Time now) {
   const admission::QuotaLeases::QuotaShare share = quota.share(now);
-  out.Key("share");
-  out.StartObject();
-  write_flag(out, "held", share.has_lease);
-  write_fraction(out, "of_all", share.of_cluster);
-  write_fraction(out, "of_zone", share.of_zone);
-  write(out, "ghosts", quota.unfenced_count());
-  out.EndObject();
+  writer.Key("share");
+  writer.StartObject();
+  write_flag(writer, "held", share.has_lease);
+  write_fraction(writer, "of_all", share.of_cluster);
+  write_fraction(writer, "of_zone", share.of_zone);
+  write(writer, "ghosts", quota.unfenced_count());
+  writer.EndObject();
 }
 
 // ---- Metrics ----
@@ -131,22 +131,22 @@
 
 std::string report(const State& state, Time now) {
   rapidjson::StringBuffer text;
-  Writer out(text);
+  Writer writer(text);
   const View& view = state.view();
   const auto [differing, differing_since] = state.members_with_other_view();
-  out.StartObject();
-  write(out, "name", state.settings().name);
-  write(out, "cluster", state.settings().cluster);
-  write(out, "stands", name_of(view.partition_status()));
-  write(out, "registered", view.registered());
-  write(out, "reached", view.reachable());
-  write(out, "doubt", static_cast<std::uint64_t>(state.local_health()));
-  write(out, "digest", std::to_string(view.digest()));
-  write(out, "differing", differing);
-  write_quota(out, state.quota(), now);
-  if (differing > 0) write(out, "differing_ms", milliseconds_between(differing_since, now));
-  write_members(out, state, now);
-  out.EndObject();
+  writer.StartObject();
+  write(writer, "name", state.settings().name);
+  write(writer, "cluster", state.settings().cluster);
+  write(writer, "stands", name_of(view.partition_status()));
+  write(writer, "registered", view.registered());
+  write(writer, "reached", view.reachable());
+  write(writer, "doubt", static_cast<std::uint64_t>(state.local_health()));
+  write(writer, "digest", std::to_string(view.digest()));
+  write(writer, "differing", differing);
+  write_quota(writer, state.quota(), now);
+  if (differing > 0) write(writer, "differing_ms", milliseconds_between(differing_since, now));
+  write_members(writer, state, now);
+  writer.EndObject();
   return std::string(text.GetString(), text.GetSize()) + "\n";
 }
 
--- a/src/membership/state_sync.cpp
+++ b/src/membership/state_sync.cpp
@@ -27,15 +27,15 @@
     : context_(context), messenger_(messenger), probe_order_(probe_order), next_full_sync_(context.now) {}
 
 void StateSync::start() {
-  std::uniform_real_distribution<> phase(kMinFirstSyncDelay, 1);
-  next_full_sync_ += scaled(context_.settings.full_sync_interval, phase(context_.random));
+  std::uniform_real_distribution<> interval_part(kMinFirstSyncDelay, 1);
+  next_full_sync_ += scaled(context_.settings.full_sync_interval, interval_part(context_.random));
 }
 
 void StateSync::run_timers() {
   if (next_full_sync_ > context_.now) return;
-  const auto members = static_cast<double>(context_.view.registered());
-  const double stretch = std::max(1.0, members / kFullSyncBaseMembers);
-  next_full_sync_ = context_.now + scaled(context_.settings.full_sync_interval, stretch);
+  const auto member_count = static_cast<double>(context_.view.registered());
+  const double interval_factor = std::max(1.0, member_count / kFullSyncBaseMembers);
+  next_full_sync_ = context_.now + scaled(context_.settings.full_sync_interval, interval_factor);
   for (const std::string& name : probe_order_.random_members(1)) full_sync_with(name);
 }
 
@@ -60,8 +60,8 @@
     return;
   }
   const Time since = differs_since_.try_emplace(sender, context_.now).first->second;
-  const auto members = static_cast<int>(context_.view.registered());
-  const Time repair_interval = kMinRepairInterval + kRepairIntervalPerMember * members;
+  const auto member_count = static_cast<int>(context_.view.registered());
+  const Time repair_interval = kMinRepairInterval + kRepairIntervalPerMember * member_count;
   if (context_.now - since < kDifferenceTolerance || context_.now - last_full_sync_ < repair_interval ||
       !context_.is_participating()) {
     return;
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -71,10 +71,10 @@
 }
 
 std::vector<MemberUpdate> View::updates() const {
-  std::vector<MemberUpdate> all;
-  all.reserve(members_.size());
-  for (const auto& [name, member] : members_) all.push_back(member.update);
-  return all;
+  std::vector<MemberUpdate> all_updates;
+  all_updates.reserve(members_.size());
+  for (const auto& [name, member] : members_) all_updates.push_back(member.update);
+  return all_updates;
 }
 
 bool View::has_no_room_for(const std::string& name) const {
