--- a/src/admission/fill_admission.cpp
+++ b/src/admission/fill_admission.cpp
@@ -10,16 +10,17 @@
 
 using namespace std::chrono_literals;
 
-// Further fills admitted for each that was in time, if none failed.
+// Fills admitted in addition to each fill that was in time, if none failed.
 constexpr double kMaxExcess = 2;
-// Power of the share of fills in time by which that excess falls.
+// The excess decreases with this power of the fraction of fills that were in time.
 constexpr double kExcessExponent = 8;
-// Time constant of the counts: requests have latency objectives of about this length.
+// Time constant of the decay of the counts, about as long as the latency objectives of requests.
 constexpr FillAdmission::Time kDecayTime = 1s;
-// Costs that differ by less count as equal. Guards fills of one kind against queueing behind their own past:
-// the expected value, and with it the cost of all, drifts while fills are held back.
+// Costs that differ by a smaller fraction count as equal. While fills are denied, the expected value drifts
+// and with it the cost of all fills; without a tolerance, new fills of a kind would rank behind earlier ones
+// of the same kind.
 constexpr double kCostTolerance = 0.1;
-// Admissions that are saved up at most.
+// Maximum number of unused admissions that are kept for later.
 constexpr double kMaxCredit = 2;
 
 }  // namespace
@@ -33,12 +34,13 @@
   decayed_at_ = now;
 }
 
-/// Fills that failed. Timeouts as often as attempts without a fill meet them are not blamed on the fills.
+/// Number of failed fills. Timeouts are subtracted at the rate at which attempts without a fill time out.
 double FillAdmission::failed_count() const {
   return rejected_ + std::max(0.0, timed_out_ - source_asked_ * cached_timed_out_ / std::max(cached_, 1.0));
 }
 
-/// Part of the fills wanted that is admitted: more than were in time, the less so the more failed.
+/// Fraction of the requested fills to admit: more fills than were in time, but fewer extra ones the more
+/// failed.
 double FillAdmission::admitted_ratio(double max_ratio) const {
   const double ended_count = in_time_ + failed_count();
   const double excess = 1 + kMaxExcess * std::pow(in_time_ / std::max(ended_count, 1.0), kExcessExponent);
@@ -50,10 +52,10 @@
   ++fills_requested_;
 }
 
-/// Part of a fill that its cost earns among the newest ones wanted. What is scarce is time on links and at
-/// the origin: of fills admitted at random a few large ones take most of it, and the small ones beside them
-/// are late as well. So those admitted are the cheapest of the newest wanted, and of equally cheap ones a
-/// part of each.
+/// The credit, 0 to 1, that a fill earns by its cost relative to the newest requested fills. Time on links
+/// and at the origin is scarce: if fills were admitted at random, a few large ones would use most of it and
+/// delay the small ones as well. So the cheapest of the newest fills get full credit, and equally cheap ones
+/// get a fraction each.
 double FillAdmission::credit_for(double cost, double admitted_ratio) const {
   const std::size_t count = std::min(fills_requested_, recent_costs_.size());
   const auto recent_end = recent_costs_.begin() + static_cast<std::ptrdiff_t>(count);
--- a/src/admission/fill_admission.h
+++ b/src/admission/fill_admission.h
@@ -9,34 +9,35 @@
 
 namespace edge_proxy::admission {
 
-/// Guards against overload of what all fills share (the location's link, the parents, the origin). Where
-/// there are hundreds of routers, the requests in flight of one do not show that overload. Of the fills
-/// wanted, only somewhat more are admitted than were in time lately, the cheapest first. Covers a slow
-/// origin, an invalidation of many groups, a full link and lost parents. Drawback: some fills are held back
-/// where few are wanted.
+/// Prevents overload of the resources that all fills share: the location's link, the parents and the origin.
+/// With hundreds of routers, the requests in flight of a single router do not show this overload. Only
+/// somewhat more fills are admitted than recently completed in time, the cheapest first. This covers a slow
+/// origin, an invalidation of many groups, a saturated link and lost parents. Drawback: some fills are denied
+/// even if only few are requested.
 ///
 /// All counts decay exponentially, with a time constant of about a second.
 class FillAdmission {
  public:
   using Time = std::chrono::microseconds;
 
-  /// Whether a fill may go out. `cost`: time that it takes of the shared resource, divided by its value, in
-  /// any unit that is the same for all; above 0. `max_ratio`: upper bound on the part of the fills that is
-  /// admitted, 0 to 1.
+  /// Whether a fill may be requested. `cost` is the time for which the fill occupies the shared resource,
+  /// divided by its value, in any unit common to all fills; it must be greater than 0. `max_ratio` is the
+  /// upper bound on the fraction of fills that are admitted, 0 to 1.
   bool admit(Time now, double cost, double max_ratio);
 
-  /// Lets the counts decay up to `now`. Call it before the records of an attempt that ends at `now`.
+  /// Decays the counts to `now`. It must be called before the results of an attempt that ends at `now` are
+  /// recorded.
   void decay(Time now);
 
-  // Attempts with a fill from this source.
+  // Results of attempts with a fill from this source.
   void record_source_asked() { source_asked_ += 1; }  ///< an attempt has ended
   void record_in_time() { in_time_ += 1; }            ///< the fill was in time
   void record_rejected() { rejected_ += 1; }          ///< the fill was late, rejected or failed
   void record_timeout() { timed_out_ += 1; }          ///< no response within the latency objective
-  void record_hit();                                  ///< it was admitted and took nothing of the source
+  void record_hit();                                  ///< an admitted fill did not use the source
 
-  // Attempts without a fill from this source.
-  void record_denied() { denied_ += 1; }                    ///< a miss for which no fill was asked
+  // Results of attempts without a fill from this source.
+  void record_denied() { denied_ += 1; }                    ///< a cache miss for which no fill was requested
   void record_cached() { cached_ += 1; }                    ///< an attempt has ended
   void record_cached_timeout() { cached_timed_out_ += 1; }  ///< no response within the latency objective
 
@@ -57,9 +58,9 @@
   double cached_ = 0;
   double cached_timed_out_ = 0;
 
-  double credit_ = 1;  // fills that may go out
+  double credit_ = 1;  // number of fills that may be requested
   Time decayed_at_{0};
-  std::array<double, kRecentCosts> recent_costs_{};  // of the newest fills wanted, a ring
+  std::array<double, kRecentCosts> recent_costs_{};  // ring buffer of the newest costs
   std::size_t fills_requested_ = 0;
 };
 
--- a/src/admission/quota_leases.cpp
+++ b/src/admission/quota_leases.cpp
@@ -9,10 +9,11 @@
 namespace edge_proxy::admission {
 namespace {
 
-/// The holder ends its lease this much earlier, so that requests admitted under it have been sent by its end.
+/// A holder stops using its lease this long before its end, so that requests admitted under the lease have
+/// been sent by then.
 constexpr std::chrono::milliseconds kLeaseMargin{500};
 
-/// Spreads the sum of names' hashes over all bits: 2^64 divided by the golden ratio.
+/// 2^64 divided by the golden ratio: spreads the sum of the name hashes over all bits.
 constexpr std::uint64_t kHashMultiplier = 0x9e3779b97f4a7c15U;
 
 std::uint64_t hash_of(const std::string& name) { return fnv1a(name) * kHashMultiplier; }
@@ -48,7 +49,7 @@
   update_state(now);
 }
 
-/// Those of `before` that are missing or replaced may still use their leases, unless they shut down.
+/// Members of `before` that are now missing or replaced may still use their leases, unless they shut down.
 void QuotaLeases::track_departed(const MemberTable& before, const std::set<std::string>& shut_down) {
   for (const auto& [name, identity] : before) {
     const auto current = members_.find(name);
@@ -67,8 +68,9 @@
 void QuotaLeases::track_unfenced(UnfencedHolder holder) {
   const auto is_same = [&holder](const UnfencedRecord& record) { return record.holder == holder; };
   if (std::any_of(unfenced_.begin(), unfenced_.end(), is_same)) return;
-  // Guards the memory against a name whose disk is replaced again and again while a member is missing. Who
-  // has acknowledged the newest holder renews none of the earlier ones either, so all are fenced with it.
+  // Only the newest replaced holder of a name is kept, so that memory stays bounded if a disk is replaced
+  // again and again while a member is missing. A member that has acknowledged the newest holder does not
+  // renew the earlier ones either, so all of them are fenced together.
   if (holder.replaced) {
     std::erase_if(unfenced_, [&holder](const UnfencedRecord& record) {
       return record.holder.replaced && record.holder.name == holder.name;
@@ -77,7 +79,7 @@
   unfenced_.push_back({std::move(holder), ++announced_version_, {}, {}, Time{0}});
 }
 
-/// A forgotten member that runs has learned that, and stopped using its share, before it joins anew.
+/// A forgotten member that still runs learns of it and stops using its share before it rejoins.
 void QuotaLeases::drop_rejoined_holders() {
   std::erase_if(unfenced_, [this](const UnfencedRecord& record) {
     if (record.holder.replaced) return false;
@@ -120,20 +122,21 @@
   update_confirmation(now);
 }
 
-/// Sets the time at which a holder is fenced once enough members have acknowledged that they no longer renew
+/// Sets the time at which a holder is fenced, once enough members have acknowledged that they no longer renew
 /// its lease.
 void QuotaLeases::schedule_fencing(Time now) {
   for (UnfencedRecord& record : unfenced_) {
     if (record.fenced_at > Time{0} || !acknowledged_by_all(record)) continue;
-    // Guards against a minority that forgets the majority, which goes on renewing its own leases.
+    // A minority that forgets the majority must not fence it, since the majority continues to renew its own
+    // leases.
     if (confirmed_acknowledgements(record) * 2 < counted_members()) continue;
     record.fenced_at = now + lease_expiry_bound(settings_.lease, settings_.max_clock_drift);
   }
 }
 
 bool QuotaLeases::acknowledged_by_all(const UnfencedRecord& record) const {
-  // Only this member and the one that has the holder's name need not acknowledge. The comparison of sizes
-  // spares the search below at each ack in a large cluster with many holders.
+  // Only this member and the one that has the holder's name do not have to acknowledge. Comparing the sizes
+  // first avoids the search below for each ack in a large cluster with many holders.
   if (record.acknowledged_by.size() + 2 < members_.size()) return false;
   return std::all_of(members_.begin(), members_.end(), [&](const auto& member) {
     return member.first == settings_.name || member.first == record.holder.name ||
@@ -141,7 +144,7 @@
   });
 }
 
-/// Confirmed members that acknowledged the holder, this one included; those since unregistered left out.
+/// Number of registered confirmed members that acknowledged the holder, including this one.
 std::size_t QuotaLeases::confirmed_acknowledgements(const UnfencedRecord& record) const {
   std::size_t count = confirmed_ ? 1 : 0;
   for (const std::string& name : record.acknowledged_by_confirmed) count += members_.count(name);
@@ -156,13 +159,14 @@
 
 void QuotaLeases::update_confirmation(Time now) {
   if (confirmed_ || !participates_ || now < confirmed_not_before_) return;
-  // All others: those in `counted_by_` are registered, and this member is not among them.
+  // `counted_by_` contains only registered members other than this one, so comparing the sizes is sufficient.
   const bool counted_by_all = counted_by_.size() + 1 == members_.size() && members_.contains(settings_.name);
-  // Guards against halves of a new cluster that never met: each would take the whole budget for its own.
+  // Requires a majority of the expected size: otherwise two halves of a new cluster that have not met would
+  // each use the whole budget.
   confirmed_ = counted_by_all && members_.size() * 2 > settings_.expected_members;
 }
 
-// ---- The share ----
+// ---- Share of the budget ----
 
 QuotaLeases::QuotaShare QuotaLeases::share(Time now) const {
   const std::size_t counted = std::max<std::size_t>(1, counted_members());
@@ -176,8 +180,8 @@
           (1 - settings_.reserve_share) / static_cast<double>(in_zone), true, expires_at};
 }
 
-/// When fewer than a majority of `counted`, itself included, have renewed the lease recently enough. 0: they
-/// never did. The maximum: it needs no other member.
+/// When the lease ends unless a majority of `counted`, including this member, renews it. 0: a majority has
+/// never renewed it. Time::max(): no other member is needed.
 QuotaLeases::Time QuotaLeases::lease_end(std::size_t counted) const {
   const std::size_t others_needed = counted / 2;
   if (others_needed == 0) return Time::max();
@@ -188,7 +192,7 @@
   return renewals[others_needed - 1] + settings_.lease - kLeaseMargin;
 }
 
-/// An equal part of the reserve, whatever the number of members without a lease.
+/// An equal fraction of the reserve, regardless of how many members have no lease.
 QuotaLeases::QuotaShare QuotaLeases::reserve_share(std::size_t counted) const {
   const std::size_t member_capacity = std::max(settings_.max_members, counted);
   const double fraction = settings_.reserve_share / static_cast<double>(member_capacity);
@@ -210,11 +214,11 @@
   return count;
 }
 
-// ---- What other members and the next process are given ----
+// ---- Data for other members and for the next process ----
 
 std::uint64_t QuotaLeases::counted_disk_of(const std::string& name) const {
   const auto found = members_.find(name);
-  // The new disk of a name is counted only once the holder before it is fenced.
+  // The new disk of a name is counted only after the previous holder is fenced.
   if (found == members_.end() || is_replaced_holder_unfenced(name)) return 0;
   return found->second.disk;
 }
--- a/src/membership/broadcast_queue.h
+++ b/src/membership/broadcast_queue.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Updates that are still to be broadcast by gossip: each a bounded number of times, the least often sent
+/// Updates that wait to be sent by gossip. Each is sent a bounded number of times; the least often sent go
 /// first.
 #pragma once
 
@@ -17,8 +17,8 @@
 
 class BroadcastQueue {
  public:
-  /// Replaces an earlier update of the same member. Suspicions of a member by different reporters are kept
-  /// side by side: each of them may confirm the others.
+  /// Replaces an earlier update of the same member. Suspicions of a member by different reporters are all
+  /// kept, since each may confirm the others.
   void enqueue(const MemberUpdate& update) {
     const bool is_suspicion = update.status == MemberStatus::suspect;
     const std::string key = is_suspicion ? suspicion_prefix(update.name) + update.reported_by : update.name;
@@ -29,8 +29,8 @@
     items_.emplace(key, Item{update, position});
   }
 
-  /// Updates that fit into `max_bytes` by `size_of`. Each is returned `max_transmits` times in all, then
-  /// dropped.
+  /// Returns updates whose sizes by `size_of` add up to at most `max_bytes`. Each update is returned
+  /// `max_transmits` times in total, then dropped.
   template <typename SizeOf>
   std::vector<MemberUpdate> take(std::size_t max_bytes, std::size_t max_transmits, SizeOf&& size_of) {
     std::vector<MemberUpdate> selected;
@@ -51,14 +51,14 @@
   [[nodiscard]] std::size_t size() const { return items_.size(); }
 
  private:
-  /// Fewest transmits first, then the earliest enqueued.
+  /// Number of transmits, then the order of enqueueing.
   using QueuePosition = std::pair<std::size_t, std::uint64_t>;
   struct Item {
     MemberUpdate update;
     QueuePosition position;
   };
 
-  /// Names hold no line breaks, so this is no prefix of another member's key.
+  /// Names contain no line breaks, so this is not a prefix of another member's key.
   static std::string suspicion_prefix(const std::string& name) { return name + '\n'; }
 
   void count_transmit(const std::string& key, std::size_t max_transmits) {
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::uint32_t kProtocolVersion = 1;
 constexpr std::uint32_t kMaxZones = 4096;
-/// Upper bound of the tags, lengths and numbers of one update.
+/// Upper bound on the tags, lengths and numeric fields of one encoded update.
 constexpr std::size_t kUpdateOverheadBytes = 72;
 constexpr int kMaxOctet = 255;
 constexpr int kMaxPort = 65535;
@@ -84,7 +84,7 @@
   return message;
 }
 
-/// Takes a number of 0 to `max` off the front of `text`.
+/// Removes a number from 0 to `max` from the front of `text` and returns it.
 std::optional<int> take_number(std::string_view& text, int max) {
   int value = -1;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -164,10 +164,10 @@
   if (bytes.size() > max_bytes) return DecodeError::oversized;
   pb::Envelope envelope;
   if (!envelope.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return DecodeError::malformed;
-  // The version first: guards against reading another version's fields by this one's meaning.
+  // The version is checked first, since other versions may define the fields differently.
   if (envelope.version() == 0) return DecodeError::malformed;
   if (envelope.version() != kProtocolVersion) return DecodeError::wrong_version;
-  // Guards the list of members against names made up by flipped bits.
+  // Without the checksum, flipped bits could add members that do not exist.
   if (checksum_of(envelope.payload()) != envelope.checksum()) return DecodeError::checksum_mismatch;
   pb::Message message;
   if (!message.ParseFromString(envelope.payload())) return DecodeError::malformed;
--- a/src/membership/context.h
+++ b/src/membership/context.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What all parts of the reducer share: settings, member table, time of the current input, random numbers,
-/// counters, and the effects so far.
+/// State that all parts of the reducer share: settings, member table, time of the current input, random
+/// number generator, counters, and the effects of the current input.
 #pragma once
 
 #include <array>
@@ -20,8 +20,8 @@
 /// Counts since the start.
 struct Counters {
   std::array<std::uint64_t, kDecodeErrorCount> decode_errors{};
-  std::uint64_t wrong_recipient = 0;  ///< messages for another member, whose address this one has now
-  std::uint64_t table_full = 0;       ///< updates of new names while the table was full
+  std::uint64_t wrong_recipient = 0;  ///< messages to another member that had this address before
+  std::uint64_t table_full = 0;       ///< messages and updates with a new name while the table was full
   std::uint64_t pings = 0;
   std::uint64_t unanswered_pings = 0;
   std::uint64_t suspected = 0;
@@ -38,11 +38,11 @@
         now(start),
         started_at(start) {}
 
-  /// What this member says about itself. The table holds it from the start.
+  /// The update of this member about itself. The table contains it from the start.
   [[nodiscard]] const MemberUpdate& self() const { return view.find(settings.name)->update; }
   /// False after a graceful shutdown and while the name is disputed.
   [[nodiscard]] bool is_participating() const { return !has_left && self().status == MemberStatus::alive; }
-  /// log10 of the number of registered members, 1 at the least.
+  /// log10 of the number of registered members, at least 1.
   [[nodiscard]] double log_cluster_size() const;
   void log(std::string line) { effects.emplace_back(LogLine{std::move(line)}); }
 
@@ -50,7 +50,7 @@
   View view;
   Counters counters;
   std::mt19937_64 random;
-  Time now;  ///< of the current input; never goes back
+  Time now;  ///< time of the current input; never decreases
   const Time started_at;
   bool has_left = false;
   std::vector<Effect> effects;
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-/// With a message from a member this recently, the way from it to here is open.
+/// If a message from a member arrived within this time, its datagrams reach this proxy.
 constexpr Time kRecentMessageWindow = 3s;
 
 }  // namespace
@@ -104,7 +104,7 @@
     return false;
   }
   ++context_.counters.unanswered_pings;
-  // The members that were asked send at least a nack: where even those are missing, the fault is here.
+  // The asked members send at least a nack. Missing nacks point to a fault of this member.
   health_.degrade(std::max(1, ended.expected_nacks));
   return true;
 }
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// SWIM's failure detector: pings one member at each interval, asks others to ping it when it does not
-/// answer, and reports the ones that nobody reaches. Lifeguard's local health slows it down.
+/// SWIM's failure detector. It pings one member at each interval, asks other members to ping a member that
+/// does not answer, and reports the members that none of them reaches. A bad local health score (Lifeguard)
+/// slows it down.
 #pragma once
 
 #include <cstddef>
@@ -23,7 +24,8 @@
   FailureDetector(Context& context, Messenger& messenger, ProbeOrder& probe_order, LocalHealth& health,
                   QuotaAdapter& quota);
 
-  /// Sets the first probe at a random time within an interval, so that members don't probe in step.
+  /// Schedules the first probe at a random time within one interval, so that members do not probe in
+  /// lockstep.
   void start();
   void on_ping(const Message& ping);
   void on_ack(const Message& ack);
@@ -33,12 +35,13 @@
   /// `on_unreachable(name)` is called for each target that nobody reached.
   template <typename OnUnreachable>
   void check_probes(OnUnreachable&& on_unreachable);
-  /// Probes the next member if it is time to.
+  /// Probes the next member if a probe is due.
   void probe_if_due();
 
-  /// Forgets the pending probes without a verdict.
+  /// Drops the pending probes without reporting their targets.
   void clear() { probes_.clear(); }
-  /// The same after the event loop stalled: the answers may have arrived meanwhile.
+  /// Drops the pending probes after the event loop stalled, since their answers may be waiting unread, and
+  /// postpones the next probe by one interval.
   void on_stall();
 
   [[nodiscard]] Time next_due() const;
@@ -53,8 +56,8 @@
     Time sent_at{0};
     Time direct_deadline{0};
     Time expires_at{0};
-    int expected_nacks = 0;               // members that were asked and have not answered
-    bool acked_indirectly = false;        // one of them got an ack
+    int expected_nacks = 0;               // asked members that have not answered yet
+    bool acked_indirectly = false;        // an asked member relayed an ack
     std::uint64_t announced_version = 0;  // see QuotaAdapter::add_announcements()
   };
 
--- a/src/membership/gossip.cpp
+++ b/src/membership/gossip.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kShutdownFanout = 16;
-/// Guards what is sent only once, at the shutdown, against one lost datagram.
+/// The process stops after the announcement, so each datagram is sent twice in case one is lost.
 constexpr int kShutdownTransmits = 2;
 
 }  // namespace
@@ -19,7 +19,7 @@
   ping_suspects();
 }
 
-/// A member whose name is disputed goes on sending that.
+/// A member whose name is disputed continues to gossip, so that others learn of the dispute.
 void Gossip::send_updates() {
   if (!context_.is_participating() && context_.self().status != MemberStatus::disputed) return;
   const auto fanout = static_cast<std::size_t>(context_.settings.gossip_fanout);
@@ -29,10 +29,10 @@
   }
 }
 
-/// Pings the suspects that are next to count as dead once half of their time is over. Guards them against a
-/// refutation that missed this member: updates are sent a bounded number of times, so that now and then one
-/// reaches all members but one, which would declare the death alone. Only members that still hold the
-/// suspicion ping.
+/// Pings the suspects with the earliest deadlines once half of their time has passed. Updates are sent a
+/// bounded number of times, so a refutation occasionally reaches all members but one, which would then
+/// declare the suspect dead on its own. The answer to the ping carries the refutation. Only members that
+/// still hold the suspicion send these pings.
 void Gossip::ping_suspects() {
   if (!context_.settings.lifeguard || !context_.is_participating()) return;
   const auto fanout = static_cast<std::size_t>(context_.settings.gossip_fanout);
--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Periodic dissemination: gossip messages while updates are pending, and pings to suspects so that they can
-/// refute.
+/// Periodic dissemination: sends gossip messages while updates are pending, and pings suspects so that they
+/// can refute.
 #pragma once
 
 #include "membership/context.h"
@@ -20,12 +20,12 @@
         suspicions_(suspicions),
         next_gossip_(context.now) {}
 
-  /// Sends pending updates and pings suspects if it is time to.
+  /// Sends pending updates and pings suspects if a gossip interval has passed.
   void run_timers();
-  /// Sends that this member shuts down, before it stops.
+  /// Sends the update that this member has left to random members, before the process stops.
   void announce_shutdown(const MemberUpdate& update);
 
-  /// The maximum where nothing is pending.
+  /// Time::max() if nothing is pending.
   [[nodiscard]] Time next_due() const { return has_work() ? next_gossip_ : Time::max(); }
 
  private:
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -18,9 +18,9 @@
   /// Lowers the score by one point.
   void recover() { adjust(-1); }
 
-  /// 0, healthy, to Settings::max_health_score.
+  /// From 0 (healthy) to Settings::max_health_score.
   [[nodiscard]] int score() const { return score_; }
-  /// By how much probes and their timeouts are slowed down.
+  /// Factor by which probe intervals and timeouts are extended.
   [[nodiscard]] int probe_slowdown() const { return score_ + 1; }
 
  private:
--- a/src/membership/messenger.cpp
+++ b/src/membership/messenger.cpp
@@ -24,8 +24,8 @@
   return message;
 }
 
-/// The receiver's own status goes first, in every message: only the receiver can refute it, and a later start
-/// leaves it less time to do so.
+/// If the receiver is not known as alive, every message to it carries its status first: only the receiver can
+/// refute the status, and a later notice leaves it less time to do so.
 void Messenger::send_to(const std::string& address, const std::string& to, Message message) {
   std::size_t remaining = remaining_bytes(message);
   const Member* receiver = context_.view.find(to);
@@ -42,7 +42,7 @@
   send_plain(address, std::move(message));
 }
 
-/// Bytes that are left for further updates.
+/// Number of bytes that are left for further updates.
 std::size_t Messenger::remaining_bytes(const Message& message) const {
   const std::size_t max_bytes = context_.settings.max_datagram_bytes;
   std::size_t remaining = max_bytes - std::min(max_bytes, header_size(message, context_.settings.cluster));
--- a/src/membership/messenger.h
+++ b/src/membership/messenger.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Builds and sends this member's messages, and piggybacks pending updates on its datagrams.
+/// Builds and sends this member's messages. Pending updates are piggybacked on its datagrams.
 #pragma once
 
 #include <cstdint>
@@ -19,23 +19,23 @@
   std::uint64_t next_sequence() { return ++last_sequence_; }
   [[nodiscard]] Message make_message(MessageKind kind, const std::string& to, std::uint64_t sequence) const;
 
-  /// Sends a datagram to a member, with as many pending updates as fit.
+  /// Sends a datagram with as many pending updates as fit to a member.
   void send(const std::string& to, Message message) { send_to(address_of(to), to, std::move(message)); }
-  /// Answers a message at the sender's own address: it may differ from the one in the table.
+  /// Replies to the address in the sender's message, which may differ from the address in the table.
   void reply(const MemberUpdate& sender, Message message) {
     send_to(resolved_address(sender.address), sender.name, std::move(message));
   }
-  /// Sends a datagram as it is, without pending updates.
+  /// Sends a datagram without pending updates.
   void send_plain(const std::string& address, Message message);
   /// Sends a message over a stream of its own.
   void send_over_stream(const std::string& address, Message message);
 
-  /// Where to send what is meant for `address`: see Settings::address_overrides.
+  /// The address to send to for an announced address: see Settings::address_overrides.
   [[nodiscard]] const std::string& resolved_address(const std::string& address) const;
-  /// Where to send what is meant for that member; empty if it is unknown.
+  /// The address to send to for that member; empty if the member is unknown.
   [[nodiscard]] std::string address_of(const std::string& name) const;
 
-  /// The updates that are still to be sent.
+  /// The updates that wait to be sent.
   [[nodiscard]] BroadcastQueue& broadcasts() { return broadcasts_; }
   [[nodiscard]] const BroadcastQueue& broadcasts() const { return broadcasts_; }
 
--- a/src/membership/ping_relay.cpp
+++ b/src/membership/ping_relay.cpp
@@ -10,9 +10,9 @@
 namespace edge_proxy::membership {
 namespace {
 
-/// Guards this member's work against one that sends requests without end.
+/// Bounds the work that a member can cause by sending requests without end.
 constexpr std::size_t kMaxRelayedPings = 64;
-/// Part of the probe timeout after which a nack is sent.
+/// Fraction of the probe timeout after which a nack is sent.
 constexpr double kNackDelayFactor = 0.8;
 /// A relayed ping is dropped after this many probe timeouts.
 constexpr int kExpiryTimeouts = 4;
--- a/src/membership/ping_relay.h
+++ b/src/membership/ping_relay.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Pings that this member sends on request of another one (SWIM's indirect probes).
+/// Pings that this member sends at the request of another member (SWIM's indirect probes).
 #pragma once
 
 #include <cstddef>
@@ -19,13 +19,13 @@
 
   /// Pings the target of the request.
   void on_ping_req(const Message& request);
-  /// Passes an ack on to the requester. False if it does not answer a relayed ping.
+  /// Relays an ack to the requester. False if the ack does not answer a relayed ping.
   bool on_ack(const Message& ack);
   /// Sends nacks for targets that have not answered so far, and drops expired requests.
   void run_timers();
   void clear() { pings_.clear(); }
 
-  /// The maximum where nothing is pending.
+  /// Time::max() if nothing is pending.
   [[nodiscard]] Time next_due() const;
   [[nodiscard]] std::size_t size() const { return pings_.size(); }
 
--- a/src/membership/probe_order.cpp
+++ b/src/membership/probe_order.cpp
@@ -33,7 +33,7 @@
 }
 
 std::optional<std::string> ProbeOrder::next() {
-  // The rest of this round and all of the next one.
+  // Covers the rest of this round and all of the next one.
   const std::size_t max_steps = order_.size() + context_.view.reachable() + 1;
   for (std::size_t step = 0; step < max_steps; ++step) {
     if (next_index_ >= order_.size()) start_round();
@@ -47,7 +47,7 @@
 
 std::vector<std::string> ProbeOrder::random_members(std::size_t count, const std::string& excluded) {
   std::vector<std::string> drawn;
-  // The order holds nearly all reachable members: the cost of a draw does not grow with their number.
+  // The order contains nearly all reachable members, so the cost of a draw does not grow with their number.
   const std::size_t max_draws = kDrawsPerMember * count + kExtraDraws;
   for (std::size_t draw = 0; draw < max_draws && drawn.size() < count && !order_.empty(); ++draw) {
     const std::string& name = order_[context_.random() % order_.size()];
--- a/src/membership/probe_order.h
+++ b/src/membership/probe_order.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The round-robin order in which members are probed, shuffled anew for each round; random members are drawn
-/// from it as well.
+/// The round-robin order in which members are probed, shuffled for each round. Random members are drawn from
+/// it as well.
 #pragma once
 
 #include <cstddef>
@@ -17,13 +17,13 @@
  public:
   explicit ProbeOrder(Context& context) : context_(context) {}
 
-  /// Begins with these members, in random order.
+  /// Starts the first round with these members, in random order.
   void start(std::vector<std::string> names);
-  /// Adds a member that has become reachable at a random place of the current round.
+  /// Inserts a member that has become reachable at a random position of the current round.
   void insert(const std::string& name);
-  /// The next reachable member; none if there is no other.
+  /// The next reachable member, or std::nullopt if no other member is reachable.
   std::optional<std::string> next();
-  /// Up to `count` reachable members drawn at random, without this one and `excluded`.
+  /// Draws up to `count` distinct reachable members at random, excluding this member and `excluded`.
   std::vector<std::string> random_members(std::size_t count, const std::string& excluded = {});
 
   [[nodiscard]] std::size_t size() const { return order_.size(); }
@@ -32,7 +32,7 @@
   void start_round();
 
   Context& context_;
-  std::vector<std::string> order_;  // may hold members that are no longer reachable until the round ends
+  std::vector<std::string> order_;  // may contain unreachable members until the round ends
   std::size_t next_index_ = 0;
 };
 
--- a/src/membership/quota_adapter.cpp
+++ b/src/membership/quota_adapter.cpp
@@ -15,10 +15,11 @@
 
 constexpr double kMaxClockDrift = 0.01;
 constexpr double kReserveShare = 0.1;
-/// Of the stored update that stands for an unfenced holder alone: older than all updates of that name.
+/// Incarnation of a stored update that only records an unfenced holder. It is lower than that of all other
+/// updates of the name.
 constexpr std::uint64_t kHolderIncarnation = 0;
 
-/// Stored members that were forgotten or replaced may not have stopped by the time of a start.
+/// Stored members that were forgotten or replaced may still be running when this process starts.
 std::vector<QuotaLeases::UnfencedHolder> unfenced_holders_of(const std::vector<MemberUpdate>& stored) {
   std::map<std::string, std::uint64_t> registered_disks;
   for (const MemberUpdate& update : stored) {
@@ -88,8 +89,8 @@
 void QuotaAdapter::fill_ack(Message& ack, const MemberUpdate& ping_sender) {
   refresh();
   const Member* member = context_.view.find(ping_sender.name);
-  // Only the process that is the member here is counted: neither another one of its name nor one that was
-  // forgotten.
+  // Only the process that the table contains is counted, not another process of the same name or a forgotten
+  // one.
   if (member != nullptr && member->update.disk_id == ping_sender.disk_id &&
       member->update.incarnation == ping_sender.incarnation) {
     ack.counted_disk = leases_.counted_disk_of(ping_sender.name);
@@ -115,7 +116,7 @@
                              member->update.disk_id == holder.identity.disk;
     if (is_in_table) continue;
     state.push_back({.name = holder.name,
-                     .address = context_.settings.address,  // unused, but has to be valid
+                     .address = context_.settings.address,  // not used, but must be valid
                      .disk_id = holder.identity.disk,
                      .incarnation = kHolderIncarnation,
                      .zone = holder.identity.zone,
--- a/src/membership/reconnector.cpp
+++ b/src/membership/reconnector.cpp
@@ -9,7 +9,7 @@
 void Reconnector::run_timers() {
   if (next_reconnect_ > context_.now) return;
   next_reconnect_ = context_.now + context_.settings.reconnect_interval;
-  // Only where the view has changed, since it looks at every member.
+  // The update visits every member, so it runs only after the view has changed.
   if (targets_revision_ != context_.view.revision()) update_targets();
   ping_unreachable_member();
   contact_seed();
@@ -39,7 +39,8 @@
   if (unknown_seeds_.empty()) return;
   const std::string& seed = unknown_seeds_[context_.random() % unknown_seeds_.size()];
   const bool knows_others = context_.view.reachable() > 1;
-  // Guards against islands: members that found each other first go on pinging seeds that none of them is.
+  // Members that found only each other would remain a separate cluster, so they continue to ping the seeds at
+  // which no member is known.
   if (knows_others) {
     if (context_.is_participating()) {
       messenger_.send_plain(seed, messenger_.make_message(MessageKind::ping, "", messenger_.next_sequence()));
--- a/src/membership/reconnector.h
+++ b/src/membership/reconnector.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Looks for members that are registered and not reachable, and for members behind the seeds, so that
-/// partitions heal by themselves.
+/// Contacts registered members that are unreachable, and seeds at which no member is known, so that
+/// partitions heal without intervention.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
   Reconnector(Context& context, Messenger& messenger)
       : context_(context), messenger_(messenger), next_reconnect_(context.now) {}
 
-  /// Contacts one unreachable member and one unknown seed if it is time to.
+  /// Contacts one unreachable member and one unknown seed if the reconnect interval has passed.
   void run_timers();
   [[nodiscard]] Time next_due() const { return next_reconnect_; }
 
@@ -30,8 +30,8 @@
   Context& context_;
   Messenger& messenger_;
   std::vector<std::string> unreachable_members_;  // names
-  std::vector<std::string> unknown_seeds_;        // addresses that no registered member has
-  std::uint64_t targets_revision_ = 0;            // the view's revision at which both were found
+  std::vector<std::string> unknown_seeds_;        // seed addresses that no registered member has
+  std::uint64_t targets_revision_ = 0;            // revision of the view for which both lists were built
   Time next_reconnect_;
 };
 
--- a/src/membership/reducer.cpp
+++ b/src/membership/reducer.cpp
@@ -11,11 +11,11 @@
 
 using namespace std::chrono_literals;
 
-/// An input later than this after the due timer means that the event loop stalled.
+/// The event loop counts as stalled if an input is handled later than this after a timer was due.
 constexpr Time kStallThreshold = 500ms;
 constexpr Time kDecodeErrorLogInterval = 10s;
 
-/// The update changes what is persistent, and who counts for the quota leases.
+/// Whether the update changes the persistent state and the members that the quota leases count.
 bool changes_registration(const View::Merged& merged, const MemberUpdate& update) {
   if (merged.is_new || merged.replaced || merged.previous_address) return true;
   return merged.previous_status && is_registered(*merged.previous_status) != is_registered(update.status);
@@ -61,7 +61,7 @@
   std::vector<std::string> reachable;
   for (MemberUpdate update : stored) {
     if (update.name == context_.settings.name || QuotaAdapter::is_holder_only(update)) continue;
-    // Whether they were reachable is outdated; that they are registered is not.
+    // The stored reachability is outdated: suspect and dead members are taken as alive until probed.
     if (update.status == MemberStatus::suspect || update.status == MemberStatus::dead) {
       update.status = MemberStatus::alive;
     }
@@ -92,8 +92,8 @@
   const Message& message = input.message;
   if (!accepts(message)) return;
   const std::string& name = message.from.name;
-  merge(message.from, "it spoke");
-  for (const MemberUpdate& update : message.updates) merge(update, "told by " + name);
+  merge(message.from, "message from the member");
+  for (const MemberUpdate& update : message.updates) merge(update, "update from " + name);
   Member* sender = context_.view.find(name);
   if (sender == nullptr) return;
   sender->last_heard = context_.now;
@@ -102,7 +102,7 @@
   if (context_.is_participating()) {
     dispatch(message, *sender);
   } else if (message.kind == MessageKind::ping) {
-    // It only answers why it does not participate.
+    // The reply carries this member's status, which explains why it does not participate.
     messenger_.reply(message.from, messenger_.make_message(MessageKind::gossip, name, 0));
   }
 }
@@ -115,7 +115,8 @@
     return false;
   }
   if (message.from.name == settings().name) {
-    // Its own messages come back where a seed is its own address. All others are another process's.
+    // This member's own messages return to it if a seed is its own address. All others are from another
+    // process.
     const bool is_own = message.from.disk_id == self().disk_id && message.from.address == self().address;
     if (!is_own) refutation_.on_update_of_self(message.from);
     return false;
@@ -151,7 +152,7 @@
   }
 }
 
-/// Guards the subsystems that build on membership: only a registered member's messages reach them.
+/// Only messages of registered members are delivered to the subsystems that build on membership.
 void State::on_user_message(const Message& message, const Member& sender) {
   if (!is_registered(sender.update.status) || sender.update.disk_id != message.from.disk_id) return;
   context_.effects.emplace_back(UserMessageReceived{message.from.name, message.payload});
@@ -159,7 +160,7 @@
 
 void State::on_input(const MessageRejected& input) {
   const std::uint64_t count = ++context_.counters.decode_errors[static_cast<std::size_t>(input.reason)];
-  // Guards the log against a flood of them: the counts are among the metrics.
+  // The rate of log lines is limited; the metrics count every rejected message.
   if (context_.now - decode_error_logged_at_ < kDecodeErrorLogInterval) return;
   decode_error_logged_at_ = context_.now;
   context_.log("peers refused reason=" + std::string(name_of(input.reason)) + " from=" + input.address +
@@ -176,9 +177,9 @@
     gossip_.announce_shutdown(update);
   }
   context_.has_left = true;
-  // The quota lease is given up within this call, before any member can learn of the shutdown.
+  // The quota lease is released within this call, before any member can learn of the shutdown.
   quota_.mark_outdated();
-  context_.log("peers left");
+  context_.log("peers left the cluster");
   context_.effects.emplace_back(PersistState{});
 }
 
@@ -188,7 +189,7 @@
   MemberUpdate update = member->update;
   update.status = MemberStatus::forgotten;
   update.reported_by = settings().name;
-  merge(update, "an operator's word");
+  merge(update, "operator request");
 }
 
 void State::on_input(const SendUserMessage& input) {
@@ -206,11 +207,11 @@
 
 // ---- Timers ----
 
-/// Guards the other members against this one after its event loop stalled: it missed answers because it did
-/// not read them. It counts as unhealthy, drops pending probes without a verdict, and gives suspects the time
-/// that it missed.
+/// After a stall of the event loop, missing answers are this member's own fault, since it did not read them.
+/// It sets its health score to the worst value, drops pending probes without suspecting their targets, and
+/// extends the deadlines of suspects by the length of the stall.
 void State::on_loop_stall(Time gap) {
-  context_.log("peers stood still ms=" + std::to_string(gap / 1ms));
+  context_.log("peers event loop stalled ms=" + std::to_string(gap / 1ms));
   health_.degrade_fully();
   failure_detector_.on_stall();
   ping_relay_.clear();
@@ -239,7 +240,7 @@
   update.status = MemberStatus::suspect;
   update.reported_by = settings().name;
   ++context_.counters.suspected;
-  merge(update, "no answer, neither to this proxy nor through others");
+  merge(update, "no answer to direct or relayed pings");
 }
 
 void State::declare_dead(const std::string& name) {
@@ -247,12 +248,12 @@
   update.status = MemberStatus::dead;
   update.reported_by = settings().name;
   ++context_.counters.declared_dead;
-  merge(update, "did not refute");
+  merge(update, "suspicion was not refuted in time");
 }
 
 // ---- Updates ----
 
-/// `cause`: for the log.
+/// `cause` is written to the log.
 void State::merge(const MemberUpdate& update, const std::string& cause) {
   if (update.name == settings().name) {
     refutation_.on_update_of_self(update);
@@ -275,7 +276,7 @@
 }
 
 void State::on_confirmation(const MemberUpdate& update, Member& suspect) {
-  // Further confirmations do not shorten the timeout: broadcasting them would be wasted.
+  // Further confirmations do not shorten the timeout, so they are not broadcast.
   const std::size_t useful_reporters = static_cast<std::size_t>(settings().max_confirmations) + 1;
   if (suspect.suspected_by.size() <= useful_reporters) messenger_.broadcasts().enqueue(update);
   suspicions_.set_deadline(suspect);
@@ -297,7 +298,7 @@
   if (merged.replaced) {
     context_.log("peer replaced name=" + update.name + " disk=" + std::to_string(update.disk_id) +
                  " before=" + std::to_string(merged.replaced->disk_id) +
-                 ": what the one before held is gone");
+                 ": the name belongs to a new member; the data of the previous disk is lost");
   }
   if (merged.previous_address) {
     context_.log("peer moved name=" + update.name + " address=" + update.address +
--- a/src/membership/reducer.h
+++ b/src/membership/reducer.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Membership of edge proxies: (state, now, input) -> effects. SWIM with Lifeguard's extensions;
-/// docs/membership.md says how and why. No I/O, no clock; random numbers come from the seed it is given.
+/// Membership of edge proxies: (state, now, input) -> effects. SWIM with Lifeguard's extensions, as described
+/// in docs/membership.md. No I/O, no clock; random numbers are derived from the given seed.
 ///
-/// State is the coordinator: it dispatches inputs, merges updates into the view and informs the parts, each
-/// of which has a state and a header of its own.
+/// State is the coordinator: it dispatches inputs, merges updates into the view and notifies the parts. Each
+/// part has its own state and its own header.
 #pragma once
 
 #include <cstddef>
@@ -44,7 +44,7 @@
   ~State() = default;
 
   std::vector<Effect> handle(Time now, const Input& input);
-  /// When TimerExpired is due; the newest value counts. The maximum after a shutdown.
+  /// When the next TimerExpired is due; a newer value replaces earlier ones. Time::max() after a shutdown.
   [[nodiscard]] Time next_due() const;
 
   [[nodiscard]] const View& view() const { return context_.view; }
@@ -52,15 +52,16 @@
   [[nodiscard]] const Settings& settings() const { return context_.settings; }
   [[nodiscard]] const Counters& counters() const { return context_.counters; }
   [[nodiscard]] const admission::QuotaLeases& quota() const { return quota_.leases(); }
-  /// Lifeguard's health score: 0, healthy, to Settings::max_health_score.
+  /// Lifeguard's health score, from 0 (healthy) to Settings::max_health_score.
   [[nodiscard]] int local_health() const { return health_.score(); }
-  /// How many members sent a differing view last, and since when the first of them has.
+  /// The number of members whose last message had another digest, and the time since when the first of them
+  /// has differed.
   [[nodiscard]] std::pair<std::size_t, Time> members_with_other_view() const {
     return state_sync_.members_with_other_view();
   }
-  /// For the next process: the member table, and the unfenced holders of quota leases.
+  /// The state to be stored for the next process: the member table, and the unfenced holders of quota leases.
   [[nodiscard]] std::vector<MemberUpdate> persistent_state() const { return quota_.persistent_state(); }
-  /// Number of entries of all tables: grows with the members, never with what was seen over time.
+  /// Number of entries of all tables. It is bounded by the number of members and does not grow with uptime.
   [[nodiscard]] std::size_t entries() const;
 
  private:
--- a/src/membership/refutation.cpp
+++ b/src/membership/refutation.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-/// For so long after its start, a member takes updates of its name for an earlier process's.
+/// For this long after its start, a member attributes updates of its name to an earlier process.
 constexpr Time kRestartGracePeriod = 5s;
 
 }  // namespace
@@ -36,10 +36,10 @@
   }
 }
 
-/// It was forgotten, maybe before it refuted something else: it joins anew in an epoch of its own, and nobody
-/// is bound by what was agreed in the one before.
+/// This member was forgotten, possibly before it refuted another update. It rejoins in a new epoch, so that
+/// nothing agreed in the previous epoch is binding.
 void Refutation::rejoin(const MemberUpdate& update) {
-  context_.log("peers forgotten by=" + update.reported_by + ": joins again");
+  context_.log("peers forgotten by=" + update.reported_by + ": rejoining in a new epoch");
   quota_.on_forgotten();
   const std::uint64_t newest = std::max(update.incarnation, context_.self().incarnation);
   const std::uint64_t last_of_epoch = newest | (kEpochStep - 1);
@@ -50,8 +50,8 @@
   const MemberUpdate& self = context_.self();
   if (update.status == self.status) return;
   if (update.status == MemberStatus::alive) {
-    // Guards against two processes with one disk: only a start raises the epoch, so an address that is not
-    // this process's is another process's.
+    // Only a start raises the epoch, so a different address within the epoch means that two processes use the
+    // same disk id.
     if (update.address != self.address) raise_incarnation(update.incarnation, MemberStatus::disputed);
     return;
   }
@@ -62,15 +62,16 @@
   raise_incarnation(update.incarnation, MemberStatus::alive);
 }
 
-/// Soon after the start the update is left over from an earlier process; later on another process uses the
-/// name now.
+/// Shortly after the start, the update is left over from an earlier process. Later, another process is using
+/// the name.
 void Refutation::on_other_process(const MemberUpdate& update) {
   const MemberUpdate& self = context_.self();
   const bool is_disputed = self.status == MemberStatus::disputed;
   const bool in_grace_period = context_.now - context_.started_at < kRestartGracePeriod;
   if (in_grace_period && !is_disputed) {
     if (update.disk_id != self.disk_id) {
-      context_.log("peers name taken over disk=" + std::to_string(update.disk_id));
+      context_.log("peers replaced an earlier member of the same name disk=" +
+                   std::to_string(update.disk_id));
     }
     raise_incarnation(update.incarnation + kEpochStep, MemberStatus::alive);
   } else if (!is_disputed || update.status != MemberStatus::disputed) {
@@ -90,8 +91,9 @@
   quota_.mark_outdated();
   if (becomes_disputed) {
     on_disputed_();
-    context_.log("peers disputed: another process uses the name " + context_.settings.name +
-                 "; it takes no part until one of them is stopped and the other started again");
+    context_.log(
+        "peers disputed: another process uses the name " + context_.settings.name +
+        "; this process does not participate until one of them is stopped and the other is restarted");
   }
   context_.effects.emplace_back(PersistState{});
 }
--- a/src/membership/refutation.h
+++ b/src/membership/refutation.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What this member does about updates of its own name: refutes suspicions by a higher incarnation, joins
-/// anew once it was forgotten, and detects other processes that use its name.
+/// Handles updates of this member's own name: refutes suspicions with a higher incarnation, rejoins after it
+/// was forgotten, and detects other processes that use its name.
 #pragma once
 
 #include <functional>
@@ -15,11 +15,11 @@
 
 class Refutation {
  public:
-  /// `on_disputed` is called when the name becomes disputed, and this member stops participating.
+  /// `on_disputed` is called when the name becomes disputed and this member stops participating.
   Refutation(Context& context, Messenger& messenger, LocalHealth& health, QuotaAdapter& quota,
              std::function<void()> on_disputed);
 
-  /// `update`: what another member, or another process of this name, says about this member.
+  /// `update` has this member's name and comes from another member, or from another process of this name.
   void on_update_of_self(const MemberUpdate& update);
 
  private:
--- a/src/membership/report.h
+++ b/src/membership/report.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Membership as operators see it: a JSON report and metrics. No I/O.
+/// JSON report and metrics of membership for operators. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,13 @@
 
 namespace edge_proxy::membership {
 
-/// One JSON object with this proxy's own status and each member. Times are milliseconds before `now`.
+/// One JSON object with the status of this proxy and of each member. Times are milliseconds before `now`.
 [[nodiscard]] std::string report(const State& state, Time now);
 
 struct Metric {
   std::string name;
   std::uint64_t value = 0;
-  bool is_counter = false;  ///< counts since the start; else a gauge
+  bool is_counter = false;  ///< counts from the start of the process; otherwise a gauge
 };
 [[nodiscard]] std::vector<Metric> metrics(const State& state, Time now);
 
--- a/src/membership/settings.h
+++ b/src/membership/settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Settings of membership. Defaults and their reasons: docs/membership.md, "Values".
+/// Settings of membership. For the reasons of the defaults see docs/membership.md, "Values".
 #pragma once
 
 #include <cstddef>
@@ -14,31 +14,32 @@
 
 struct Settings {
   std::string cluster;
-  std::string name;                ///< of this member
-  std::string address;             ///< host:port at which the other members reach it
-  std::vector<std::string> seeds;  ///< addresses to contact while no other member is known
-  /// Where to send what is meant for an address that a member announced, if not to that address.
+  std::string name;                ///< name of this member
+  std::string address;             ///< host:port at which other members reach this one
+  std::vector<std::string> seeds;  ///< addresses to contact when no member is known there
+  /// Maps announced addresses to the addresses to send to instead.
   std::map<std::string, std::string> address_overrides;
   int zone = 0;
-  std::size_t max_members = 1024;         ///< registered members; as many tombstones are kept beside them
-  std::size_t max_datagram_bytes = 1200;  ///< upper bound of one datagram
+  std::size_t max_members = 1024;         ///< registered members; as many tombstones are kept in addition
+  std::size_t max_datagram_bytes = 1200;  ///< upper bound on one datagram
   Time probe_interval{200'000};
-  Time probe_timeout{80'000};   ///< without an ack by then, other members are asked to ping the target
-  int indirect_ping_count = 3;  ///< how many are asked
+  Time probe_timeout{80'000};   ///< without an ack within it, others are asked to ping the target
+  int indirect_ping_count = 3;  ///< number of members that are asked
   Time gossip_interval{100'000};
-  int gossip_fanout = 3;         ///< members that get a gossip message at each interval
-  double retransmit_factor = 4;  ///< an update is sent this many times log10(members + 1)
+  int gossip_fanout = 3;         ///< members that receive a gossip message at each interval
+  double retransmit_factor = 4;  ///< an update is sent this factor times log10(members + 1) times
   Time min_suspicion_timeout{800'000};
-  /// The timeout is this many times log10(members) times probe_interval, min_suspicion_timeout at the least.
+  /// The suspicion timeout is this factor times log10(members) times probe_interval, at least
+  /// min_suspicion_timeout.
   double suspicion_factor = 1.5;
-  double max_suspicion_multiple = 4;    ///< times that timeout, without confirmations
-  int max_confirmations = 2;            ///< independent ones that shorten it to the timeout itself
-  int max_health_score = 8;             ///< each point makes probes slower by one more of their interval
-  Time full_sync_interval{30'000'000};  ///< of up to 32 members; longer in proportion for more
-  Time reconnect_interval{1'000'000};   ///< how often one unreachable member is pinged
+  double max_suspicion_multiple = 4;    ///< multiplies that timeout while there are no confirmations
+  int max_confirmations = 2;            ///< independent confirmations that shorten it to that timeout
+  int max_health_score = 8;             ///< each point adds one interval to the time between probes
+  Time full_sync_interval{30'000'000};  ///< for up to 32 members; proportionally longer for more
+  Time reconnect_interval{1'000'000};   ///< time between pings to one of the unreachable members
   Time quota_lease{60'000'000};         ///< admission/quota_leases.h
   std::size_t expected_members = 1;     ///< initial size of a new cluster
-  bool lifeguard = true;                ///< false: plain SWIM, to measure what Lifeguard's extensions bring
+  bool lifeguard = true;                ///< false: plain SWIM, for comparison with Lifeguard's extensions
   bool operator==(const Settings&) const = default;
 };
 
--- a/src/membership/state_sync.cpp
+++ b/src/membership/state_sync.cpp
@@ -11,13 +11,13 @@
 
 using namespace std::chrono_literals;
 
-/// Up to this many members the interval of periodic syncs does not depend on their number.
+/// Number of members up to which the interval of periodic syncs is constant.
 constexpr double kFullSyncBaseMembers = 32;
-/// Part of the interval after which the first periodic sync happens at the earliest.
+/// Fraction of the interval after which the first periodic sync happens at the earliest.
 constexpr double kMinFirstSyncDelay = 0.5;
-/// A view has to differ for this long before it is repaired: gossip repairs most differences.
+/// A view must differ for this long before a full sync repairs it, since gossip repairs most differences.
 constexpr Time kDifferenceTolerance = 2s;
-/// Minimum time between two syncs before a repair, and what each registered member adds to it.
+/// Minimum time between the last full sync and a repair, and its increase per registered member.
 constexpr Time kMinRepairInterval = 5s;
 constexpr Time kRepairIntervalPerMember = 20ms;
 
--- a/src/membership/state_sync.h
+++ b/src/membership/state_sync.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
 /// Anti-entropy: exchanges the whole member table with another member, periodically with a random one, and
-/// with one whose view differs from this one's for too long.
+/// with a member whose view has differed from this one's for too long.
 #pragma once
 
 #include <cstddef>
@@ -19,19 +19,21 @@
  public:
   StateSync(Context& context, Messenger& messenger, ProbeOrder& probe_order);
 
-  /// Sets the first periodic sync at a random time within an interval.
+  /// Schedules the first periodic sync at a random time within one interval.
   void start();
   void run_timers();
-  /// Answers a full sync on its stream.
+  /// Replies to a full sync on its stream.
   void reply(const Message& request, std::uint64_t stream);
-  /// Compares the sender's view with this one, and repairs a difference that has lasted.
+  /// Compares the digest of the sender's view with this one's, and starts a full sync if they have differed
+  /// for long enough.
   void compare_digest(const Message& message);
-  /// Forgets a difference from a member that is no longer reachable.
+  /// Drops the recorded difference of a member that is no longer reachable.
   void on_unreachable(const std::string& name) { differs_since_.erase(name); }
-  /// Restarts the time of all differences after the event loop stalled.
+  /// Restarts the measurement of all differences after the event loop stalled.
   void on_stall();
 
-  /// How many members sent a differing view last, and since when the first of them has.
+  /// The number of members whose last message had another digest, and the time since when the first of them
+  /// has differed.
   [[nodiscard]] std::pair<std::size_t, Time> members_with_other_view() const;
   [[nodiscard]] Time next_due() const { return next_full_sync_; }
   /// Number of members whose view differs.
--- a/src/membership/suspicion_timers.cpp
+++ b/src/membership/suspicion_timers.cpp
@@ -15,15 +15,15 @@
   deadlines_.emplace(suspect.suspicion_deadline, suspect.update.name);
 }
 
-/// The shortest one once enough reporters have confirmed the suspicion on their own, or if there are too few
-/// members to do so; up to `max_suspicion_multiple` of it without confirmations.
+/// The shortest timeout applies once enough reporters have confirmed the suspicion independently, or if there
+/// are too few members to do so. Without confirmations it is multiplied by `max_suspicion_multiple`.
 Time SuspicionTimers::timeout_of(const Member& suspect) const {
   const Settings& settings = context_.settings;
   const Time shortest =
       std::max(settings.min_suspicion_timeout,
                scaled(settings.probe_interval, settings.suspicion_factor * context_.log_cluster_size()));
   const int possible_reporters =
-      static_cast<int>(context_.view.reachable()) - 2;  // not itself, not the suspect
+      static_cast<int>(context_.view.reachable()) - 2;  // without this member and the suspect
   const int confirmations = std::min(settings.max_confirmations, possible_reporters);
   if (!settings.lifeguard || confirmations <= 0) return shortest;
   const Time longest = scaled(shortest, settings.max_suspicion_multiple);
--- a/src/membership/suspicion_timers.h
+++ b/src/membership/suspicion_timers.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The deadlines by which suspects count as dead. Independent confirmations bring a deadline forward
+/// Deadlines after which suspects are declared dead. Independent confirmations shorten a deadline
 /// (Lifeguard's dynamic suspicion timeout).
 #pragma once
 
@@ -19,22 +19,22 @@
  public:
   explicit SuspicionTimers(Context& context) : context_(context) {}
 
-  /// Sets or changes the deadline of a suspect by the number of its reporters.
+  /// Sets the deadline of a suspect according to the number of its reporters.
   void set_deadline(Member& suspect);
   void cancel(const Member& member);
-  /// Gives all suspects that much more time.
+  /// Extends all deadlines by `gap`.
   void postpone(Time gap);
 
   /// A suspect whose deadline has passed.
   [[nodiscard]] std::optional<std::string> next_expired() const;
-  /// Suspects with more than half of their time over, those with the next deadlines first; `max_count` of
-  /// them at most.
+  /// Up to `max_count` suspects of whose time at least half has passed, those with the earliest deadlines
+  /// first.
   [[nodiscard]] std::vector<std::string> past_half_time(std::size_t max_count) const;
 
   [[nodiscard]] bool empty() const { return deadlines_.empty(); }
-  /// The maximum where nobody is suspected.
+  /// Time::max() if no member is suspected.
   [[nodiscard]] Time next_due() const { return empty() ? Time::max() : deadlines_.begin()->first; }
-  /// Deadlines and the reporters of their suspicions.
+  /// Number of deadlines and of the reporters of their suspicions.
   [[nodiscard]] std::size_t entries() const;
 
  private:
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -20,7 +20,7 @@
 
 std::uint64_t hash_of(const MemberUpdate& update) {
   const std::uint64_t hash = fnv1a(update.address, fnv1a(update.name));
-  // A suspicion is no disagreement: it is either refuted or followed by a death.
+  // A suspicion is not counted as a difference, since it soon ends by a refutation or a declared death.
   const MemberStatus status = update.status == MemberStatus::suspect ? MemberStatus::alive : update.status;
   return mix(hash ^ mix(update.disk_id ^ mix(update.incarnation ^ mix(static_cast<std::uint64_t>(status)))));
 }
@@ -32,13 +32,13 @@
 
 bool is_outdated(const MemberUpdate& update, const MemberUpdate& known) {
   if (precedence_of(update) != precedence_of(known)) return precedence_of(update) < precedence_of(known);
-  // Guards against two processes of one name that arrived at the same incarnation: the greater disk wins here
-  // as at every member, and the other process learns of it from the answers.
+  // Two processes of one name can reach the same incarnation. All members then keep the one with the greater
+  // disk id, and the other process learns of it from their replies.
   if (update.disk_id != known.disk_id) return update.disk_id < known.disk_id;
   return update.status <= known.status;
 }
 
-/// Sets what depends on the status of the member's new update.
+/// Resets the fields that depend on the status, after the member's update was replaced.
 void start_status(Member& member, Time now) {
   const MemberUpdate& update = member.update;
   member.suspected_by.clear();
@@ -127,8 +127,8 @@
   return merged;
 }
 
-// The digest is a sum, so that the order of updates does not matter. Tombstones are kept for a bounded time
-// only, so they stay out of it.
+// The digest is a sum, so that the order of updates does not matter. It excludes tombstones, since they are
+// kept for a limited time only.
 
 void View::include_in_totals(const Member& member) {
   ++revision_;
@@ -148,7 +148,7 @@
   if (is_reachable(member.update.status)) --reachable_;
 }
 
-/// Guards the memory against names that come and go for ever: only the newest tombstones are kept.
+/// Only the newest tombstones are kept, so that memory stays bounded when names come and go without end.
 void View::add_tombstone(const std::string& name) {
   tombstones_.push_back(name);
   if (tombstones_.size() <= max_members_) return;
--- a/src/membership/view.h
+++ b/src/membership/view.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The member table of one proxy: merges updates, keeps tombstones of former members, and derives on which
-/// side of a partition the proxy is. No I/O, no clock.
+/// The member table of one proxy. It merges updates, keeps tombstones of former members, and determines on
+/// which side of a partition the proxy is. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -20,48 +20,48 @@
 /// How this proxy reaches a member.
 enum class Reachability : std::uint8_t {
   unknown,   ///< not probed yet
-  direct,    ///< it answers this proxy's pings
-  indirect,  ///< only relayed pings reach it: the link between the two is cut, the member is not dead
-  one_way,   ///< its datagrams arrive here, but pings from here do not reach it
+  direct,    ///< the member answers this proxy's pings
+  indirect,  ///< only relayed pings reach it: the link to this proxy is cut, the member is not dead
+  one_way,   ///< its datagrams reach this proxy, but pings of this proxy do not reach it
   unreachable
 };
-/// As it stands in the log and in the report.
+/// The text used in the log and in the report.
 std::string_view name_of(Reachability reachability);
 
-/// A member with what this proxy observed of it.
+/// A member and this proxy's observations of it.
 struct Member {
   MemberUpdate update;
   Time status_since{0};
-  std::set<std::string> suspected_by;  ///< reporters that suspect it, independently of each other
-  Time suspicion_deadline{0};          ///< of a suspect: when it counts as dead
+  std::set<std::string> suspected_by;  ///< members that suspect it independently of each other
+  Time suspicion_deadline{0};          ///< when a suspect is declared dead
   Time suspected_since{0};
   Reachability reachability = Reachability::unknown;
   Time reachability_since{0};
-  Time last_heard{0};  ///< when its newest message arrived
+  Time last_heard{0};  ///< arrival of its latest message
 };
 
 /// On which side of a partition this proxy is.
 enum class PartitionStatus : std::uint8_t {
-  majority,  ///< it reaches more than half of the registered members, itself counted
-  minority,  ///< it reaches some, but not more than half
-  isolated,  ///< others are registered and it reaches none
-  disputed   ///< another process uses its name: it does not participate
+  majority,  ///< the proxy reaches more than half of the registered members, itself included
+  minority,  ///< the proxy reaches other members, but not more than half
+  isolated,  ///< other members are registered, but the proxy reaches none
+  disputed   ///< another process uses its name: the proxy does not participate
 };
-/// As it stands in the log and in the report.
+/// The text used in the log and in the report.
 std::string_view name_of(PartitionStatus status);
 
 class View {
  public:
   enum class MergeResult {
-    outdated,     ///< known already, or superseded
+    outdated,     ///< already known or superseded
     changed,      ///< the table changed
-    confirmation  ///< a known suspicion, by one more reporter
+    confirmation  ///< another reporter confirms a known suspicion
   };
-  /// What a merge changed.
+  /// The changes made by a merge.
   struct Merged {
     MergeResult result = MergeResult::outdated;
-    bool is_new = false;                            ///< the name was not in the table before
-    std::optional<MemberUpdate> replaced{};         ///< the member with another disk that had the name
+    bool is_new = false;                     ///< the table did not contain the name
+    std::optional<MemberUpdate> replaced{};  ///< the previous member of the name, which had another disk
     std::optional<MemberStatus> previous_status{};  ///< set if the status changed or the member was replaced
     std::optional<std::string> previous_address{};  ///< set if the address changed
   };
@@ -71,7 +71,7 @@
 
   /// Ignores an update of a new name while the table is full.
   Merged merge(const MemberUpdate& update, Time now);
-  /// Whether the name is new and the table holds `max_members` registered members.
+  /// Whether the name is new and the table already contains `max_members` registered members.
   [[nodiscard]] bool has_no_room_for(const std::string& name) const;
 
   [[nodiscard]] const Member* find(const std::string& name) const;
@@ -86,9 +86,9 @@
   /// Number of reachable members, this one included.
   [[nodiscard]] std::size_t reachable() const { return reachable_; }
   [[nodiscard]] PartitionStatus partition_status() const;
-  /// Equal at two members with equal views, whatever the order in which their updates arrived.
+  /// Two members with equal views have equal digests, regardless of the order of their updates.
   [[nodiscard]] std::uint64_t digest() const { return digest_; }
-  /// Rises whenever a member is added, removed or changed.
+  /// Increases whenever a member is added, removed or changed.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
  private:
--- a/tests/cluster/membership_cluster_test.cpp
+++ b/tests/cluster/membership_cluster_test.cpp
@@ -126,7 +126,7 @@
   Fleet::pass(5s);  // the fault itself: it is stopped for that long
   fleet.resume(2);
   fleet.expect("it is back for all", kHealed, [&] { return fleet.agree(); });
-  EXPECT_NE(fleet.log(2).find("peers stood still"), std::string::npos) << fleet.story();
+  EXPECT_NE(fleet.log(2).find("peers event loop stalled"), std::string::npos) << fleet.story();
   for (const std::size_t other : {0U, 1U, 3U, 4U}) {
     const std::string log = fleet.log(other);
     for (std::size_t at = 0; (at = log.find(" state=dead ", at)) != std::string::npos; ++at)
--- a/tests/membership/reducer_test.cpp
+++ b/tests/membership/reducer_test.cpp
@@ -179,7 +179,7 @@
   EXPECT_TRUE(world->all_believe(3, MemberStatus::dead)) << logs_of(*world);
   const std::uint64_t before = world->deaths_declared();
   world->resume(3);
-  EXPECT_NE(world->node(3).log.find("peers stood still"), std::string::npos);
+  EXPECT_NE(world->node(3).log.find("peers event loop stalled"), std::string::npos);
   EXPECT_EQ(world->node(3).state->local_health(), world->node(3).state->settings().max_health_score);
   EXPECT_TRUE(
       world->until([&] { return world->all_believe(3, MemberStatus::alive) && world->agreed(); }, 10s))
