--- a/src/event_loop/membership_sockets.cpp
+++ b/src/event_loop/membership_sockets.cpp
@@ -11,21 +11,21 @@
 namespace edge_proxy::event_loop {
 namespace {
 
-/// Read before the other sockets have their turn.
+/// Datagrams that are read before other sockets are served.
 constexpr int kDatagramsPerTurn = 32;
-/// Of the start, while another process still has the folder or the address.
+/// Time between attempts to start while another process still uses the folder or the address.
 constexpr std::chrono::milliseconds kStartRetryInterval{100};
-/// From the begin of a stream to its end.
+/// Maximum lifetime of a stream.
 constexpr std::chrono::milliseconds kStreamTimeout{3000};
-/// Of one member in a full sync.
+/// Upper bound on the size of one member update in a full sync.
 constexpr std::size_t kMaxMemberBytes = 320;
 constexpr std::size_t kReadChunkBytes = 64 * 1024;
 constexpr std::size_t kDatagramBufferBytes = 16 * 1024;
 constexpr std::int64_t kMicrosecondsPerSecond = 1'000'000;
-/// For messages that came by datagram, or as the reply on a stream: they get none.
+/// Marks messages that arrived in a datagram, or as the reply on a stream, and get no reply on a stream.
 constexpr std::uint64_t kNoReplyStream = 0;
 
-/// `host:port`.
+/// Formats the address as `host:port`.
 std::string format_address(GSocketAddress* address) {
   if (address == nullptr || !G_IS_INET_SOCKET_ADDRESS(address)) return "unknown";
   auto* inet = G_INET_SOCKET_ADDRESS(address);
@@ -37,12 +37,12 @@
 
 }  // namespace
 
-/// One full sync: the initiator writes then reads, the responder reads then writes.
+/// One full sync: the initiator writes, then reads; the responder reads, then writes.
 struct MembershipSockets::Stream {
   std::uint64_t id = 0;
   MembershipSockets* sockets = nullptr;
   ObjectPtr<GSocket> socket;
-  std::string peer;  ///< its address, for errors
+  std::string peer;  ///< address of the peer, for error messages
   Source source;
   Source timeout;
   StreamRole role = StreamRole::responder;
@@ -50,7 +50,7 @@
   bool writing = false;
   std::string input;
   std::string output;
-  std::size_t written = 0;  ///< bytes of output
+  std::size_t written = 0;  ///< number of bytes of `output` that were sent
 };
 
 MembershipSockets::MembershipSockets(const config::MembershipConfig& config, Callbacks callbacks)
@@ -79,7 +79,7 @@
   if (!identity) {
     datagram_socket_.reset();
     listener_.reset();
-    if (error_message != logged_start_error_) callbacks_.log("peers wait: " + error_message);
+    if (error_message != logged_start_error_) callbacks_.log("peers start delayed: " + error_message);
     logged_start_error_ = error_message;
     return;
   }
@@ -93,11 +93,11 @@
   datagram_socket_ = open_socket(G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP, error);
   if (datagram_socket_) listener_ = open_socket(G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, error);
   if (datagram_socket_ && listener_ && g_socket_listen(listener_.get(), error.out_ptr())) return true;
-  error_message = "can't listen on " + config_.listen_address + ": " + error.text();
+  error_message = "cannot listen on " + config_.listen_address + ": " + error.text();
   return false;
 }
 
-/// A non-blocking socket bound to the configured address; none, with `error`, where that fails.
+/// A non-blocking socket bound to the configured address; on failure nullptr, with the reason in `error`.
 ObjectPtr<GSocket> MembershipSockets::open_socket(GSocketType type, GSocketProtocol protocol,
                                                   Error& error) const {
   const auto address = address_of(config_.listen_address);
@@ -106,8 +106,8 @@
       g_socket_new(g_socket_address_get_family(address.get()), type, protocol, error.out_ptr()));
   if (!socket) return nullptr;
   g_socket_set_blocking(socket.get(), FALSE);
-  // Streams may reuse an address at which old ones are in TIME_WAIT; two processes that bind it at once are
-  // rejected all the same.
+  // Stream sockets may reuse an address with connections in TIME_WAIT. Two processes that bind the same
+  // address are still rejected.
   const bool reuse_address = type == G_SOCKET_TYPE_STREAM;
   if (!g_socket_bind(socket.get(), address.get(), reuse_address, error.out_ptr())) return nullptr;
   return socket;
@@ -119,27 +119,27 @@
   std::array<char, kDatagramBufferBytes> buffer;
   for (int i = 0; i < kDatagramsPerTurn && datagram_socket_; ++i) {
     GSocketAddress* sender = nullptr;
-    // One byte more than is allowed tells one that is too large.
+    // One byte more than allowed is read to detect datagrams that are too large.
     const std::size_t limit = std::min(buffer.size(), config_.settings.max_datagram_bytes + 1);
     const gssize size =
         g_socket_receive_from(datagram_socket_.get(), &sender, buffer.data(), limit, nullptr, nullptr);
     const ObjectPtr<GSocketAddress> from(sender);
     if (size < 0) return;
-    // Guards the clients against a flood: what comes beyond the bound costs no more than its reading.
+    // Datagrams beyond the rate limit are read and dropped, so that a flood does not delay clients.
     if (exceeds_datagram_rate(from.get())) continue;
     on_bytes({buffer.data(), static_cast<std::size_t>(size)}, config_.settings.max_datagram_bytes,
              format_address(from.get()), kNoReplyStream);
   }
 }
 
-/// Counts one datagram; the first one beyond the bound in a second is logged.
+/// Counts one datagram. The first one beyond the limit in each second is logged.
 bool MembershipSockets::exceeds_datagram_rate(GSocketAddress* sender) {
   const std::int64_t second = g_get_monotonic_time() / kMicrosecondsPerSecond;
   if (second != std::exchange(rate_second_, second)) datagrams_in_second_ = 0;
   if (++datagrams_in_second_ <= config_.max_datagrams_per_s) return false;
   if (datagrams_in_second_ == config_.max_datagrams_per_s + 1)
-    callbacks_.log("peers flooded from=" + format_address(sender) + " more than " +
-                   std::to_string(config_.max_datagrams_per_s) + " a second");
+    callbacks_.log("peers datagram rate limit exceeded from=" + format_address(sender) + " limit is " +
+                   std::to_string(config_.max_datagrams_per_s) + " per second");
   return true;
 }
 
@@ -157,7 +157,7 @@
   const auto address = address_of(send.address);
   if (!datagram_socket_ || !address) return;
   const std::string bytes = membership::encode(send.message, config_.settings.cluster);
-  // One that the system does not take is as good as lost on the way.
+  // A datagram that the system rejects counts as lost on the network.
   g_socket_send_to(datagram_socket_.get(), address.get(), bytes.data(), bytes.size(), nullptr, nullptr);
 }
 
@@ -176,7 +176,8 @@
   while (listener_) {
     ObjectPtr<GSocket> socket(g_socket_accept(listener_.get(), nullptr, nullptr));
     if (!socket) return;
-    // Guards the descriptors that clients and caches need: a member beyond the bound tries again later.
+    // Streams beyond the limit are closed, since clients and caches need the descriptors. The member tries
+    // again later.
     if (!has_stream_capacity()) continue;
     const ObjectPtr<GSocketAddress> peer(g_socket_get_remote_address(socket.get(), nullptr));
     Stream& stream = add_stream(std::move(socket), format_address(peer.get()), StreamRole::responder);
@@ -220,7 +221,7 @@
   stream->socket = std::move(socket);
   stream->peer = std::move(peer);
   stream->role = role;
-  // Guards the bound on streams against those that send nothing.
+  // The timeout closes streams on which nothing arrives, so that they do not use up the limit on streams.
   stream->timeout = call_every<[](Stream* expired) {
     expired->sockets->close_stream(expired->id);
     return SourceAction::remove;
--- a/src/event_loop/membership_sockets.h
+++ b/src/event_loop/membership_sockets.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The sockets of SWIM membership: datagrams for pings and gossip, one TCP stream for each full sync. The
-/// bytes are messages of membership/codec.h; a stream carries one message each way, ended by the end of the
-/// stream.
+/// The sockets of SWIM membership: datagrams for pings and gossip, one TCP stream for each full sync.
+/// Messages are encoded by membership/codec.h; a stream carries one message in each direction, terminated by
+/// closing that direction.
 #pragma once
 
 #include <cstdint>
@@ -23,12 +23,13 @@
 
 namespace edge_proxy::event_loop {
 
-/// Binds once the folder and the address are free, then turns received messages into inputs and performs the
-/// effects of membership. Rate, number and size of what it takes from others are bounded.
+/// Binds its sockets once the folder and the address are free, then converts received messages into inputs
+/// and performs the effects of membership. The rate of datagrams, the number of streams and the size of
+/// messages are bounded.
 class MembershipSockets {
  public:
   struct Callbacks {
-    /// The sockets are bound and the new identity is on the disk.
+    /// Called once the sockets are bound and the new identity is stored.
     std::function<void(membership::Identity)> ready;
     std::function<void(membership::Input)> input;
     std::function<void(const std::string&)> log;
@@ -41,7 +42,7 @@
   void perform(const membership::SendDatagram& send);
   void perform(const membership::SendFullSync& sync);
   void perform(const membership::FullSyncReply& reply);
-  /// Writes identity and known members in the background.
+  /// Stores the identity and the known members in the background.
   void persist(const membership::MemberUpdate& self, std::vector<membership::MemberUpdate> members);
   /// Closes all sockets.
   void stop();
@@ -80,10 +81,10 @@
   Source read_source_;
   Source accept_source_;
   Source start_retry_source_;
-  std::string logged_start_error_;  ///< why it can't start yet
+  std::string logged_start_error_;  ///< the last logged reason why the start is delayed
   std::map<std::uint64_t, std::unique_ptr<Stream>> streams_;
   std::uint64_t last_stream_id_ = 0;
-  std::int64_t rate_second_ = 0;  ///< of the monotonic clock, in which datagrams are counted
+  std::int64_t rate_second_ = 0;  ///< second of the monotonic clock in which datagrams are counted
   int datagrams_in_second_ = 0;
 };
 
--- a/src/event_loop/membership_store.cpp
+++ b/src/event_loop/membership_store.cpp
@@ -33,7 +33,7 @@
   return (std::uint64_t{random()} << 32U | random()) | 1U;
 }
 
-/// False, with errno: the file is not on the disk.
+/// Returns false and sets errno if the file is not safely on the disk.
 bool write_and_sync(const std::string& path, std::string_view bytes) {
   const storage::FileDescriptor file(
       ::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, storage::kFileMode));
@@ -54,19 +54,20 @@
       path_(folder + "/peers-" + name),
       cluster_(std::move(cluster)),
       log_(std::move(log)),
-      file_(path_, [this](const char* reason) { log_(std::string("peers keep failed: ") + reason); }) {}
+      file_(path_, [this](const char* reason) { log_(std::string("peers file not written: ") + reason); }) {}
 
 bool MembershipStore::lock(std::string& error_message) {
   if (lock_.is_open()) return true;
   storage::FileDescriptor file(
       ::open((path_ + ".lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, storage::kFileMode));
   if (!file.is_open()) {
-    error_message = "can't open the folder: " + std::string(std::strerror(errno));
+    error_message = "cannot open the folder: " + std::string(std::strerror(errno));
     return false;
   }
-  // Guards against two processes that would be one member: the second waits until the first has gone.
+  // Prevents two processes from running as the same member: the second one waits until the first one has
+  // exited.
   if (flock(file.get(), LOCK_EX | LOCK_NB) != 0) {
-    error_message = "another process uses the folder";
+    error_message = "another process has locked the folder";
     return false;
   }
   lock_ = std::move(file);
@@ -78,14 +79,14 @@
   if (!file) return std::nullopt;
   const std::string content(std::istreambuf_iterator<char>(file), {});
   if (content.empty()) return std::nullopt;
-  // Guards against a torn file and flipped bits: a file with a wrong checksum is not used at all.
+  // A file with a wrong checksum (a torn write or flipped bits) is not used at all.
   if (content.size() > kChecksumBytes &&
       checksum_of(std::string_view(content).substr(kChecksumBytes)) == content.substr(0, kChecksumBytes)) {
     auto decoded =
         membership::decode(std::string_view(content).substr(kChecksumBytes), cluster_, kMaxStoredBytes);
     if (auto* message = std::get_if<membership::Message>(&decoded)) return std::move(*message);
   }
-  log_("peers kept file unreadable: starts as another member under its name");
+  log_("peers file unreadable: starting as a new member with the same name");
   return std::nullopt;
 }
 
--- a/src/event_loop/membership_store.h
+++ b/src/event_loop/membership_store.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What makes a member the same one after a restart: the id of its disk, its incarnation and the members that
-/// it knew, in one file of its folder.
+/// Stores the identity of a member across restarts: its disk id, its incarnation and its known members, in
+/// one file of its folder.
 #pragma once
 
 #include <functional>
@@ -16,23 +16,24 @@
 
 namespace edge_proxy::event_loop {
 
-/// Reads and writes the file of one member; holds the lock of its folder.
+/// Reads and writes the file of one member, and holds the lock on its folder.
 class MembershipStore {
  public:
-  /// `log` gets a line where the file can't be read or written.
+  /// `log` receives a line if the file cannot be read or written.
   MembershipStore(const std::string& folder, const std::string& name, std::string cluster,
                   std::function<void(const std::string&)> log);
   ~MembershipStore() = default;
   MembershipStore(const MembershipStore&) = delete;
   MembershipStore& operator=(const MembershipStore&) = delete;
 
-  /// Locks the folder for this process. False: another one has it, or it can't be opened (`error_message`).
+  /// Locks the folder for this process. Returns false, with the reason in `error_message`, if another process
+  /// has locked it or it cannot be opened.
   bool lock(std::string& error_message);
-  /// The identity of this process, once its new incarnation is on the disk. None where that failed
-  /// (`error_message`): the process must not take part, since it could not refute statements on its earlier
-  /// incarnations later on.
+  /// Returns the identity of this process after its new incarnation has been stored. On failure, returns
+  /// std::nullopt with the reason in `error_message`; the process must not participate then, since it could
+  /// not refute updates about its earlier incarnations later.
   std::optional<membership::Identity> open(const membership::MemberUpdate& self, std::string& error_message);
-  /// Writes in the background; the latest call counts.
+  /// Writes the file in the background; a later call replaces earlier ones.
   void persist(const membership::MemberUpdate& self, std::vector<membership::MemberUpdate> members);
 
  private:
