--- a/tests/membership/parts_test.cpp
+++ b/tests/membership/parts_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The parts of membership's reducer, each alone.
+// Unit tests of the parts of the membership reducer.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -38,7 +38,7 @@
   return settings;
 }
 
-/// A member n0 that knows n1 to n4, long after its start.
+/// The member n0, which knows n1 to n4, after the end of the grace period that follows its start.
 class MembershipParts : public testing::Test {
  protected:
   MembershipParts() {
@@ -66,7 +66,7 @@
   SuspicionTimers suspicions_{context_};
 };
 
-TEST(LocalHealth, StaysWithinItsBounds) {
+TEST(LocalHealth, ScoreStaysWithinItsBounds) {
   LocalHealth health(true, 8);
   health.recover();
   EXPECT_EQ(health.score(), 0);
@@ -78,16 +78,16 @@
   EXPECT_EQ(health.score(), 7);
 }
 
-TEST(LocalHealth, IsPerfectWhereItIsDisabled) {
+TEST(LocalHealth, ScoreStaysZeroIfDisabled) {
   LocalHealth health(false, 8);
   health.degrade_fully();
   EXPECT_EQ(health.probe_slowdown(), 1);
 }
 
-TEST_F(MembershipParts, ConfirmationsBringTheDeadlineForward) {
+TEST_F(MembershipParts, ConfirmationsShortenTheDeadline) {
   Member& member = suspect("n1", "n2");
   suspicions_.set_deadline(member);
-  EXPECT_EQ(suspicions_.next_due(), context_.now + 3200ms) << "four times the shortest";
+  EXPECT_EQ(suspicions_.next_due(), context_.now + 3200ms) << "four times the shortest timeout";
   suspect("n1", "n3");
   suspicions_.set_deadline(member);
   const Time once_confirmed = suspicions_.next_due();
@@ -99,7 +99,7 @@
   EXPECT_EQ(suspicions_.entries(), 4U) << "one deadline, three reporters";
 }
 
-TEST_F(MembershipParts, AnExpiredSuspicionIsReportedUntilItIsCancelled) {
+TEST_F(MembershipParts, ExpiredSuspicionIsReportedUntilCancelled) {
   Member& member = suspect("n1", "n2");
   suspicions_.set_deadline(member);
   EXPECT_FALSE(suspicions_.next_expired());
@@ -136,7 +136,7 @@
   }
 }
 
-TEST_F(MembershipParts, ADatagramTellsASuspectFirstThatItIsSuspected) {
+TEST_F(MembershipParts, DatagramToASuspectCarriesItsStatusFirst) {
   suspect("n1", "n2");
   messenger_.broadcasts().enqueue(member_update("n4"));
   messenger_.send("n1", messenger_.make_message(MessageKind::ping, "n1", messenger_.next_sequence()));
@@ -147,7 +147,7 @@
   EXPECT_EQ(sent[0].message.updates[1].name, "n4");
 }
 
-TEST_F(MembershipParts, ARelayedPingIsNackedAndThenItsAckIsPassedOn) {
+TEST_F(MembershipParts, RelayedPingSendsANackAndThenRelaysTheAck) {
   PingRelay relay(context_, messenger_);
   Message request = messenger_.make_message(MessageKind::ping_req, "n0", 77);
   request.from = member_update("n1");
@@ -162,7 +162,7 @@
   Message ack = messenger_.make_message(MessageKind::ack, "n0", pings[0].message.sequence);
   ack.from = member_update("n2");
   EXPECT_TRUE(relay.on_ack(ack));
-  EXPECT_FALSE(relay.on_ack(ack)) << "passed on once";
+  EXPECT_FALSE(relay.on_ack(ack)) << "an ack is relayed once";
   const std::vector<SendDatagram> sent = effects<SendDatagram>();
   ASSERT_EQ(sent.size(), 3U);
   EXPECT_EQ(sent[1].message.kind, MessageKind::nack);
@@ -171,7 +171,7 @@
   EXPECT_EQ(sent[2].message.target, "n2");
 }
 
-TEST_F(MembershipParts, ALastingDifferenceIsRepairedByAFullSync) {
+TEST_F(MembershipParts, LastingDigestDifferenceStartsAFullSync) {
   StateSync state_sync(context_, messenger_, probe_order_);
   Message message = messenger_.make_message(MessageKind::gossip, "n0", 0);
   message.from = member_update("n1");
@@ -187,7 +187,7 @@
   EXPECT_EQ(state_sync.members_with_other_view().first, 0U);
 }
 
-TEST_F(MembershipParts, AnUnreachableMemberIsPingedAndSeedsOfMembersAreNot) {
+TEST_F(MembershipParts, PingsUnreachableMembersButNotSeedsOfKnownMembers) {
   Settings settings = settings_of("n0");
   settings.seeds = {member_update("n1").address};
   Context context(settings, 1, kStart);
@@ -208,7 +208,7 @@
   Refutation refutation_{context_, messenger_, health_, quota_, [this] { ++disputes_; }};
 };
 
-TEST_F(MembershipRefutation, ASuspicionIsRefutedByAHigherIncarnation) {
+TEST_F(MembershipRefutation, SuspicionIsRefutedByAHigherIncarnation) {
   refutation_.on_update_of_self(member_update("n0", MemberStatus::suspect, "n1"));
   EXPECT_EQ(context_.self().incarnation, kEpochStep + 1);
   EXPECT_EQ(context_.self().status, MemberStatus::alive);
@@ -216,13 +216,13 @@
   EXPECT_EQ(disputes_, 0);
 }
 
-TEST_F(MembershipRefutation, AForgottenMemberJoinsInANewEpoch) {
+TEST_F(MembershipRefutation, ForgottenMemberRejoinsInANewEpoch) {
   refutation_.on_update_of_self(member_update("n0", MemberStatus::forgotten, "n1"));
   EXPECT_EQ(context_.self().incarnation, 2 * kEpochStep);
   EXPECT_EQ(context_.self().status, MemberStatus::alive);
 }
 
-TEST_F(MembershipRefutation, AnotherDiskLongAfterTheStartIsADispute) {
+TEST_F(MembershipRefutation, OtherDiskAfterTheGracePeriodIsDisputed) {
   MemberUpdate other = member_update("n0");
   other.disk_id = 2;
   other.incarnation = 5 * kEpochStep;
@@ -232,7 +232,7 @@
   EXPECT_FALSE(context_.is_participating());
 }
 
-TEST_F(MembershipRefutation, AnotherDiskSoonAfterTheStartIsSuperseded) {
+TEST_F(MembershipRefutation, OtherDiskDuringTheGracePeriodIsSuperseded) {
   context_.now = kStart + 1s;
   MemberUpdate other = member_update("n0");
   other.disk_id = 2;
--- a/tests/membership/reducer_test.cpp
+++ b/tests/membership/reducer_test.cpp
@@ -18,14 +18,14 @@
   return all;
 }
 
-TEST(Membership, FiveThatKnowOneSeedFindEachOther) {
+TEST(Membership, MembersDiscoverEachOtherThroughSeeds) {
   MembershipWorld world(5);
   EXPECT_TRUE(world.until([&] { return world.agreed() && world.node(4).state->view().reachable() == 5; }, 5s))
       << logs_of(world);
   EXPECT_EQ(world.node(3).state->view().partition_status(), PartitionStatus::majority);
 }
 
-TEST(Membership, AKilledOneIsKnownToAllAndStaysRegistered) {
+TEST(Membership, KilledMemberIsDeadForAllAndStaysRegistered) {
   const auto world = MembershipWorld::settled(5);
   world->run(2s);
   world->kill(2);
@@ -35,28 +35,29 @@
   world->start(2, false);
   EXPECT_TRUE(world->until([&] { return world->all_believe(2, MemberStatus::alive); }, 5s))
       << logs_of(*world);
-  EXPECT_EQ(world->seen(0, 2)->update.disk_id, 3U) << "the same disk: the same member";
+  EXPECT_EQ(world->seen(0, 2)->update.disk_id, 3U) << "a member with the same disk is the same member";
 }
 
-TEST(Membership, ARefutationThatMissesOneMemberIsAskedFor) {
-  // Found at 300 members and 10% loss: each wrong declaration came from one member that had heard of the
-  // suspicion and that the refutation had missed, while the 299 others held the suspect for alive.
+TEST(Membership, MemberThatMissedARefutationPingsTheSuspect) {
+  // Guards against false deaths at 300 members and 10% loss: a member that received a suspicion but missed
+  // its refutation declared the suspect dead, while the 299 others saw it alive.
   const auto world = MembershipWorld::settled(100);
   world->run(2s);
   membership::MemberUpdate suspicion = world->node(1).state->self();
   suspicion.status = MemberStatus::suspect;
   suspicion.reported_by = MembershipWorld::name(2);
-  membership::Message told;
-  told.kind = membership::MessageKind::gossip;
-  told.from = world->node(2).state->self();
-  told.digest = world->node(2).state->view().digest();
-  told.updates = {suspicion};
-  world->feed(0, membership::MessageReceived{told, 0});
-  // From now on node 0 hears of node 1 only what node 1 answers it.
+  membership::Message gossip;
+  gossip.kind = membership::MessageKind::gossip;
+  gossip.from = world->node(2).state->self();
+  gossip.digest = world->node(2).state->view().digest();
+  gossip.updates = {suspicion};
+  world->feed(0, membership::MessageReceived{gossip, 0});
+  // From now on, node 0 learns about node 1 only from acks of node 1.
   world->filter = [&](std::size_t from, std::size_t to, membership::Message& message) {
     if (to != 0) return true;
-    std::erase_if(message.updates,
-                  [](const membership::MemberUpdate& news) { return news.name == MembershipWorld::name(1); });
+    std::erase_if(message.updates, [](const membership::MemberUpdate& update) {
+      return update.name == MembershipWorld::name(1);
+    });
     return from != 1 || message.kind == membership::MessageKind::ack;
   };
   world->run(3s);
@@ -65,22 +66,23 @@
   EXPECT_EQ(world->deaths_declared(), 0U) << logs_of(*world);
 }
 
-TEST(Membership, ASuspectThatIsAskedOnceMoreAndIsDeadCountsAsDeadInTime) {
-  // Asking once more delays nothing, and costs each member a bounded number of messages.
+TEST(Membership, PingingSuspectsDoesNotDelayTheDetectionOfADeath) {
+  // The additional pings to a suspect do not delay its deadline, and their number per member is bounded.
   const auto world = MembershipWorld::settled(60);
   world->run(2s);
   world->kill(7);
-  const auto took = world->until([&] { return world->all_believe(7, MemberStatus::dead); }, 5s, 10ms);
-  ASSERT_TRUE(took) << logs_of(*world);
-  EXPECT_LE(*took, 3s);
-  EXPECT_LE(world->undeliverable, 59U * 20U) << "messages to the dead one";
+  const auto detection_time =
+      world->until([&] { return world->all_believe(7, MemberStatus::dead); }, 5s, 10ms);
+  ASSERT_TRUE(detection_time) << logs_of(*world);
+  EXPECT_LE(*detection_time, 3s);
+  EXPECT_LE(world->undeliverable, 59U * 20U) << "messages to the dead member";
 }
 
-TEST(Membership, OneThatComesBackWithAnEmptyDiskIsAnotherMember) {
+TEST(Membership, RestartWithAnEmptyDiskIsANewMember) {
   const auto world = MembershipWorld::settled(4);
   world->run(2s);
   world->kill(1);
-  world->run(1s);  // before its death is known: only the others can tell it what it is to be above
+  world->run(1s);  // before its death is detected: it learns its previous incarnation from the others
   world->start(1, true);
   const std::uint64_t disk = world->node(1).disk;
   EXPECT_TRUE(world->until(
@@ -93,10 +95,10 @@
   EXPECT_NE(world->node(0).log.find("peer replaced name=n1"), std::string::npos) << logs_of(*world);
 }
 
-TEST(Membership, ASecondProcessOfOneNameIsToldAndSoIsTheFirst) {
+TEST(Membership, TwoProcessesWithOneNameAreBothDisputed) {
   auto world = MembershipWorld::settled(5);
   world->run(10s);
-  // Node 4 starts again as another process under the name n1, on a disk of its own.
+  // Node 4 restarts as another process with the name n1 and its own disk.
   world->kill(4);
   world->run(4s);
   membership::Settings settings = world->node(1).state->settings();
@@ -110,7 +112,7 @@
   EXPECT_TRUE(world->until(
       [&] { return disputed(1) && disputed(4) && world->believes(0, 1, MemberStatus::disputed); }, 20s))
       << logs_of(*world);
-  // Once one is stopped and the other started again, it is a member as before.
+  // After one process is stopped and the other restarted, the name is a member as before.
   world->kill(4);
   world->kill(1);
   world->start(1, false);
@@ -122,7 +124,7 @@
       << logs_of(*world);
 }
 
-TEST(Membership, ACutIsSeenOnBothSidesAndHealsByItself) {
+TEST(Membership, PartitionIsDetectedOnBothSidesAndHeals) {
   const auto world = MembershipWorld::settled(5);
   world->run(2s);
   world->cut = [](std::size_t a, std::size_t b) { return (a < 2) != (b < 2); };
@@ -140,7 +142,7 @@
       << logs_of(*world);
 }
 
-TEST(Membership, AnEvenSplitIsWholeNowhere) {
+TEST(Membership, EvenSplitHasNoMajority) {
   const auto world = MembershipWorld::settled(4);
   world->run(2s);
   world->cut = [](std::size_t a, std::size_t b) { return (a < 2) != (b < 2); };
@@ -149,7 +151,7 @@
     EXPECT_EQ(world->node(i).state->view().partition_status(), PartitionStatus::minority) << i;
 }
 
-TEST(Membership, AOneWayCutAndABridgeAreToldFromADeath) {
+TEST(Membership, OneWayAndIndirectReachabilityAreNoDeaths) {
   const auto world = MembershipWorld::settled(5);
   world->run(4s);
   world->cut = [](std::size_t a, std::size_t b) { return a == 0 && b == 1; };
@@ -164,20 +166,20 @@
   EXPECT_EQ(world->seen(0, 1)->reachability, Reachability::one_way);
   world->cut = [](std::size_t a, std::size_t b) {
     return a + b == 1;
-  };  // 0 and 1, both ways: 2 is the bridge
+  };  // between 0 and 1, in both directions; 2 relays
   world->run(15s);
   EXPECT_TRUE(world->believes(0, 1, MemberStatus::alive)) << logs_of(*world);
   EXPECT_EQ(world->seen(0, 1)->reachability, Reachability::indirect);
   EXPECT_EQ(world->seen(1, 0)->reachability, Reachability::indirect);
 }
 
-TEST(Membership, OneThatStoodStillDoubtsItselfAndKillsNobody) {
+TEST(Membership, StalledMemberDegradesItsHealthAndSuspectsNoOther) {
   const auto world = MembershipWorld::settled(5);
   world->run(2s);
   world->stop(3);
   world->run(5s);
   EXPECT_TRUE(world->all_believe(3, MemberStatus::dead)) << logs_of(*world);
-  const std::uint64_t before = world->deaths_declared();
+  const std::uint64_t deaths_before = world->deaths_declared();
   world->resume(3);
   EXPECT_NE(world->node(3).log.find("peers event loop stalled"), std::string::npos);
   EXPECT_EQ(world->node(3).state->local_health(), world->node(3).state->settings().max_health_score);
@@ -185,11 +187,11 @@
       world->until([&] { return world->all_believe(3, MemberStatus::alive) && world->agreed(); }, 10s))
       << logs_of(*world);
   world->run(20s);
-  EXPECT_EQ(world->deaths_declared(), before) << logs_of(*world);
+  EXPECT_EQ(world->deaths_declared(), deaths_before) << logs_of(*world);
   EXPECT_EQ(world->node(3).state->counters().suspected, 0U) << logs_of(*world);
 }
 
-TEST(Membership, OneThatLeavesInOrderIsNotRegisteredAnyMore) {
+TEST(Membership, GracefulShutdownUnregistersTheMember) {
   const auto world = MembershipWorld::settled(5);
   world->run(2s);
   world->feed(2, membership::ShutdownRequested{});
@@ -197,11 +199,11 @@
   EXPECT_EQ(world->node(0).state->view().registered(), 4U);
 }
 
-TEST(Membership, AnOperatorsWordForgetsADeadOneAndNoOther) {
+TEST(Membership, ForgetRequestAppliesOnlyToDeadMembers) {
   const auto world = MembershipWorld::settled(4);
   world->run(2s);
   world->feed(0, membership::ForgetMember{"n3"});
-  EXPECT_TRUE(world->believes(0, 3, MemberStatus::alive)) << "it lives";
+  EXPECT_TRUE(world->believes(0, 3, MemberStatus::alive)) << "a member that is alive cannot be forgotten";
   world->kill(3);
   world->run(6s);
   world->feed(0, membership::ForgetMember{"n3"});
@@ -210,7 +212,7 @@
   EXPECT_EQ(world->node(1).state->view().registered(), 3U);
 }
 
-TEST(Membership, ATenthAndAQuarterOfDatagramsLostKillNobody) {
+TEST(Membership, DatagramLossOfTenAndTwentyFivePercentCausesNoDeaths) {
   for (const double loss : {0.1, 0.25}) {
     const auto world = MembershipWorld::settled(20, 5);
     world->loss = loss;
@@ -219,19 +221,20 @@
   }
 }
 
-TEST(Membership, ManyLearnOfAThirdOfThemKilledAtOnce) {  // 1,000 of them: bench/membership_figures
+TEST(Membership,
+     SimultaneousDeathOfAThirdIsDetectedByAll) {  // for 1,000 members see bench/membership_figures
   constexpr std::size_t kMembers = 150;
   const auto world = MembershipWorld::settled(kMembers);
   world->logs = false;
   world->run(1s);
   for (std::size_t i = 0; i < kMembers; i += 3) world->kill(i);
-  const auto known = [&] {
+  const auto all_deaths_known = [&] {
     for (std::size_t i = 0; i < kMembers; i += 3) {
       if (!world->all_believe(i, MemberStatus::dead)) return false;
     }
     return true;
   };
-  EXPECT_TRUE(world->until(known, 30s, 500ms));
+  EXPECT_TRUE(world->until(all_deaths_known, 30s, 500ms));
   EXPECT_EQ(world->node(1).state->view().registered(), kMembers);
   EXPECT_EQ(world->wrongly_dead(), 0U);
 }
--- a/tests/support/membership_world.h
+++ b/tests/support/membership_world.h
@@ -23,28 +23,29 @@
  public:
   using Time = membership::Time;
   struct Node {
-    std::unique_ptr<membership::State> state;  // none: the process does not run
+    std::unique_ptr<membership::State> state;  // null if the process is not running
     std::uint64_t disk = 0;
     std::uint64_t epoch = 0;                       // number of starts
     std::vector<membership::MemberUpdate> stored;  // persistent state at the last kill
-    bool stopped = false;                          // as by SIGSTOP: inputs wait
+    bool stopped = false;                          // stopped as by SIGSTOP: inputs are queued
     std::vector<membership::Input> waiting_inputs;
     std::string log;
-    std::uint64_t bytes = 0, messages = 0;  // sent
-    Time timer_at{-1};                      // of the newest timer event; -1: none
+    std::uint64_t bytes = 0, messages = 0;  // sent by this node
+    Time timer_at{-1};                      // time of the newest timer event; -1: none
     double clock_rate = 1;
   };
 
   explicit MembershipWorld(std::size_t count, std::uint64_t seed = 1,
-                           std::function<void(membership::Settings&)> edit = {})
-      : edit_(std::move(edit)), random_(seed) {
+                           std::function<void(membership::Settings&)> adjust_settings = {})
+      : adjust_settings_(std::move(adjust_settings)), random_(seed) {
     nodes_.resize(count);
     for (std::size_t i = 0; i < count; ++i) start(i, true);
   }
-  /// All know all from the start, as after a quiet minute.
-  static std::unique_ptr<MembershipWorld> settled(std::size_t count, std::uint64_t seed = 1,
-                                                  std::function<void(membership::Settings&)> edit = {}) {
-    auto world = std::make_unique<MembershipWorld>(0, seed, std::move(edit));
+  /// Creates a world in which all members know each other from the start.
+  static std::unique_ptr<MembershipWorld> settled(
+      std::size_t count, std::uint64_t seed = 1,
+      std::function<void(membership::Settings&)> adjust_settings = {}) {
+    auto world = std::make_unique<MembershipWorld>(0, seed, std::move(adjust_settings));
     world->nodes_.resize(count);
     std::vector<membership::MemberUpdate> all;
     for (std::size_t i = 0; i < count; ++i)
@@ -74,9 +75,9 @@
     settings.cluster = "test";
     settings.name = name(i);
     settings.address = address(i);
-    for (std::size_t s = 0; s < std::min<std::size_t>(3, nodes_.size()); ++s)
-      settings.seeds.push_back(address(s));
-    if (edit_) edit_(settings);
+    for (std::size_t seed_index = 0; seed_index < std::min<std::size_t>(3, nodes_.size()); ++seed_index)
+      settings.seeds.push_back(address(seed_index));
+    if (adjust_settings_) adjust_settings_(settings);
     node.state = std::make_unique<membership::State>(
         std::move(settings), membership::Identity{node.disk, node.epoch << 20U, empty_disk, node.stored},
         random_(), now_);
@@ -108,7 +109,7 @@
       Node& node = nodes_[event.node];
       if (!node.state) continue;
       if (!event.input) {
-        if (event.at != node.timer_at) continue;  // a newer timer replaced it
+        if (event.at != node.timer_at) continue;  // replaced by a newer timer
         node.timer_at = Time{-1};
         if (!node.stopped) feed(event.node, membership::TimerExpired{});
       } else if (node.stopped) {
@@ -129,27 +130,27 @@
     std::vector<membership::Effect> effects = node.state->handle(local(i), input);
     if (observer) observer(i, local(i), input, effects);
     for (membership::Effect& effect : effects) {
-      if (auto* s = std::get_if<membership::SendDatagram>(&effect)) {
-        transmit(i, s->address, std::move(s->message), false);
-      } else if (auto* x = std::get_if<membership::SendFullSync>(&effect)) {
-        transmit(i, x->address, std::move(x->message), true);
-      } else if (auto* a = std::get_if<membership::FullSyncReply>(&effect)) {
-        transmit(i, address(a->stream - 1), std::move(a->message), true);
-      } else if (auto* l = std::get_if<membership::LogLine>(&effect)) {
-        if (logs) node.log += std::to_string(now_.count() / 1000) + " " + l->line + "\n";
+      if (auto* datagram = std::get_if<membership::SendDatagram>(&effect)) {
+        transmit(i, datagram->address, std::move(datagram->message), false);
+      } else if (auto* sync = std::get_if<membership::SendFullSync>(&effect)) {
+        transmit(i, sync->address, std::move(sync->message), true);
+      } else if (auto* reply = std::get_if<membership::FullSyncReply>(&effect)) {
+        transmit(i, address(reply->stream - 1), std::move(reply->message), true);
+      } else if (auto* log_line = std::get_if<membership::LogLine>(&effect)) {
+        if (logs) node.log += std::to_string(now_.count() / 1000) + " " + log_line->line + "\n";
       }
     }
     const Time due = node.state->next_due();
     if (due == Time::max()) return;
-    const double ahead = static_cast<double>((due - kStart).count()) / node.clock_rate;
-    const Time wanted = std::max(kStart + Time{static_cast<Time::rep>(ahead) + 1}, now_);
-    if (wanted != node.timer_at) {
-      node.timer_at = wanted;
+    const double elapsed = static_cast<double>((due - kStart).count()) / node.clock_rate;
+    const Time due_at = std::max(kStart + Time{static_cast<Time::rep>(elapsed) + 1}, now_);
+    if (due_at != node.timer_at) {
+      node.timer_at = due_at;
       events_.push({node.timer_at, order_++, i, std::nullopt});
     }
   }
 
-  /// The time by that member's own clock.
+  /// The current time of that member's clock.
   [[nodiscard]] Time local(std::size_t i) const {
     return kStart +
            Time{static_cast<Time::rep>(static_cast<double>((now_ - kStart).count()) * nodes_[i].clock_rate)};
@@ -162,7 +163,7 @@
     const membership::Member* found = seen(observer_node, member);
     return found != nullptr && found->update.status == status;
   }
-  /// Whether all members that run, and are not stopped, have that status for it.
+  /// Whether all other members that run and are not stopped have that status for the member.
   [[nodiscard]] bool all_believe(std::size_t member, membership::MemberStatus status) const {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (i != member && nodes_[i].state && !nodes_[i].stopped && !believes(i, member, status)) return false;
@@ -178,24 +179,24 @@
     }
     return true;
   }
-  /// Number of members that run and that some other one holds for dead.
+  /// Number of running members that some other member considers dead.
   [[nodiscard]] std::size_t wrongly_dead() const {
-    std::size_t wrong = 0;
+    std::size_t count = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (!nodes_[i].state) continue;
-      for (std::size_t by = 0; by < nodes_.size(); ++by) {
-        if (nodes_[by].state && believes(by, i, membership::MemberStatus::dead)) {
-          ++wrong;
+      for (std::size_t observer_node = 0; observer_node < nodes_.size(); ++observer_node) {
+        if (nodes_[observer_node].state && believes(observer_node, i, membership::MemberStatus::dead)) {
+          ++count;
           break;
         }
       }
     }
-    return wrong;
+    return count;
   }
   [[nodiscard]] std::uint64_t deaths_declared() const {
-    std::uint64_t all = 0;
-    for (const Node& node : nodes_) all += node.state ? node.state->counters().declared_dead : 0;
-    return all;
+    std::uint64_t total = 0;
+    for (const Node& node : nodes_) total += node.state ? node.state->counters().declared_dead : 0;
+    return total;
   }
 
   Node& node(std::size_t i) { return nodes_[i]; }
@@ -203,15 +204,15 @@
   [[nodiscard]] Time now() const { return now_; }
 
   double loss = 0;
-  double drift = 0;  ///< upper bound of the clocks' relative error; to be set before the first run()
+  double drift = 0;  ///< upper bound on the relative error of the clocks; set it before the first run()
   bool logs = true;
-  std::uint64_t undeliverable = 0;                            ///< messages to members that do not run
-  bool count_bytes = false;                                   ///< counts bytes as they are on the wire
-  std::function<bool(std::size_t, std::size_t)> cut;          ///< from, to
+  std::uint64_t undeliverable = 0;                    ///< number of messages to members that do not run
+  bool count_bytes = false;                           ///< whether bytes on the wire are counted
+  std::function<bool(std::size_t, std::size_t)> cut;  ///< from, to
   std::function<Time(std::size_t, std::size_t)> extra_delay;  ///< from, to
-  /// From, to and the message, which it may change; false: the message is lost.
+  /// Called with sender, receiver and the message, which it may change; false drops the message.
   std::function<bool(std::size_t, std::size_t, membership::Message&)> filter;
-  /// Sees each input of a node, at that time of its clock, and the effects before they are carried out.
+  /// Called with each input of a node, the time of its clock, and the effects before they are performed.
   std::function<void(std::size_t, Time, const membership::Input&, const std::vector<membership::Effect>&)>
       observer;
 
@@ -227,8 +228,9 @@
   void transmit(std::size_t from, const std::string& to, membership::Message message, bool stream) {
     Node& sender = nodes_[from];
     ++sender.messages;
-    if (count_bytes) sender.bytes += membership::encode(message, "test").size() + 28;  // with IP and UDP
-    const std::size_t target = index(to);
+    if (count_bytes)
+      sender.bytes += membership::encode(message, "test").size() + 28;  // plus IP and UDP headers
+    const std::size_t target = index_of(to);
     if (target >= nodes_.size() || !nodes_[target].state) {
       ++undeliverable;
       return;
@@ -238,17 +240,17 @@
     if (!stream && loss > 0 && std::uniform_real_distribution<>(0, 1)(random_) < loss) return;
     Time delay{std::uniform_int_distribution<int>(300, 3000)(random_)};
     if (extra_delay) delay += extra_delay(from, target);
-    membership::MessageReceived heard{std::move(message), stream ? from + 1 : 0};
-    events_.push({now_ + delay, order_++, target, std::move(heard)});
+    membership::MessageReceived received{std::move(message), stream ? from + 1 : 0};
+    events_.push({now_ + delay, order_++, target, std::move(received)});
   }
-  static std::size_t index(const std::string& address) {
-    const std::size_t third = address.find('.', 5), colon = address.find(':');
+  static std::size_t index_of(const std::string& address) {
+    const std::size_t third_dot = address.find('.', 5), colon = address.find(':');
     if (address.rfind("10.0.", 0) != 0) return SIZE_MAX;
-    return std::stoul(address.substr(5, third - 5)) * 250 +
-           std::stoul(address.substr(third + 1, colon - third - 1));
+    return std::stoul(address.substr(5, third_dot - 5)) * 250 +
+           std::stoul(address.substr(third_dot + 1, colon - third_dot - 1));
   }
 
-  std::function<void(membership::Settings&)> edit_;
+  std::function<void(membership::Settings&)> adjust_settings_;
   std::mt19937_64 random_;
   static constexpr Time kStart{1h};
   Time now_ = kStart;
