--- a/src/membership/probe_order.cpp
+++ b/src/membership/probe_order.cpp
@@ -5,6 +5,12 @@
 #include <utility>
 
 namespace edge_proxy::membership {
+namespace {
+
+constexpr std::size_t kDrawsPerMember = 4;
+constexpr std::size_t kExtraDraws = 8;
+
+}  // namespace
 
 void ProbeOrder::start(std::vector<std::string> names) {
   order_ = std::move(names);
@@ -27,7 +33,7 @@
 }
 
 std::optional<std::string> ProbeOrder::next() {
-  // The rest of this round and all of the next one.
+  // Covers the rest of this round and all of the next one.
   const std::size_t max_steps = order_.size() + context_.view.reachable() + 1;
   for (std::size_t step = 0; step < max_steps; ++step) {
     if (next_index_ >= order_.size()) start_round();
@@ -41,8 +47,8 @@
 
 std::vector<std::string> ProbeOrder::random_members(std::size_t count, const std::string& excluded) {
   std::vector<std::string> drawn;
-  // The order holds nearly all reachable members: the cost of a draw does not grow with their number.
-  const std::size_t max_draws = 4 * count + 8;
+  // The order contains nearly all reachable members, so the cost of a draw does not grow with their number.
+  const std::size_t max_draws = kDrawsPerMember * count + kExtraDraws;
   for (std::size_t draw = 0; draw < max_draws && drawn.size() < count && !order_.empty(); ++draw) {
     const std::string& name = order_[context_.random() % order_.size()];
     const Member* member = context_.view.find(name);
