--- a/src/codec/discovery_events.cpp
+++ b/src/codec/discovery_events.cpp
@@ -38,7 +38,7 @@
   listed.address = fields.text("host_port", "");
   endpoint.state = fields.enumerator<EndpointState>("phase", kEndpointStateWords);
   endpoint.weight = fields.number("size", 1);
-  endpoint.cell = fields.small("cell", 0);
+  endpoint.cell = fields.small_integer("cell", 0);
   endpoint.zone = read_index(fields, "locality", names.zones);
   endpoint.kind = read_index(fields, "flavor", names.kinds);
   endpoint.started = to_time(fields, "up_since_ms", fields.integer("up_since_ms", 0));
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -90,11 +90,11 @@
 }
 
 void read_resource_limits(const Fields& limits, Config& config) {
-  config.max_descriptors = limits.small("sockets", config.max_descriptors);
+  config.max_descriptors = limits.small_integer("sockets", config.max_descriptors);
   if (config.max_descriptors < kMinSockets) {
     limits.fail("sockets", "should be " + std::to_string(kMinSockets) + " or more");
   }
-  const int memory_mb = limits.small("memory_mb", static_cast<int>(config.memory_bytes >> kMbShift));
+  const int memory_mb = limits.small_integer("memory_mb", static_cast<int>(config.memory_bytes >> kMbShift));
   if (memory_mb < kMinMemoryMb) {
     limits.fail("memory_mb", "should be " + std::to_string(kMinMemoryMb) + " or more");
   }
@@ -121,7 +121,7 @@
   const Fields bounds = section.object_or_empty("bounds");
   config.connection_idle = read_positive_time(bounds, "conn_idle", config.connection_idle);
   config.connect_timeout = read_positive_time(bounds, "connect_timeout", config.connect_timeout);
-  config.requests_per_connection = bounds.small("multiplex", config.requests_per_connection);
+  config.requests_per_connection = bounds.small_integer("multiplex", config.requests_per_connection);
   if (config.requests_per_connection < 1) bounds.fail("multiplex", "should be 1 or more");
 }
 
@@ -177,7 +177,7 @@
   config.link_bytes_per_s = read_rate(root, "link_bytes_per_s");
   read_settings_section(root.object("settings"), config);
   read_cluster_sections(root, config);
-  config.settings_text = to_json(root.need("settings"));
+  config.settings_text = to_json(root.required("settings"));
   read_known_events(root.object_or_empty("known"), config);
   return config;
 }
--- a/src/config/fields.cpp
+++ b/src/config/fields.cpp
@@ -35,22 +35,24 @@
   return found == value_.MemberEnd() || found->value.IsNull() ? nullptr : &found->value;
 }
 
-const Json& Fields::need(const char* name) const {
+const Json& Fields::required(const char* name) const {
   const Json* found = find(name);
   if (found == nullptr) fail(name, "is missing");
   return *found;
 }
 
-std::int64_t Fields::integer(const char* name) const { return to_integer(name, need(name)); }
+std::int64_t Fields::integer(const char* name) const { return to_integer(name, required(name)); }
 
 std::int64_t Fields::integer(const char* name, std::int64_t absent) const {
   const Json* found = find(name);
   return found == nullptr ? absent : to_integer(name, *found);
 }
 
-int Fields::small(const char* name) const { return to_small(name, integer(name)); }
+int Fields::small_integer(const char* name) const { return to_small_integer(name, integer(name)); }
 
-int Fields::small(const char* name, int absent) const { return to_small(name, integer(name, absent)); }
+int Fields::small_integer(const char* name, int absent) const {
+  return to_small_integer(name, integer(name, absent));
+}
 
 Time Fields::time(const char* name) const { return Time{integer(name)}; }
 
@@ -71,7 +73,7 @@
 }
 
 std::string Fields::text(const char* name) const {
-  const Json& found = need(name);
+  const Json& found = required(name);
   if (!found.IsString()) fail(name, "should be a string");
   return {found.GetString(), found.GetStringLength()};
 }
@@ -80,7 +82,7 @@
   return find(name) == nullptr ? absent : text(name);
 }
 
-Fields Fields::object(const char* name) const { return {need(name), line_, path_ + name + "."}; }
+Fields Fields::object(const char* name) const { return {required(name), line_, path_ + name + "."}; }
 
 Fields Fields::object_or_empty(const char* name) const {
   static const Json empty(rapidjson::kObjectType);
@@ -90,7 +92,7 @@
 
 std::vector<Fields> Fields::objects(const char* name) const {
   std::vector<Fields> all;
-  const Json& items = list(name, need(name));
+  const Json& items = list(name, required(name));
   for (rapidjson::SizeType i = 0; i < items.Size(); ++i) {
     const std::string path = path_ + name + "[" + std::to_string(i) + "].";
     all.emplace_back(items[i], line_, path);
@@ -136,7 +138,7 @@
   return static_cast<std::int64_t>(value.GetUint64());
 }
 
-int Fields::to_small(const char* name, std::int64_t value) const {
+int Fields::to_small_integer(const char* name, std::int64_t value) const {
   if (value < std::numeric_limits<int>::min() || value > std::numeric_limits<int>::max()) {
     fail(name, "is out of range");
   }
--- a/src/config/fields.h
+++ b/src/config/fields.h
@@ -52,14 +52,14 @@
 
   /// The field's value, or null where it is absent.
   [[nodiscard]] const Json* find(const char* name) const;
-  [[nodiscard]] const Json& need(const char* name) const;
+  [[nodiscard]] const Json& required(const char* name) const;
 
   /// Integers of 64 bits; one above the signed range keeps its bits (seeds use all 64).
   [[nodiscard]] std::int64_t integer(const char* name) const;
   [[nodiscard]] std::int64_t integer(const char* name, std::int64_t absent) const;
   /// Integers that fit an int.
-  [[nodiscard]] int small(const char* name) const;
-  [[nodiscard]] int small(const char* name, int absent) const;
+  [[nodiscard]] int small_integer(const char* name) const;
+  [[nodiscard]] int small_integer(const char* name, int absent) const;
   /// Microseconds.
   [[nodiscard]] Time time(const char* name) const;
   [[nodiscard]] Time time(const char* name, Time absent) const;
@@ -95,7 +95,7 @@
   /// Calls `visit(std::string)` for each string of a list, and stops at the first item that is none.
   template <typename Visit>
   void for_each_string(const char* name, Visit&& visit) const {
-    for (const Json& item : list(name, need(name)).GetArray()) {
+    for (const Json& item : list(name, required(name)).GetArray()) {
       if (!item.IsString()) fail(name, "should hold strings");
       visit(std::string(item.GetString(), item.GetStringLength()));
     }
@@ -106,7 +106,7 @@
 
  private:
   [[nodiscard]] std::int64_t to_integer(const char* name, const Json& value) const;
-  [[nodiscard]] int to_small(const char* name, std::int64_t value) const;
+  [[nodiscard]] int to_small_integer(const char* name, std::int64_t value) const;
   [[nodiscard]] const Json& list(const char* name, const Json& value) const;
 
   const Json& value_;
--- a/src/config/membership_config.cpp
+++ b/src/config/membership_config.cpp
@@ -33,7 +33,7 @@
 };
 
 int read_in_range(const Fields& fields, const char* name, int absent, Range range) {
-  const int value = fields.small(name, absent);
+  const int value = fields.small_integer(name, absent);
   if (value < range.min || value > range.max) {
     fields.fail(name, "should be " + std::to_string(range.min) + " to " + std::to_string(range.max));
   }
--- a/src/config/policy_config.cpp
+++ b/src/config/policy_config.cpp
@@ -19,7 +19,7 @@
 constexpr std::array<std::size_t, 3> kVoterCounts{3, 5, 7};
 
 std::vector<std::string> read_voters(const Fields& section) {
-  const Json& list = section.need("voters");
+  const Json& list = section.required("voters");
   if (!list.IsArray()) section.fail("voters", "should be a list");
   std::vector<std::string> voters;
   for (const auto& voter : list.GetArray()) {
--- a/src/config/settings_check.cpp
+++ b/src/config/settings_check.cpp
@@ -17,10 +17,10 @@
   if (value < 0 || value > 1) fields.fail(name, "should be from 0 to 1");
 }
 
-int size_of(const Fields& fields, const char* list) { return static_cast<int>(fields.need(list).Size()); }
+int size_of(const Fields& fields, const char* list) { return static_cast<int>(fields.required(list).Size()); }
 
 void check_index(const Fields& fields, const char* name, const char* list) {
-  const int index = fields.small(name, 0);
+  const int index = fields.small_integer(name, 0);
   if (index < 0 || index >= size_of(fields, list)) fields.fail(name, std::string("is no place in ") + list);
 }
 
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -20,9 +20,9 @@
 std::vector<int> to_integers(const std::vector<double>& values) { return {values.begin(), values.end()}; }
 
 void read_router(const Fields& fields, Settings& settings) {
-  settings.router_number = fields.small("me", 0);
-  settings.zone = fields.small("az", 0);
-  settings.router_count = fields.small("fleet_size", 1);
+  settings.router_number = fields.small_integer("me", 0);
+  settings.zone = fields.small_integer("az", 0);
+  settings.router_count = fields.small_integer("fleet_size", 1);
   settings.tick = fields.time("tick", Time{0});
   const auto discovery = fields.enumerator("discovery", kDiscoveryModeWords, DiscoveryMode::pushed);
   settings.subscription_required = discovery == DiscoveryMode::on_request;
@@ -34,8 +34,8 @@
   settings.routers_by_zone = to_integers(fields.numbers("seats_by_zone"));
   settings.hub_by_zone = to_integers(fields.numbers("hub_by_zone"));
   settings.link_in_kb_per_s = fields.numbers("inlet_kb_per_s");
-  settings.parent_kind = fields.small("upper_kind", -1);
-  settings.origin_kind = fields.small("origin_kind", -1);
+  settings.parent_kind = fields.small_integer("upper_kind", -1);
+  settings.origin_kind = fields.small_integer("origin_kind", -1);
   settings.direct_to_sources = fields.boolean("straight", false);
   settings.sibling_fills = fields.enumerator("peers_fill", kSiblingFillsWords, SiblingFills::none);
   settings.cache_status_detail = fields.enumerator("says", kCacheStatusDetailWords, CacheStatusDetail::none);
@@ -107,7 +107,7 @@
 }
 
 void read_bounds(const Fields& fields, Settings& settings) {
-  settings.max_attempts = fields.small("attempts_cap", 1);
+  settings.max_attempts = fields.small_integer("attempts_cap", 1);
   settings.cancellation = fields.boolean("cancelling", false);
   settings.health_checks = fields.boolean("probes", false);
   settings.hedging = fields.boolean("second_copies", false);
--- a/src/proxy/cluster/policy_controller.cpp
+++ b/src/proxy/cluster/policy_controller.cpp
@@ -24,7 +24,7 @@
   const Fields root(document, 0);
   rapidjson::StringBuffer policy;
   rapidjson::Writer<rapidjson::StringBuffer> writer(policy);
-  root.need("policy").Accept(writer);
+  root.required("policy").Accept(writer);
   const std::int64_t base = root.integer("base");
   if (base < 0) root.fail("base", "should be 0 or more");
   return {.call = connection,
--- a/src/proxy/cluster/policy_terms.cpp
+++ b/src/proxy/cluster/policy_terms.cpp
@@ -69,7 +69,7 @@
 }
 
 void read_limits(const Fields& root, Settings& settings) {
-  settings.max_attempts = root.small("attempts_cap", settings.max_attempts);
+  settings.max_attempts = root.small_integer("attempts_cap", settings.max_attempts);
   if (settings.max_attempts < 1 || settings.max_attempts > kMaxAttempts) {
     root.fail("attempts_cap", "should be 1 to 64");
   }
--- a/src/simulator/message_reader.cpp
+++ b/src/simulator/message_reader.cpp
@@ -23,9 +23,9 @@
   endpoint.id = fields.text("store");
   endpoint.state = fields.enumerator<EndpointState>("state", kEndpointStateWords);
   endpoint.weight = fields.number("power_hint", 1);
-  endpoint.zone = fields.small("locality", 0);
-  endpoint.cell = fields.small("stripe", 0);
-  endpoint.kind = fields.small("generation_hw", 0);
+  endpoint.zone = fields.small_integer("locality", 0);
+  endpoint.cell = fields.small_integer("stripe", 0);
+  endpoint.kind = fields.small_integer("generation_hw", 0);
   endpoint.started = fields.time("came_up", Time{0});
   return endpoint;
 }
@@ -61,7 +61,7 @@
 Request read_request(const Fields& message) {
   Request request;
   request.id = message.text("handle");
-  request.request_class = message.small("lane");
+  request.request_class = message.small_integer("lane");
   request.object = message.object_id("file");
   request.part = static_cast<std::uint64_t>(message.number("chunk", 0));
   request.group = static_cast<std::int64_t>(message.number("batch_id", 0));
@@ -75,7 +75,7 @@
 Outcome read_outcome(const Fields& message) {
   Outcome outcome;
   outcome.request = message.text("handle");
-  outcome.attempt = message.small("n");
+  outcome.attempt = message.small_integer("n");
   outcome.endpoint = message.text("store");
   outcome.result = read_attempt_result(message);
   outcome.duration = message.time("rtt", Time{0});
@@ -106,7 +106,7 @@
 StreamStarted read_stream_started(const Fields& message) {
   StreamStarted started;
   started.request = message.text("handle");
-  started.attempt = message.small("n");
+  started.attempt = message.small_integer("n");
   return started;
 }
 
