--- a/src/codec/cache_lines.cpp
+++ b/src/codec/cache_lines.cpp
@@ -10,20 +10,21 @@
 namespace {
 
 constexpr std::string_view kLineEnd = "\r\n";
-constexpr std::size_t kRequestRoom = 32;  // bytes reserved for a request beside its id, fields and body
+/// Bytes reserved for a request beside its id, fields and body.
+constexpr std::size_t kRequestReserveBytes = 32;
 
 /// In the order of CacheResponseStatus.
 constexpr std::array<std::string_view, 8> kStatusWords{"HIT",   "VALID", "NONE", "SHED",
                                                        "FAULT", "LATE",  "PONG", "SICK"};
 
-std::optional<CacheResponseStatus> status_of(std::string_view word) {
+std::optional<CacheResponseStatus> parse_status(std::string_view word) {
   const auto* const found = std::find(kStatusWords.begin(), kStatusWords.end(), word);
   if (found == kStatusWords.end()) return std::nullopt;
   return static_cast<CacheResponseStatus>(found - kStatusWords.begin());
 }
 
 /// The number that the whole text is.
-std::optional<std::size_t> size_of(std::string_view digits) {
+std::optional<std::size_t> parse_size(std::string_view digits) {
   const char* const digits_end = digits.data() + digits.size();
   std::size_t size = 0;
   const auto [end, error] = std::from_chars(digits.data(), digits_end, size);
@@ -64,11 +65,11 @@
 }
 
 std::string write_request(std::string_view id, const FieldList& fields, std::string_view body) {
-  std::string out;
-  out.reserve(id.size() + fields.text().size() + body.size() + kRequestRoom);
-  out.append("serve ").append(id).append(" ").append(fields.text()).append(" ");
-  out.append(std::to_string(body.size())).append("\r\n").append(body).append("\r\n");
-  return out;
+  std::string request;
+  request.reserve(id.size() + fields.text().size() + body.size() + kRequestReserveBytes);
+  request.append("serve ").append(id).append(" ").append(fields.text()).append(" ");
+  request.append(std::to_string(body.size())).append("\r\n").append(body).append("\r\n");
+  return request;
 }
 
 std::string write_cancel(std::string_view id) { return std::string("cancel ").append(id).append("\r\n"); }
@@ -88,7 +89,7 @@
   response.id = take_word(line);
   const std::string_view status_word = take_word(line);
   response.fields = take_word(line);
-  const std::optional<std::size_t> body_size = size_of(take_word(line));
+  const std::optional<std::size_t> body_size = parse_size(take_word(line));
   if (response.id.empty() || response.fields.empty() || !line.empty() || !body_size) {
     error_ = LineError::not_a_response;
     return false;
@@ -98,7 +99,7 @@
     error_ = LineError::body_too_long;
     return false;
   }
-  const std::optional<CacheResponseStatus> status = status_of(status_word);
+  const std::optional<CacheResponseStatus> status = parse_status(status_word);
   if (!status) {
     error_ = LineError::unknown_word;
     return false;
--- a/src/codec/event_stream.cpp
+++ b/src/codec/event_stream.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
-constexpr std::string_view kVersion = "http/1.";
+constexpr std::string_view kVersionPrefix = "http/1.";
 constexpr std::string_view kOkStatus = " 200";
 constexpr std::size_t kStatusOffset = 8;  // of the status in the response line
 constexpr std::size_t kMaxChunkHeaderBytes = 1024;
@@ -20,7 +20,7 @@
 
 /// `head`: in lower case.
 bool is_ok(std::string_view head) {
-  return head.starts_with(kVersion) && head.find(kOkStatus) == kStatusOffset;
+  return head.starts_with(kVersionPrefix) && head.find(kOkStatus) == kStatusOffset;
 }
 
 /// `head`: in lower case.
@@ -52,31 +52,31 @@
 
 std::string write_stream_request(std::string_view host, std::string_view path,
                                  std::string_view last_event_id) {
-  std::string out;
-  out.append("GET ").append(path).append(" HTTP/1.1\r\nHost: ").append(host);
-  out.append("\r\nAccept: text/event-stream\r\nLast-Event-ID: ").append(last_event_id).append("\r\n\r\n");
-  return out;
+  std::string request;
+  request.append("GET ").append(path).append(" HTTP/1.1\r\nHost: ").append(host);
+  request.append("\r\nAccept: text/event-stream\r\nLast-Event-ID: ").append(last_event_id).append("\r\n\r\n");
+  return request;
 }
 
 void EventStreamReader::feed(std::string_view bytes) {
   if (error_ != StreamError::none) return;
-  raw_.append(bytes);
+  received_.append(bytes);
   if (!in_body_ && !read_head()) return;
   if (is_chunked_) {
     decode_chunks();
   } else {
-    text_.append(std::exchange(raw_, {}));
+    decoded_.append(std::exchange(received_, {}));
   }
 }
 
 bool EventStreamReader::read_head() {
-  const std::size_t end = raw_.find(kHeadEnd);
+  const std::size_t end = received_.find(kHeadEnd);
   if (end == std::string::npos) {
-    if (raw_.size() > kMaxHead) error_ = StreamError::head_too_long;
+    if (received_.size() > kMaxHead) error_ = StreamError::head_too_long;
     return false;
   }
-  const std::string head = to_lower(std::string_view(raw_).substr(0, end));
-  raw_.erase(0, end + kHeadEnd.size());
+  const std::string head = to_lower(std::string_view(received_).substr(0, end));
+  received_.erase(0, end + kHeadEnd.size());
   if (!is_ok(head)) {
     error_ = StreamError::not_ok;
     return false;
@@ -88,24 +88,24 @@
 }
 
 void EventStreamReader::decode_chunks() {
-  std::size_t at = 0;
-  while (at < raw_.size()) {
-    if (chunk_left_ == 0) {
-      const std::optional<std::size_t> chunk = read_chunk_header(at);
-      if (!chunk) break;
-      at = *chunk;
+  std::size_t position = 0;
+  while (position < received_.size()) {
+    if (chunk_remaining_ == 0) {
+      const std::optional<std::size_t> data_start = read_chunk_header(position);
+      if (!data_start) break;
+      position = *data_start;
       continue;
     }
-    const std::size_t part = std::min(chunk_left_, raw_.size() - at);
-    text_.append(raw_, at, part);
-    at += part;
-    chunk_left_ -= part;
+    const std::size_t part = std::min(chunk_remaining_, received_.size() - position);
+    decoded_.append(received_, position, part);
+    position += part;
+    chunk_remaining_ -= part;
   }
-  raw_.erase(0, at);
+  received_.erase(0, position);
 }
 
-std::optional<std::size_t> EventStreamReader::read_chunk_header(std::size_t at) {
-  const std::string_view header = std::string_view(raw_).substr(at);
+std::optional<std::size_t> EventStreamReader::read_chunk_header(std::size_t position) {
+  const std::string_view header = std::string_view(received_).substr(position);
   std::size_t start = 0;
   if (has_previous_chunk_) {
     if (header.size() < kLineEnd.size()) return std::nullopt;
@@ -121,22 +121,23 @@
     return std::nullopt;
   }
   const char* const size_end = header.data() + end;
-  const auto [stop, error] = std::from_chars(header.data() + start, size_end, chunk_left_, kHexadecimal);
-  const bool is_terminated = stop == size_end || *stop == ';';
-  if (error != std::errc{} || !is_terminated || chunk_left_ > kMaxEvent) {
+  const auto [parsed_end, error] =
+      std::from_chars(header.data() + start, size_end, chunk_remaining_, kHexadecimal);
+  const bool is_terminated = parsed_end == size_end || *parsed_end == ';';
+  if (error != std::errc{} || !is_terminated || chunk_remaining_ > kMaxEvent) {
     error_ = StreamError::bad_chunk;
     return std::nullopt;
   }
   has_previous_chunk_ = true;
-  return at + end + kLineEnd.size();
+  return position + end + kLineEnd.size();
 }
 
 std::optional<std::string> EventStreamReader::take_line() {
-  const std::size_t end = text_.find('\n');
+  const std::size_t end = decoded_.find('\n');
   if (end == std::string::npos) return std::nullopt;
   ++lines_;
-  std::string line = text_.substr(0, end);
-  text_.erase(0, end + 1);
+  std::string line = decoded_.substr(0, end);
+  decoded_.erase(0, end + 1);
   if (!line.empty() && line.back() == '\r') line.pop_back();
   return line;
 }
@@ -165,7 +166,7 @@
     if (std::exchange(has_data_, false)) return event;
   }
   // Guards against an endless line or event filling the memory.
-  if (text_.size() + event_.data.size() > kMaxEvent) error_ = StreamError::event_too_long;
+  if (decoded_.size() + event_.data.size() > kMaxEvent) error_ = StreamError::event_too_long;
   return std::nullopt;
 }
 
--- a/src/codec/event_stream.h
+++ b/src/codec/event_stream.h
@@ -43,20 +43,20 @@
 
  private:
   bool read_head();
-  /// Moves the bytes of complete chunk parts from `raw_` to `text_`.
+  /// Moves the bytes of complete chunk parts from `received_` to `decoded_`.
   void decode_chunks();
-  /// Reads the size of the next chunk; returns the position after it in `raw_`, or none where bytes are
+  /// Reads the size of the next chunk; returns the position after it in `received_`, or none where bytes are
   /// missing or an error is set.
-  std::optional<std::size_t> read_chunk_header(std::size_t at);
-  /// Takes the next line of `text_` off, without its end; none where it is incomplete.
+  std::optional<std::size_t> read_chunk_header(std::size_t position);
+  /// Takes the next line of `decoded_` off, without its end; none where it is incomplete.
   std::optional<std::string> take_line();
   void read_field(std::string_view line);
 
-  std::string raw_;   // received: the head, then chunks or the stream itself
-  std::string text_;  // of the stream itself
+  std::string received_;  // received: the head, then chunks or the stream itself
+  std::string decoded_;   // of the stream itself
   bool in_body_ = false;
   bool is_chunked_ = false;
-  std::size_t chunk_left_ = 0;       // bytes of the current chunk that are not yet in `text_`
+  std::size_t chunk_remaining_ = 0;  // bytes of the current chunk that are not yet in `decoded_`
   bool has_previous_chunk_ = false;  // its line end stands before the next size
   StreamEvent event_;
   bool has_data_ = false;
--- a/src/codec/http_call.cpp
+++ b/src/codec/http_call.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kLineEnd = "\r\n";
-constexpr std::string_view kVersion = "HTTP/1.";
+constexpr std::string_view kVersionPrefix = "HTTP/1.";
 // Statuses that the admin address replies with.
 constexpr int kStatusOk = 200;
 constexpr int kStatusAccepted = 202;
@@ -58,18 +58,19 @@
 std::optional<std::size_t> content_length(std::string_view head) {
   constexpr std::string_view kName = "\r\ncontent-length:";
   const std::string lowered = to_lower(head);
-  std::size_t at = lowered.find(kName);
-  if (at == std::string::npos) return 0;
-  at += kName.size();
-  while (lowered[at] == ' ') ++at;
+  std::size_t position = lowered.find(kName);
+  if (position == std::string::npos) return 0;
+  position += kName.size();
+  while (lowered[position] == ' ') ++position;
   std::size_t length = 0;
-  const auto [end, error] = std::from_chars(lowered.data() + at, lowered.data() + lowered.size(), length);
+  const auto [end, error] =
+      std::from_chars(lowered.data() + position, lowered.data() + lowered.size(), length);
   if (error != std::errc{} || *end != '\r') return std::nullopt;
   return length;
 }
 
 /// The reason phrase of a status.
-std::string_view reason_of(int status) {
+std::string_view reason_phrase(int status) {
   switch (status) {
     case kStatusOk:
       return "OK";
@@ -123,7 +124,7 @@
   const std::size_t target_start = method_end == std::string_view::npos ? method_end : method_end + 1;
   const std::size_t target_end = line.find(' ', target_start);
   is_broken_ = target_end == std::string_view::npos || method_end == 0 ||
-               !line.substr(target_end + 1).starts_with(kVersion);
+               !line.substr(target_end + 1).starts_with(kVersionPrefix);
   if (is_broken_) return std::nullopt;
   std::optional<std::string> path = decode_path(line.substr(target_start, target_end - target_start));
   is_broken_ = !path || path->empty();
@@ -137,11 +138,11 @@
 }
 
 std::string write_http_response(int status, std::string_view body) {
-  std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
-  out.append(reason_of(status))
+  std::string response = "HTTP/1.1 " + std::to_string(status) + " ";
+  response.append(reason_phrase(status))
       .append("\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: ");
-  out.append(std::to_string(body.size())).append("\r\n\r\n").append(body);
-  return out;
+  response.append(std::to_string(body.size())).append("\r\n\r\n").append(body);
+  return response;
 }
 
 }  // namespace edge_proxy::codec
--- a/src/codec/thrift.cpp
+++ b/src/codec/thrift.cpp
@@ -30,7 +30,7 @@
 constexpr std::size_t kFrameLengthBytes = 4;
 constexpr int kMaxDepth = 16;                     // of nested containers
 constexpr std::size_t kMaxIdleBuffer = 4 * 1024;  // bytes of capacity that an idle connection keeps
-constexpr std::size_t kHeaderRoom = 64;           // bytes reserved for a message's header and field headers
+constexpr std::size_t kHeaderReserveBytes = 64;   // bytes reserved for a message's header and field headers
 
 // The methods of the service, and the field ids of their arguments and results.
 constexpr std::string_view kProcessMethod = "process";
@@ -42,7 +42,7 @@
 constexpr std::int16_t kResultId = 0;
 constexpr std::int16_t kReplyBodyId = 1;
 constexpr std::int16_t kReplyFieldsId = 2;
-constexpr std::int16_t kReplyIsGoodId = 3;
+constexpr std::int16_t kReplyIsSuccessId = 3;
 constexpr std::int16_t kDeclaredExceptionFieldsId = 1;
 constexpr std::int16_t kApplicationExceptionTextId = 1;
 constexpr std::int16_t kApplicationExceptionErrorId = 2;
@@ -120,25 +120,27 @@
  private:
   void skip_struct(int depth) {
     while (!failed()) {
-      const TypeByte field = type();
-      if (failed() || field == TypeByte::stop) return;
+      const TypeByte field_type = type();
+      if (failed() || field_type == TypeByte::stop) return;
       take(sizeof(std::int16_t));
-      skip(field, depth + 1);
+      skip(field_type, depth + 1);
     }
   }
 
   void skip_map(int depth) {
-    const TypeByte key = type();
-    const TypeByte value = type();
-    for (std::uint32_t left = u32(); left > 0 && !failed(); --left) {
-      skip(key, depth + 1);
-      skip(value, depth + 1);
+    const TypeByte key_type = type();
+    const TypeByte value_type = type();
+    for (std::uint32_t remaining = u32(); remaining > 0 && !failed(); --remaining) {
+      skip(key_type, depth + 1);
+      skip(value_type, depth + 1);
     }
   }
 
   void skip_list(int depth) {
-    const TypeByte item = type();
-    for (std::uint32_t left = u32(); left > 0 && !failed(); --left) skip(item, depth + 1);
+    const TypeByte element_type = type();
+    for (std::uint32_t remaining = u32(); remaining > 0 && !failed(); --remaining) {
+      skip(element_type, depth + 1);
+    }
   }
 
   std::string_view rest_;
@@ -147,44 +149,45 @@
 
 /// Goes through the fields of a struct; `read_field(id, type)` returns whether it has read the value.
 template <typename ReadField>
-void for_each_field(Cursor& in, ReadField&& read_field) {
-  while (!in.failed()) {
-    const TypeByte type = in.type();
-    if (in.failed() || type == TypeByte::stop) return;
-    const std::int16_t id = in.i16();
-    if (!in.failed() && !read_field(id, type)) in.skip(type, 1);
+void for_each_field(Cursor& cursor, ReadField&& read_field) {
+  while (!cursor.failed()) {
+    const TypeByte type = cursor.type();
+    if (cursor.failed() || type == TypeByte::stop) return;
+    const std::int16_t id = cursor.i16();
+    if (!cursor.failed() && !read_field(id, type)) cursor.skip(type, 1);
   }
 }
 
 /// Reads the map of `process` into `fields`; false: its keys or values are no strings, and it was skipped.
-bool read_string_map(Cursor& in, StringMap& fields) {
-  const TypeByte key = in.type();
-  const TypeByte value = in.type();
-  std::uint32_t left = in.u32();
-  const bool has_strings = left == 0 || (key == TypeByte::string && value == TypeByte::string);
+bool read_string_map(Cursor& cursor, StringMap& fields) {
+  const TypeByte key_type = cursor.type();
+  const TypeByte value_type = cursor.type();
+  std::uint32_t remaining = cursor.u32();
+  const bool holds_strings =
+      remaining == 0 || (key_type == TypeByte::string && value_type == TypeByte::string);
   fields.clear();
-  for (; left > 0 && !in.failed(); --left) {
-    if (has_strings) {
-      std::string name(in.text());
-      fields.emplace_back(std::move(name), in.text());
+  for (; remaining > 0 && !cursor.failed(); --remaining) {
+    if (holds_strings) {
+      std::string name(cursor.text());
+      fields.emplace_back(std::move(name), cursor.text());
     } else {
-      in.skip(key, 1);
-      in.skip(value, 1);
+      cursor.skip(key_type, 1);
+      cursor.skip(value_type, 1);
     }
   }
-  return has_strings;
+  return holds_strings;
 }
 
-ProcessCall read_process(Cursor& in) {
+ProcessCall read_process(Cursor& cursor) {
   ProcessCall call;
   bool has_fields = false;
-  for_each_field(in, [&](std::int16_t id, TypeByte type) {
+  for_each_field(cursor, [&](std::int16_t id, TypeByte type) {
     if (id == kProcessBodyId && type == TypeByte::string) {
-      call.body = in.text();
+      call.body = cursor.text();
       return true;
     }
     if (id == kProcessFieldsId && type == TypeByte::map) {
-      if (!read_string_map(in, call.fields)) call.is_readable = false;
+      if (!read_string_map(cursor, call.fields)) call.is_readable = false;
       has_fields = true;
       return true;
     }
@@ -195,20 +198,21 @@
   return call;
 }
 
-CancelCall read_cancel(Cursor& in) {
+CancelCall read_cancel(Cursor& cursor) {
   CancelCall call;
-  for_each_field(in, [&](std::int16_t id, TypeByte type) {
+  for_each_field(cursor, [&](std::int16_t id, TypeByte type) {
     if (id != kCancelSequenceId || type != TypeByte::i32) return false;
-    call.sequence_id = in.i32();
+    call.sequence_id = cursor.i32();
     return true;
   });
   return call;
 }
 
-std::variant<UnknownCall, ProcessCall, CancelCall, PingCall> read_call(Cursor& in, std::string_view method) {
-  if (method == kProcessMethod) return read_process(in);
-  if (method == kCancelMethod) return read_cancel(in);
-  in.skip(TypeByte::structure, 0);
+std::variant<UnknownCall, ProcessCall, CancelCall, PingCall> read_call(Cursor& cursor,
+                                                                       std::string_view method) {
+  if (method == kProcessMethod) return read_process(cursor);
+  if (method == kCancelMethod) return read_cancel(cursor);
+  cursor.skip(TypeByte::structure, 0);
   if (method == kPingMethod) return PingCall{};
   return UnknownCall{std::string(method)};
 }
@@ -218,7 +222,7 @@
  public:
   /// `body_size`: bytes to be written after the header, to reserve memory for them.
   Writer(MessageType type, std::string_view method, std::int32_t sequence_id, std::size_t body_size) {
-    out_.reserve(body_size + method.size() + kHeaderRoom);
+    frame_.reserve(body_size + method.size() + kHeaderReserveBytes);
     u32(0);  // the frame's length, set by finish()
     u32(kStrictVersion | static_cast<std::uint32_t>(type));
     text(method);
@@ -231,7 +235,7 @@
   }
   void stop() { type(TypeByte::stop); }
   void type(TypeByte value) { byte(static_cast<std::uint8_t>(value)); }
-  void byte(std::uint8_t value) { out_.push_back(static_cast<char>(value)); }
+  void byte(std::uint8_t value) { frame_.push_back(static_cast<char>(value)); }
   void u32(std::uint32_t value) {
     for (int shift = kTopByteShift; shift >= 0; shift -= kByteBits) {
       byte(static_cast<std::uint8_t>(value >> shift));
@@ -239,7 +243,7 @@
   }
   void text(std::string_view value) {
     u32(static_cast<std::uint32_t>(value.size()));
-    out_.append(value);
+    frame_.append(value);
   }
   void map(const StringMap& values) {
     type(TypeByte::string);
@@ -252,16 +256,16 @@
   }
   /// The frame, with its length in front.
   std::string finish() {
-    const auto length = static_cast<std::uint32_t>(out_.size() - kFrameLengthBytes);
+    const auto length = static_cast<std::uint32_t>(frame_.size() - kFrameLengthBytes);
     for (std::size_t i = 0; i < kFrameLengthBytes; ++i) {
       const auto shift = kByteBits * (kFrameLengthBytes - 1 - i);
-      out_[i] = static_cast<char>(length >> shift);
+      frame_[i] = static_cast<char>(length >> shift);
     }
-    return std::move(out_);
+    return std::move(frame_);
   }
 
  private:
-  std::string out_;
+  std::string frame_;
 };
 
 }  // namespace
@@ -305,67 +309,67 @@
 }
 
 std::int32_t sequence_id_of(std::string_view frame) {
-  Cursor in(frame);
-  const bool is_strict = (in.u32() & kVersionMask) == kStrictVersion;
-  in.text();
-  const std::int32_t sequence_id = in.i32();
-  return is_strict && !in.failed() ? sequence_id : 0;
+  Cursor cursor(frame);
+  const bool is_strict = (cursor.u32() & kVersionMask) == kStrictVersion;
+  cursor.text();
+  const std::int32_t sequence_id = cursor.i32();
+  return is_strict && !cursor.failed() ? sequence_id : 0;
 }
 
 std::variant<Message, MessageError> read_message(std::string_view frame) {
-  Cursor in(frame);
-  const std::uint32_t head = in.u32();
-  if (in.failed()) return MessageError::truncated;
-  if ((head & kVersionMask) != kStrictVersion) return MessageError::not_strict;
-  const auto type = static_cast<MessageType>(head & kMessageTypeMask);
+  Cursor cursor(frame);
+  const std::uint32_t version_and_type = cursor.u32();
+  if (cursor.failed()) return MessageError::truncated;
+  if ((version_and_type & kVersionMask) != kStrictVersion) return MessageError::not_strict;
+  const auto type = static_cast<MessageType>(version_and_type & kMessageTypeMask);
   if (type != MessageType::call && type != MessageType::oneway) return MessageError::bad_type;
   Message message;
   message.type = type;
-  const std::string_view method = in.text();
-  message.sequence_id = in.i32();
-  if (in.failed()) return MessageError::truncated;
-  message.call = read_call(in, method);
-  if (in.error()) return *in.error();
+  const std::string_view method = cursor.text();
+  message.sequence_id = cursor.i32();
+  if (cursor.failed()) return MessageError::truncated;
+  message.call = read_call(cursor, method);
+  if (cursor.error()) return *cursor.error();
   return message;
 }
 
 std::string write_reply(std::int32_t sequence_id, std::string_view method, std::string_view body,
-                        const StringMap& fields, bool is_good) {
-  constexpr std::size_t kFieldsRoom = 128;
-  Writer out(MessageType::reply, method, sequence_id, body.size() + kFieldsRoom);
-  out.field(TypeByte::structure, kResultId);
-  out.field(TypeByte::string, kReplyBodyId);
-  out.text(body);
-  out.field(TypeByte::map, kReplyFieldsId);
-  out.map(fields);
-  out.field(TypeByte::boolean, kReplyIsGoodId);
-  out.byte(is_good ? 1 : 0);
-  out.stop();
-  out.stop();
-  return out.finish();
+                        const StringMap& fields, bool is_success) {
+  constexpr std::size_t kFieldsReserveBytes = 128;
+  Writer writer(MessageType::reply, method, sequence_id, body.size() + kFieldsReserveBytes);
+  writer.field(TypeByte::structure, kResultId);
+  writer.field(TypeByte::string, kReplyBodyId);
+  writer.text(body);
+  writer.field(TypeByte::map, kReplyFieldsId);
+  writer.map(fields);
+  writer.field(TypeByte::boolean, kReplyIsSuccessId);
+  writer.byte(is_success ? 1 : 0);
+  writer.stop();
+  writer.stop();
+  return writer.finish();
 }
 
 std::string write_declared_exception(std::int32_t sequence_id, std::int16_t field, const StringMap& fields) {
-  constexpr std::size_t kFieldsRoom = 64;
-  Writer out(MessageType::reply, kProcessMethod, sequence_id, kFieldsRoom);
-  out.field(TypeByte::structure, field);
-  out.field(TypeByte::map, kDeclaredExceptionFieldsId);
-  out.map(fields);
-  out.stop();
-  out.stop();
-  return out.finish();
+  constexpr std::size_t kFieldsReserveBytes = 64;
+  Writer writer(MessageType::reply, kProcessMethod, sequence_id, kFieldsReserveBytes);
+  writer.field(TypeByte::structure, field);
+  writer.field(TypeByte::map, kDeclaredExceptionFieldsId);
+  writer.map(fields);
+  writer.stop();
+  writer.stop();
+  return writer.finish();
 }
 
 std::string write_application_exception(std::int32_t sequence_id, std::string_view method,
                                         ApplicationError error, std::string_view text) {
-  constexpr std::size_t kFieldsRoom = 32;
-  Writer out(MessageType::exception, method, sequence_id, text.size() + kFieldsRoom);
-  out.field(TypeByte::string, kApplicationExceptionTextId);
-  out.text(text);
-  out.field(TypeByte::i32, kApplicationExceptionErrorId);
-  out.u32(static_cast<std::uint32_t>(error));
-  out.stop();
-  return out.finish();
+  constexpr std::size_t kFieldsReserveBytes = 32;
+  Writer writer(MessageType::exception, method, sequence_id, text.size() + kFieldsReserveBytes);
+  writer.field(TypeByte::string, kApplicationExceptionTextId);
+  writer.text(text);
+  writer.field(TypeByte::i32, kApplicationExceptionErrorId);
+  writer.u32(static_cast<std::uint32_t>(error));
+  writer.stop();
+  return writer.finish();
 }
 
 }  // namespace edge_proxy::codec
--- a/src/codec/thrift.h
+++ b/src/codec/thrift.h
@@ -89,7 +89,7 @@
 
 /// The result of `process` or of the readiness check.
 [[nodiscard]] std::string write_reply(std::int32_t sequence_id, std::string_view method,
-                                      std::string_view body, const StringMap& fields, bool is_good);
+                                      std::string_view body, const StringMap& fields, bool is_success);
 
 /// A declared exception of `process`: `field` 1 is Trylater, 2 is Aborted.
 [[nodiscard]] std::string write_declared_exception(std::int32_t sequence_id, std::int16_t field,
