--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -46,8 +46,8 @@
   if (colon == std::string::npos || colon == 0) return false;
   const char* const end = address.data() + address.size();
   int port = 0;
-  const auto [stop, error] = std::from_chars(address.data() + colon + 1, end, port);
-  return error == std::errc{} && stop == end && port > 0 && port <= kMaxPort;
+  const auto [parsed_end, error] = std::from_chars(address.data() + colon + 1, end, port);
+  return error == std::errc{} && parsed_end == end && port > 0 && port <= kMaxPort;
 }
 
 void check_address(const std::string& key, const std::string& address) {
@@ -56,17 +56,17 @@
 
 /// The listen address of the clients' side: GW_LISTEN, where set, else the key `listen`.
 std::string read_listen_address(const Fields& root, const Environment& environment) {
-  const std::string from_variable = from_environment(environment, "GW_LISTEN");
-  std::string address = from_variable.empty() ? root.text("listen") : from_variable;
-  check_address(from_variable.empty() ? "listen" : "GW_LISTEN", address);
+  const std::string environment_value = from_environment(environment, "GW_LISTEN");
+  std::string address = environment_value.empty() ? root.text("listen") : environment_value;
+  check_address(environment_value.empty() ? "listen" : "GW_LISTEN", address);
   return address;
 }
 
 /// The admin address: GW_ADMIN_ADDR, where set, else the key `admin_addr`; empty: there is none.
 std::string read_admin_address(const Fields& root, const Environment& environment) {
-  const std::string from_variable = from_environment(environment, "GW_ADMIN_ADDR");
-  std::string address = from_variable.empty() ? root.text("admin_addr", "") : from_variable;
-  if (!address.empty()) check_address(from_variable.empty() ? "admin_addr" : "GW_ADMIN_ADDR", address);
+  const std::string environment_value = from_environment(environment, "GW_ADMIN_ADDR");
+  std::string address = environment_value.empty() ? root.text("admin_addr", "") : environment_value;
+  if (!address.empty()) check_address(environment_value.empty() ? "admin_addr" : "GW_ADMIN_ADDR", address);
   return address;
 }
 
@@ -107,8 +107,8 @@
   return bytes_per_s;
 }
 
-Time read_positive_time(const Fields& fields, const char* name, Time absent) {
-  const Time value = fields.time(name, absent);
+Time read_positive_time(const Fields& fields, const char* name, Time default_value) {
+  const Time value = fields.time(name, default_value);
   if (value <= Time{0}) fields.fail(name, "should be more than 0");
   return value;
 }
@@ -127,8 +127,8 @@
 
 void read_cluster_sections(const Fields& root, Config& config) {
   if (root.find("peers") != nullptr) {
-    const ProxyFacts proxy{config.name, config.settings.zone, config.settings.router_count,
-                           config.max_descriptors};
+    const ProxyProperties proxy{config.name, config.settings.zone, config.settings.router_count,
+                                config.max_descriptors};
     config.membership = read_membership_config(root.object("peers"), proxy);
   }
   if (root.find("policy") == nullptr) return;
@@ -139,10 +139,10 @@
 }
 
 std::string to_json(const Json& value) {
-  rapidjson::StringBuffer text;
-  rapidjson::Writer<rapidjson::StringBuffer> writer(text);
+  rapidjson::StringBuffer buffer;
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
   value.Accept(writer);
-  return text.GetString();
+  return buffer.GetString();
 }
 
 void read_known_events(const Fields& known, Config& config) {
@@ -158,8 +158,8 @@
   // Iterative: guards against nesting that would use up the stack.
   document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
   if (document.HasParseError()) {
-    const std::string place = "not JSON at byte " + std::to_string(document.GetErrorOffset());
-    throw FieldError(0, "", place + ": " + rapidjson::GetParseError_En(document.GetParseError()));
+    const std::string problem = "not JSON at byte " + std::to_string(document.GetErrorOffset());
+    throw FieldError(0, "", problem + ": " + rapidjson::GetParseError_En(document.GetParseError()));
   }
   return document;
 }
@@ -182,16 +182,16 @@
   return config;
 }
 
-std::vector<std::string> restart_only_keys(const Config& running, const Config& read) {
+std::vector<std::string> restart_only_keys(const Config& running, const Config& loaded) {
   std::vector<std::string> keys;
-  if (running.name != read.name) keys.emplace_back("name");
-  if (running.listen_address != read.listen_address) keys.emplace_back("listen");
-  if (running.admin_address != read.admin_address) keys.emplace_back("admin_addr");
-  if (running.flow_bytes_per_s != read.flow_bytes_per_s) keys.emplace_back("flow_bytes_per_s");
-  if (running.link_bytes_per_s != read.link_bytes_per_s) keys.emplace_back("link_bytes_per_s");
-  if (running.membership != read.membership) keys.emplace_back("peers");
-  if (running.policy != read.policy) keys.emplace_back("policy");
-  if (running.settings_text != read.settings_text) keys.emplace_back("settings");
+  if (running.name != loaded.name) keys.emplace_back("name");
+  if (running.listen_address != loaded.listen_address) keys.emplace_back("listen");
+  if (running.admin_address != loaded.admin_address) keys.emplace_back("admin_addr");
+  if (running.flow_bytes_per_s != loaded.flow_bytes_per_s) keys.emplace_back("flow_bytes_per_s");
+  if (running.link_bytes_per_s != loaded.link_bytes_per_s) keys.emplace_back("link_bytes_per_s");
+  if (running.membership != loaded.membership) keys.emplace_back("peers");
+  if (running.policy != loaded.policy) keys.emplace_back("policy");
+  if (running.settings_text != loaded.settings_text) keys.emplace_back("settings");
   return keys;
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -40,7 +40,7 @@
 
 /// The keys whose values differ and that take effect with a restart only. The seed and the known discovery
 /// events are left out: they describe a start.
-[[nodiscard]] std::vector<std::string> restart_only_keys(const Config& running, const Config& read);
+[[nodiscard]] std::vector<std::string> restart_only_keys(const Config& running, const Config& loaded);
 
 /// Reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN and GW_ADMIN_ADDR, where set, override it.
 /// Throws FieldError, which carries the faulty key.
--- a/src/config/fields.cpp
+++ b/src/config/fields.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 std::string error_text(std::size_t line, const std::string& key, const std::string& problem) {
-  const std::string place = line == 0 ? std::string() : "line " + std::to_string(line) + ", ";
-  return place + "field '" + key + "': " + problem;
+  const std::string location = line == 0 ? std::string() : "line " + std::to_string(line) + ", ";
+  return location + "field '" + key + "': " + problem;
 }
 
 }  // namespace
@@ -43,31 +43,33 @@
 
 std::int64_t Fields::integer(const char* name) const { return to_integer(name, required(name)); }
 
-std::int64_t Fields::integer(const char* name, std::int64_t absent) const {
+std::int64_t Fields::integer(const char* name, std::int64_t default_value) const {
   const Json* found = find(name);
-  return found == nullptr ? absent : to_integer(name, *found);
+  return found == nullptr ? default_value : to_integer(name, *found);
 }
 
 int Fields::small_integer(const char* name) const { return to_small_integer(name, integer(name)); }
 
-int Fields::small_integer(const char* name, int absent) const {
-  return to_small_integer(name, integer(name, absent));
+int Fields::small_integer(const char* name, int default_value) const {
+  return to_small_integer(name, integer(name, default_value));
 }
 
 Time Fields::time(const char* name) const { return Time{integer(name)}; }
 
-Time Fields::time(const char* name, Time absent) const { return Time{integer(name, absent.count())}; }
+Time Fields::time(const char* name, Time default_value) const {
+  return Time{integer(name, default_value.count())};
+}
 
-double Fields::number(const char* name, double absent) const {
+double Fields::number(const char* name, double default_value) const {
   const Json* found = find(name);
-  if (found == nullptr) return absent;
+  if (found == nullptr) return default_value;
   if (!found->IsNumber()) fail(name, "should be a number");
   return found->GetDouble();
 }
 
-bool Fields::boolean(const char* name, bool absent) const {
+bool Fields::boolean(const char* name, bool default_value) const {
   const Json* found = find(name);
-  if (found == nullptr) return absent;
+  if (found == nullptr) return default_value;
   if (!found->IsBool()) fail(name, "should be true or false");
   return found->GetBool();
 }
@@ -78,8 +80,8 @@
   return {found.GetString(), found.GetStringLength()};
 }
 
-std::string Fields::text(const char* name, const char* absent) const {
-  return find(name) == nullptr ? absent : text(name);
+std::string Fields::text(const char* name, const char* default_value) const {
+  return find(name) == nullptr ? default_value : text(name);
 }
 
 Fields Fields::object(const char* name) const { return {required(name), line_, path_ + name + "."}; }
@@ -91,35 +93,35 @@
 }
 
 std::vector<Fields> Fields::objects(const char* name) const {
-  std::vector<Fields> all;
-  const Json& items = list(name, required(name));
+  std::vector<Fields> values;
+  const Json& items = require_list(name, required(name));
   for (rapidjson::SizeType i = 0; i < items.Size(); ++i) {
     const std::string path = path_ + name + "[" + std::to_string(i) + "].";
-    all.emplace_back(items[i], line_, path);
+    values.emplace_back(items[i], line_, path);
   }
-  return all;
+  return values;
 }
 
 std::vector<double> Fields::numbers(const char* name) const {
-  std::vector<double> all;
+  std::vector<double> values;
   const Json* found = find(name);
-  if (found == nullptr) return all;
-  for (const Json& item : list(name, *found).GetArray()) {
+  if (found == nullptr) return values;
+  for (const Json& item : require_list(name, *found).GetArray()) {
     if (item.IsBool()) {
-      all.push_back(item.GetBool() ? 1 : 0);
+      values.push_back(item.GetBool() ? 1 : 0);
     } else if (item.IsNumber()) {
-      all.push_back(item.GetDouble());
+      values.push_back(item.GetDouble());
     } else {
       fail(name, "should hold numbers");
     }
   }
-  return all;
+  return values;
 }
 
 std::vector<std::string> Fields::strings(const char* name) const {
-  std::vector<std::string> all;
-  for_each_string(name, [&all](std::string item) { all.push_back(std::move(item)); });
-  return all;
+  std::vector<std::string> values;
+  for_each_string(name, [&values](std::string item) { values.push_back(std::move(item)); });
+  return values;
 }
 
 std::uint64_t Fields::object_id(const char* name) const {
@@ -145,7 +147,7 @@
   return static_cast<int>(value);
 }
 
-const Json& Fields::list(const char* name, const Json& value) const {
+const Json& Fields::require_list(const char* name, const Json& value) const {
   if (!value.IsArray()) fail(name, "should be a list");
   return value;
 }
--- a/src/config/fields.h
+++ b/src/config/fields.h
@@ -56,17 +56,17 @@
 
   /// Integers of 64 bits; one above the signed range keeps its bits (seeds use all 64).
   [[nodiscard]] std::int64_t integer(const char* name) const;
-  [[nodiscard]] std::int64_t integer(const char* name, std::int64_t absent) const;
+  [[nodiscard]] std::int64_t integer(const char* name, std::int64_t default_value) const;
   /// Integers that fit an int.
   [[nodiscard]] int small_integer(const char* name) const;
-  [[nodiscard]] int small_integer(const char* name, int absent) const;
+  [[nodiscard]] int small_integer(const char* name, int default_value) const;
   /// Microseconds.
   [[nodiscard]] Time time(const char* name) const;
-  [[nodiscard]] Time time(const char* name, Time absent) const;
-  [[nodiscard]] double number(const char* name, double absent) const;
-  [[nodiscard]] bool boolean(const char* name, bool absent) const;
+  [[nodiscard]] Time time(const char* name, Time default_value) const;
+  [[nodiscard]] double number(const char* name, double default_value) const;
+  [[nodiscard]] bool boolean(const char* name, bool default_value) const;
   [[nodiscard]] std::string text(const char* name) const;
-  [[nodiscard]] std::string text(const char* name, const char* absent) const;
+  [[nodiscard]] std::string text(const char* name, const char* default_value) const;
 
   /// An enumeration whose enumerators count from 0 in the order of `words`.
   template <typename Enum, std::size_t N>
@@ -79,8 +79,8 @@
   }
   template <typename Enum, std::size_t N>
   [[nodiscard]] Enum enumerator(const char* name, const std::array<std::string_view, N>& words,
-                                Enum absent) const {
-    return find(name) == nullptr ? absent : enumerator<Enum>(name, words);
+                                Enum default_value) const {
+    return find(name) == nullptr ? default_value : enumerator<Enum>(name, words);
   }
 
   [[nodiscard]] Fields object(const char* name) const;
@@ -95,7 +95,7 @@
   /// Calls `visit(std::string)` for each string of a list, and stops at the first item that is none.
   template <typename Visit>
   void for_each_string(const char* name, Visit&& visit) const {
-    for (const Json& item : list(name, required(name)).GetArray()) {
+    for (const Json& item : require_list(name, required(name)).GetArray()) {
       if (!item.IsString()) fail(name, "should hold strings");
       visit(std::string(item.GetString(), item.GetStringLength()));
     }
@@ -107,7 +107,7 @@
  private:
   [[nodiscard]] std::int64_t to_integer(const char* name, const Json& value) const;
   [[nodiscard]] int to_small_integer(const char* name, std::int64_t value) const;
-  [[nodiscard]] const Json& list(const char* name, const Json& value) const;
+  [[nodiscard]] const Json& require_list(const char* name, const Json& value) const;
 
   const Json& value_;
   std::size_t line_;
--- a/src/config/membership_config.cpp
+++ b/src/config/membership_config.cpp
@@ -27,13 +27,13 @@
   return value;
 }
 
-struct Range {
+struct IntRange {
   int min;
   int max;
 };
 
-int read_in_range(const Fields& fields, const char* name, int absent, Range range) {
-  const int value = fields.small_integer(name, absent);
+int read_in_range(const Fields& fields, const char* name, int default_value, IntRange range) {
+  const int value = fields.small_integer(name, default_value);
   if (value < range.min || value > range.max) {
     fields.fail(name, "should be " + std::to_string(range.min) + " to " + std::to_string(range.max));
   }
@@ -41,19 +41,19 @@
 }
 
 /// The same for sizes; the range holds no negative values.
-std::size_t read_size(const Fields& fields, const char* name, std::size_t absent, Range range) {
-  return static_cast<std::size_t>(read_in_range(fields, name, static_cast<int>(absent), range));
+std::size_t read_size(const Fields& fields, const char* name, std::size_t default_value, IntRange range) {
+  return static_cast<std::size_t>(read_in_range(fields, name, static_cast<int>(default_value), range));
 }
 
-Time read_interval(const Fields& fields, const char* name, Time absent) {
-  const Time value = fields.time(name, absent);
+Time read_interval(const Fields& fields, const char* name, Time default_value) {
+  const Time value = fields.time(name, default_value);
   if (value < kMinInterval || value > kMaxInterval) {
     fields.fail(name, "should be 1000 to 3600000000 microseconds");
   }
   return value;
 }
 
-void read_identity(const Fields& section, const ProxyFacts& proxy, MembershipConfig& config) {
+void read_identity(const Fields& section, const ProxyProperties& proxy, MembershipConfig& config) {
   membership::Settings& settings = config.settings;
   settings.cluster = section.text("cluster");
   if (!membership::is_valid_name(settings.cluster)) {
@@ -86,9 +86,9 @@
   if (!routes->IsObject()) section.fail("routes", "should be an object");
   for (const auto& route : routes->GetObject()) {
     if (!route.value.IsString()) section.fail("routes", "should hold strings");
-    const std::string via = checked_address(section, "routes", to_string(route.value));
+    const std::string override_address = checked_address(section, "routes", to_string(route.value));
     const std::string address = checked_address(section, "routes", to_string(route.name));
-    settings.address_overrides[address] = via;
+    settings.address_overrides[address] = override_address;
   }
 }
 
@@ -109,9 +109,10 @@
   settings.full_sync_interval = read_interval(section, "exchange_every", settings.full_sync_interval);
   settings.reconnect_interval = read_interval(section, "seek_every", settings.reconnect_interval);
   // Guards the lease against running out between two rounds of probes, at the largest size.
-  const Time rounds =
+  const Time probe_rounds_duration =
       kProbeRoundsPerQuotaLease * settings.probe_interval * static_cast<int>(settings.max_members);
-  settings.quota_lease = read_interval(section, "share_lease", std::max(settings.quota_lease, rounds));
+  settings.quota_lease =
+      read_interval(section, "share_lease", std::max(settings.quota_lease, probe_rounds_duration));
   if (settings.quota_lease < kMinQuotaLease) {
     section.fail("share_lease", "should be 2000000 microseconds or more");
   }
@@ -119,7 +120,7 @@
 
 }  // namespace
 
-MembershipConfig read_membership_config(const Fields& section, const ProxyFacts& proxy) {
+MembershipConfig read_membership_config(const Fields& section, const ProxyProperties& proxy) {
   MembershipConfig config;
   membership::Settings& settings = config.settings;
   read_identity(section, proxy, config);
--- a/src/config/membership_config.h
+++ b/src/config/membership_config.h
@@ -22,7 +22,7 @@
 };
 
 /// What the section's defaults and bounds depend on.
-struct ProxyFacts {
+struct ProxyProperties {
   std::string name;
   int zone = 0;             ///< index in the settings' zones
   int fleet_size = 1;       ///< edge proxies of the fleet, as the settings say
@@ -31,6 +31,6 @@
 
 /// Reads and checks the section of the proxy that `proxy` describes. Throws FieldError, which carries the
 /// key.
-[[nodiscard]] MembershipConfig read_membership_config(const Fields& section, const ProxyFacts& proxy);
+[[nodiscard]] MembershipConfig read_membership_config(const Fields& section, const ProxyProperties& proxy);
 
 }  // namespace edge_proxy::config
--- a/src/config/policy_config.cpp
+++ b/src/config/policy_config.cpp
@@ -37,8 +37,8 @@
   return voters;
 }
 
-Time read_lease(const Fields& section, Time absent) {
-  const Time lease = section.time("lease", absent);
+Time read_lease(const Fields& section, Time default_value) {
+  const Time lease = section.time("lease", default_value);
   if (lease < kMinLease || lease > kMaxLease) {
     section.fail("lease", "should be 1000000 to 300000000 microseconds");
   }
--- a/src/config/settings_check.cpp
+++ b/src/config/settings_check.cpp
@@ -17,11 +17,13 @@
   if (value < 0 || value > 1) fields.fail(name, "should be from 0 to 1");
 }
 
-int size_of(const Fields& fields, const char* list) { return static_cast<int>(fields.required(list).Size()); }
+int list_size(const Fields& fields, const char* list) {
+  return static_cast<int>(fields.required(list).Size());
+}
 
 void check_index(const Fields& fields, const char* name, const char* list) {
   const int index = fields.small_integer(name, 0);
-  if (index < 0 || index >= size_of(fields, list)) fields.fail(name, std::string("is no place in ") + list);
+  if (index < 0 || index >= list_size(fields, list)) fields.fail(name, std::string("is no place in ") + list);
 }
 
 void check_class(const Fields& fields, const RequestClass& request_class, std::set<std::string>& names) {
@@ -75,7 +77,7 @@
   check_bounds(fields.object_or_empty("bounds"), settings);
   const Fields specifics = fields.object_or_empty("specifics");
   check_specifics(specifics);
-  check_kinds(specifics, settings, size_of(fields, "kinds"));
+  check_kinds(specifics, settings, list_size(fields, "kinds"));
 }
 
 }  // namespace edge_proxy::config
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -50,9 +50,9 @@
 }
 
 /// The lists of the specifics that hold one value for each request class; a list may be shorter.
-class ClassLists {
+class PerClassLists {
  public:
-  explicit ClassLists(const Fields& specifics)
+  explicit PerClassLists(const Fields& specifics)
       : max_age_(specifics.numbers("max_age")),
         grace_(specifics.numbers("grace_for")),
         stale_weight_(specifics.numbers("stale_earns")),
@@ -68,8 +68,8 @@
   }
 
  private:
-  static double value_at(const std::vector<double>& values, std::size_t index, double absent) {
-    return index < values.size() ? values[index] : absent;
+  static double value_at(const std::vector<double>& values, std::size_t index, double default_value) {
+    return index < values.size() ? values[index] : default_value;
   }
   static Time to_time(double microseconds) { return Time{static_cast<std::int64_t>(microseconds)}; }
 
@@ -133,7 +133,7 @@
   read_router(fields, settings);
   const Fields specifics = fields.object_or_empty("specifics");
   read_specifics(specifics, settings);
-  const ClassLists class_lists(specifics);
+  const PerClassLists class_lists(specifics);
   for (const Fields& entry : fields.objects("request_classes")) {
     RequestClass request_class = read_class(entry);
     class_lists.apply(settings.classes.size(), request_class);
