--- a/src/simulator/action_writer.cpp
+++ b/src/simulator/action_writer.cpp
@@ -88,12 +88,12 @@
 
 void ActionWriter::operator()(const ServeFromLocalCache&) {}
 
-void ActionWriter::begin(const char* what) {
+void ActionWriter::begin(const char* kind) {
   buffer_.Clear();
   json_.Reset(buffer_);
   json_.StartObject();
   json_.Key("what");
-  json_.String(what);
+  json_.String(kind);
   number("proxy_id", instance_);
 }
 
@@ -109,8 +109,8 @@
 
 void ActionWriter::end() {
   json_.EndObject();
-  out_.write(buffer_.GetString(), static_cast<std::streamsize>(buffer_.GetSize()));
-  out_.put('\n');
+  output_.write(buffer_.GetString(), static_cast<std::streamsize>(buffer_.GetSize()));
+  output_.put('\n');
 }
 
 }  // namespace edge_proxy::simulator
--- a/src/simulator/action_writer.h
+++ b/src/simulator/action_writer.h
@@ -17,7 +17,7 @@
 /// Writes the actions of one instance to a stream, which has to outlive the writer.
 class ActionWriter {
  public:
-  ActionWriter(std::ostream& out, std::int64_t instance) : out_(out), instance_(instance) {}
+  ActionWriter(std::ostream& output, std::int64_t instance) : output_(output), instance_(instance) {}
 
   void write(const Action& action) { std::visit(*this, action); }
 
@@ -35,12 +35,12 @@
   void operator()(const ServeFromLocalCache& serve);
 
  private:
-  void begin(const char* what);
+  void begin(const char* kind);
   void text(const char* name, std::string_view value);
   void number(const char* name, std::int64_t value);
   void end();
 
-  std::ostream& out_;
+  std::ostream& output_;
   std::int64_t instance_;
   rapidjson::StringBuffer buffer_;
   rapidjson::Writer<rapidjson::StringBuffer> json_;
--- a/src/simulator/session.cpp
+++ b/src/simulator/session.cpp
@@ -12,9 +12,9 @@
 
 namespace edge_proxy::simulator {
 
-void SimulatorSession::run(std::istream& in) {
+void SimulatorSession::run(std::istream& input) {
   std::string line;
-  for (std::size_t number = 1; std::getline(in, line); ++number) handle_line(line, number);
+  for (std::size_t number = 1; std::getline(input, line); ++number) handle_line(line, number);
 }
 
 /// Parses in place: the line's text is overwritten.
@@ -57,7 +57,7 @@
   }
 }
 
-void SimulatorSession::end_batch() { out_ << "{\"what\":\"done\"}\n" << std::flush; }
+void SimulatorSession::end_batch() { output_ << "{\"what\":\"done\"}\n" << std::flush; }
 
 void SimulatorSession::create_router(const Fields& message) {
   Router router = read_router(message);
@@ -78,10 +78,10 @@
   const std::int64_t instance = read_instance(message);
   const auto found = routers_.find(instance);
   if (found == routers_.end()) message.fail("proxy_id", "names no running instance");
-  ActionWriter writer(out_, instance);
+  ActionWriter writer(output_, instance);
   for (const Action& action : found->second.handle(now_, event)) writer.write(action);
 }
 
-void serve(std::istream& in, std::ostream& out) { SimulatorSession(out).run(in); }
+void serve(std::istream& input, std::ostream& output) { SimulatorSession(output).run(input); }
 
 }  // namespace edge_proxy::simulator
--- a/src/simulator/session.h
+++ b/src/simulator/session.h
@@ -19,12 +19,12 @@
 /// Reads batches of messages and carries them out on one Router per instance.
 class SimulatorSession {
  public:
-  /// `out` takes the actions and has to outlive the session.
-  explicit SimulatorSession(std::ostream& out) : out_(out) {}
+  /// `output` takes the actions and has to outlive the session.
+  explicit SimulatorSession(std::ostream& output) : output_(output) {}
 
   /// Reads messages until the input ends. Throws WireError where a line is malformed; the lines before it
   /// have been carried out.
-  void run(std::istream& in);
+  void run(std::istream& input);
 
  private:
   void handle_line(std::string& line, std::size_t number);
@@ -34,13 +34,13 @@
   EndpointList find_list(const Fields& message) const;
   void deliver(const Fields& message, const Event& event);
 
-  std::ostream& out_;
+  std::ostream& output_;
   Time now_{0};
   std::map<std::int64_t, std::vector<Endpoint>> lists_;
   std::map<std::int64_t, Router> routers_;  // by instance
 };
 
-/// Runs one session from `in` to `out`.
-void serve(std::istream& in, std::ostream& out);
+/// Runs one session from `input` to `output`.
+void serve(std::istream& input, std::ostream& output);
 
 }  // namespace edge_proxy::simulator
