--- a/src/codec/ascii.h
+++ b/src/codec/ascii.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Letters of ASCII, whatever the locale: header names of HTTP are compared without regard to case.
+/// Locale-independent ASCII case conversion, for HTTP header names, which are case-insensitive.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace edge_proxy::codec {
 
-/// The text with its ASCII capital letters in lower case.
+/// Returns `text` with its ASCII upper-case letters converted to lower case.
 [[nodiscard]] inline std::string to_lower(std::string_view text) {
   const auto lower = [](char letter) {
     return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
--- a/src/codec/cache_lines.cpp
+++ b/src/codec/cache_lines.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr std::string_view kLineEnd = "\r\n";
-/// Bytes reserved for a request beside its id, fields and body.
+/// Bytes reserved for an encoded request in addition to its id, fields and body.
 constexpr std::size_t kRequestReserveBytes = 32;
 
-/// In the order of CacheResponseStatus.
+/// Status words on the wire, in the order of CacheResponseStatus.
 constexpr std::array<std::string_view, 8> kStatusWords{"HIT",   "VALID", "NONE", "SHED",
                                                        "FAULT", "LATE",  "PONG", "SICK"};
 
@@ -23,7 +23,7 @@
   return static_cast<CacheResponseStatus>(found - kStatusWords.begin());
 }
 
-/// The number that the whole text is.
+/// Parses a decimal number that makes up the whole of `digits`.
 std::optional<std::size_t> parse_size(std::string_view digits) {
   const char* const digits_end = digits.data() + digits.size();
   std::size_t size = 0;
@@ -32,7 +32,7 @@
   return size;
 }
 
-/// Cuts the next word off the line.
+/// Removes the next space-delimited word from the front of `line` and returns it.
 std::string_view take_word(std::string_view& line) {
   const std::size_t end = std::min(line.find(' '), line.size());
   const std::string_view word = line.substr(0, end);
@@ -77,7 +77,8 @@
   return std::string("gauges ").append(tag).append("\r\n");
 }
 
-/// Drops the bytes that were read. Guards the memory against one large response on each of many connections.
+/// Discards the decoded bytes. Also releases the buffer's memory after a large response, so that many idle
+/// connections do not each keep a large buffer.
 std::optional<CacheResponse> CacheResponseReader::wait_for_bytes() {
   buffer_.erase(0, std::exchange(consumed_, 0));
   if (buffer_.empty() && buffer_.capacity() > kMaxLine) std::string().swap(buffer_);
@@ -94,7 +95,7 @@
     error_ = LineError::not_a_response;
     return false;
   }
-  // Guards against a length that would have more buffered than any object holds.
+  // Bounds the buffer: no object is larger than kMaxBody.
   if (*body_size > kMaxBody) {
     error_ = LineError::body_too_long;
     return false;
--- a/src/codec/cache_lines.h
+++ b/src/codec/cache_lines.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The line protocol of the caches: commands are written, responses are read. No I/O.
+/// The line protocol of the caches, parents and the origin: encodes commands and decodes responses. Performs
+/// no I/O.
 #pragma once
 
 #include <optional>
@@ -9,12 +10,13 @@
 
 namespace edge_proxy::codec {
 
-/// Largest line and largest body that a cache may send, in bytes.
+/// Largest response line that a cache may send, in bytes.
 constexpr std::size_t kMaxLine = 8 * 1024;
+/// Largest response body that a cache may send, in bytes.
 constexpr std::size_t kMaxBody = 240'000;
 
-/// Builds a list of fields: `name=value,name=value`, or `-` for none. Names and values hold no `,`, `=` or
-/// space.
+/// Builds a field list: `name=value,name=value`, or `-` for an empty list. Names and values must not contain
+/// `,`, `=` or a space.
 class FieldList {
  public:
   void add(std::string_view name, std::string_view value);
@@ -24,28 +26,28 @@
   std::string text_;
 };
 
-/// The value of a field in such a list, where it is there.
+/// Returns the value of the field `name` in an encoded field list; none if the list does not contain it.
 [[nodiscard]] std::optional<std::string_view> field_in(std::string_view list, std::string_view name);
 
-/// Asks for an object; the response carries the same id.
+/// Encodes a request for an object; the response carries the same id.
 [[nodiscard]] std::string write_request(std::string_view id, const FieldList& fields, std::string_view body);
-/// Cancels the request with this id.
+/// Encodes the cancellation of the request with this id.
 [[nodiscard]] std::string write_cancel(std::string_view id);
-/// Asks for a load report; the response carries `tag` as its id.
+/// Encodes a health check, which asks for a load report; the response carries `tag` as its id.
 [[nodiscard]] std::string write_health_check(std::string_view tag);
 
-/// The result of a request, or of a health check (`healthy`, `unhealthy`).
+/// Result of a request, or of a health check (`healthy`, `unhealthy`).
 enum class CacheResponseStatus { hit, not_modified, not_found, shed, fault, expired, healthy, unhealthy };
 
-/// A complete response.
+/// A complete response of a cache.
 struct CacheResponse {
   std::string id;
   CacheResponseStatus status = CacheResponseStatus::fault;
-  std::string fields;  ///< as FieldList writes them, for field_in()
+  std::string fields;  ///< encoded as by FieldList; read with field_in()
   std::string body;
 };
 
-/// Why a stream can't be read any further.
+/// Reason why the stream cannot be decoded any further.
 enum class LineError {
   none,
   line_too_long,
@@ -54,14 +56,14 @@
   body_too_long,
   body_not_terminated
 };
-/// As log lines show it: the enumerator's name.
+/// Returns the enumerator's name, for log lines.
 [[nodiscard]] std::string_view name_of(LineError error);
 
-/// Reads responses from a stream of bytes, however it is split.
+/// Decodes responses from a byte stream that arrives in pieces of any size.
 class CacheResponseReader {
  public:
   void feed(std::string_view bytes) { buffer_.append(bytes); }
-  /// The next complete response; none where more bytes are needed or after an error.
+  /// Returns the next complete response; none if more bytes are needed or an error has occurred.
   [[nodiscard]] std::optional<CacheResponse> next();
   [[nodiscard]] LineError error() const { return error_; }
   /// Capacity of the buffer, in bytes.
@@ -69,14 +71,15 @@
 
  private:
   std::optional<CacheResponse> wait_for_bytes();
-  /// Reads the next line into `partial_response_`; false: the line is incomplete, or an error is set.
+  /// Parses the next line into `partial_response_`. Returns false if the line is incomplete or an error is
+  /// set.
   bool read_head();
   bool parse_head(std::string_view line);
 
   std::string buffer_;
-  std::size_t consumed_ = 0;                       // bytes of `buffer_` that were read
-  std::optional<CacheResponse> partial_response_;  // its line was read, its body not yet
-  std::size_t body_size_ = 0;                      // of the partial response
+  std::size_t consumed_ = 0;                       // bytes at the front of `buffer_` that are already decoded
+  std::optional<CacheResponse> partial_response_;  // the line is parsed, the body is not complete
+  std::size_t body_size_ = 0;                      // body length of the partial response
   LineError error_ = LineError::none;
 };
 
--- a/src/codec/discovery_events.cpp
+++ b/src/codec/discovery_events.cpp
@@ -10,20 +10,20 @@
 
 constexpr std::array<std::string_view, 3> kEndpointStateWords{"active", "leaving", "left"};
 
-/// The latest time that is accepted, in Unix milliseconds (about the year 33,000).
+/// Latest time that is accepted, in Unix milliseconds (about the year 33,000).
 constexpr std::int64_t kMaxUnixMs = 1'000'000'000'000'000;
-/// The service rounds the time of an invalidation down by less than this.
+/// Resolution of invalidation times: the service rounds them down by less than this.
 constexpr Time kIssuedResolution = std::chrono::milliseconds(1);
 
-/// Converts Unix milliseconds to the clock of the whole program, Unix time in microseconds. All times of the
-/// discovery service pass here.
+/// Converts Unix milliseconds to the program's clock, which is Unix time in microseconds. All times of the
+/// discovery service are converted here.
 Time to_time(const Fields& fields, const char* name, std::int64_t unix_ms) {
-  // Guards against a time that overflows when it is counted in microseconds.
+  // A larger value could overflow when it is converted to microseconds.
   if (unix_ms < 0 || unix_ms > kMaxUnixMs) fields.fail(name, "is out of range");
   return std::chrono::milliseconds(unix_ms);
 }
 
-/// The index of the field's value among `names`.
+/// Returns the index of the field's value in `names`.
 int read_index(const Fields& fields, const char* name, const std::vector<std::string>& names) {
   const std::string value = fields.text(name);
   const auto found = std::find(names.begin(), names.end(), value);
@@ -77,7 +77,7 @@
 
 DiscoveryEvent parse_discovery_event(std::string_view json, const DiscoveryNames& names) {
   rapidjson::Document document;
-  // Iterative: guards against nesting that would use up the stack.
+  // Iterative parsing keeps deeply nested input from overflowing the stack.
   document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
   if (document.HasParseError()) {
     const std::string problem = rapidjson::GetParseError_En(document.GetParseError());
--- a/src/codec/event_stream.cpp
+++ b/src/codec/event_stream.cpp
@@ -14,16 +14,16 @@
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kVersionPrefix = "http/1.";
 constexpr std::string_view kOkStatus = " 200";
-constexpr std::size_t kStatusOffset = 8;  // of the status in the response line
+constexpr std::size_t kStatusOffset = 8;  // position of kOkStatus in the status line
 constexpr std::size_t kMaxChunkHeaderBytes = 1024;
 constexpr int kHexadecimal = 16;
 
-/// `head`: in lower case.
+/// Tests whether a response head has status 200. `head` is in lower case.
 bool is_ok(std::string_view head) {
   return head.starts_with(kVersionPrefix) && head.find(kOkStatus) == kStatusOffset;
 }
 
-/// `head`: in lower case.
+/// Tests whether a response head announces the chunked transfer coding. `head` is in lower case.
 bool has_chunked_coding(std::string_view head) {
   constexpr std::string_view kName = "\r\ntransfer-encoding:";
   const std::size_t field = head.find(kName);
@@ -165,7 +165,7 @@
     StreamEvent event = std::exchange(event_, {});
     if (std::exchange(has_data_, false)) return event;
   }
-  // Guards against an endless line or event filling the memory.
+  // Bounds the memory that an endless line or event can take.
   if (decoded_.size() + event_.data.size() > kMaxEvent) error_ = StreamError::event_too_long;
   return std::nullopt;
 }
--- a/src/codec/event_stream.h
+++ b/src/codec/event_stream.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Server-sent events over HTTP/1.1, as the discovery service sends them. No I/O.
+/// Server-sent events over HTTP/1.1, as the discovery service sends them. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,54 +10,55 @@
 
 namespace edge_proxy::codec {
 
-/// Largest response head, and largest event and chunk, that are accepted, in bytes.
+/// Largest response head that is accepted, in bytes.
 constexpr std::size_t kMaxHead = 16 * 1024;
+/// Largest event, and largest chunk, that is accepted, in bytes.
 constexpr std::size_t kMaxEvent = 1024 * 1024;
 
-/// One event; an absent field is empty.
+/// One event; a field absent from the stream is empty.
 struct StreamEvent {
   std::string id;
-  std::string data;  ///< its lines joined by newlines
+  std::string data;  ///< the `data` lines, joined by newlines
 };
 
-/// Why a stream can't be read any further; `not_ok`: its status is not 200.
+/// Reason why the stream cannot be decoded any further; `not_ok`: the response status is not 200.
 enum class StreamError { none, head_too_long, not_ok, bad_chunk, event_too_long };
 
-/// The error's name, for log lines.
+/// Returns the enumerator's name, for log lines.
 [[nodiscard]] std::string_view name_of(StreamError error);
 
-/// The request for the events after `last_event_id`.
+/// Encodes the HTTP request for the events after `last_event_id`.
 [[nodiscard]] std::string write_stream_request(std::string_view host, std::string_view path,
                                                std::string_view last_event_id);
 
-/// Reads events from an HTTP response, chunked or not, however its bytes are split. Comments are ignored
-/// except in lines(), which shows that the stream is alive.
+/// Decodes events from an HTTP response, chunked or not, that arrives in pieces of any size. Comments are
+/// ignored, but lines() counts them as a sign that the stream is alive.
 class EventStreamReader {
  public:
   void feed(std::string_view bytes);
-  /// The next complete event; none where more bytes are needed or after an error.
+  /// Returns the next complete event; none if more bytes are needed or an error has occurred.
   [[nodiscard]] std::optional<StreamEvent> next();
-  /// How many lines of the stream were read so far; its head counts as one.
+  /// Number of lines decoded so far; the response head counts as one.
   [[nodiscard]] std::uint64_t lines() const { return lines_; }
   [[nodiscard]] StreamError error() const { return error_; }
 
  private:
   bool read_head();
-  /// Moves the bytes of complete chunk parts from `received_` to `decoded_`.
+  /// Moves the chunk data received so far from `received_` to `decoded_`.
   void decode_chunks();
-  /// Reads the size of the next chunk; returns the position after it in `received_`, or none where bytes are
-  /// missing or an error is set.
+  /// Parses the size line of the next chunk, which starts at `position` in `received_`. Returns the position
+  /// after the line; none if the line is incomplete or an error is set.
   std::optional<std::size_t> read_chunk_header(std::size_t position);
-  /// Takes the next line of `decoded_` off, without its end; none where it is incomplete.
+  /// Removes the next line from `decoded_` and returns it without its line end; none if it is incomplete.
   std::optional<std::string> take_line();
   void read_field(std::string_view line);
 
-  std::string received_;  // received: the head, then chunks or the stream itself
-  std::string decoded_;   // of the stream itself
+  std::string received_;  // raw bytes: the response head, then the body as sent
+  std::string decoded_;   // body with the chunked coding removed
   bool in_body_ = false;
   bool is_chunked_ = false;
-  std::size_t chunk_remaining_ = 0;  // bytes of the current chunk that are not yet in `decoded_`
-  bool has_previous_chunk_ = false;  // its line end stands before the next size
+  std::size_t chunk_remaining_ = 0;  // bytes of the current chunk not yet moved to `decoded_`
+  bool has_previous_chunk_ = false;  // true: a line end precedes the next chunk's size
   StreamEvent event_;
   bool has_data_ = false;
   std::uint64_t lines_ = 0;
--- a/src/codec/http_call.cpp
+++ b/src/codec/http_call.cpp
@@ -13,7 +13,7 @@
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kVersionPrefix = "HTTP/1.";
-// Statuses that the admin address replies with.
+// Response statuses of the admin address.
 constexpr int kStatusOk = 200;
 constexpr int kStatusAccepted = 202;
 constexpr int kStatusBadRequest = 400;
@@ -26,7 +26,7 @@
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kEscapeDigits = 2;
 
-/// The byte that the digits of a percent escape stand for.
+/// Decodes the two hexadecimal digits of a percent escape; none if they are malformed.
 std::optional<char> decode_escape(std::string_view digits) {
   unsigned value = 0;
   const char* const digits_end = digits.data() + digits.size();
@@ -35,7 +35,7 @@
   return static_cast<char>(value);
 }
 
-/// A path without its query, percent-decoded; none where an escape is malformed.
+/// Returns the percent-decoded path of a request target, without its query; none if an escape is malformed.
 std::optional<std::string> decode_path(std::string_view target) {
   target = target.substr(0, target.find('?'));
   std::string path;
@@ -53,8 +53,8 @@
   return path;
 }
 
-/// The Content-Length of a head that ends in an empty line's CRLF; 0 where it is absent, none where it is
-/// malformed.
+/// Returns the Content-Length of a head whose every line, the last included, ends in CRLF: 0 if the header is
+/// absent, none if it is malformed.
 std::optional<std::size_t> content_length(std::string_view head) {
   constexpr std::string_view kName = "\r\ncontent-length:";
   const std::string lowered = to_lower(head);
@@ -69,7 +69,6 @@
   return length;
 }
 
-/// The reason phrase of a status.
 std::string_view reason_phrase(int status) {
   switch (status) {
     case kStatusOk:
@@ -97,7 +96,7 @@
 
 void HttpCallReader::feed(std::string_view bytes) {
   if (is_done_ || is_broken_) return;
-  // Guards the memory against a head that never ends.
+  // Bounds the memory that an endless head can take.
   constexpr std::size_t kMaxReceived = kMaxCallHead + kMaxCallBody + 1;
   received_.append(bytes.substr(0, kMaxReceived - std::min(received_.size(), kMaxReceived)));
 }
@@ -116,7 +115,8 @@
   return call;
 }
 
-/// Sets `is_broken_` where the request is malformed or too large; none also where its body is incomplete.
+/// Returns none and sets `is_broken_` if the request is malformed or too large. Returns none without setting
+/// it if the body is incomplete.
 std::optional<HttpCall> HttpCallReader::read_call(std::size_t head_end) {
   const std::string_view received = received_;
   const std::string_view line = received.substr(0, received.find(kLineEnd));
--- a/src/codec/http_call.h
+++ b/src/codec/http_call.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// One HTTP/1.1 request on a connection of its own, as the admin address accepts it. No I/O.
+/// Decodes the one HTTP/1.1 request that the admin address accepts on each connection, and encodes its
+/// response. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -10,24 +11,26 @@
 
 namespace edge_proxy::codec {
 
-/// Largest head and body of a request that are accepted, in bytes.
+/// Largest request head that is accepted, in bytes.
 constexpr std::size_t kMaxCallHead = 8 * 1024;
+/// Largest request body that is accepted, in bytes.
 constexpr std::size_t kMaxCallBody = 72 * 1024;
 
 /// A complete request.
 struct HttpCall {
   std::string method;
-  std::string path;  ///< without its query, percent-decoded
-  std::string body;  ///< of the length that Content-Length gives
+  std::string path;  ///< without the query, percent-decoded
+  std::string body;  ///< as long as Content-Length states
 };
 
-/// Reads the first request of a stream of bytes, however it is split. What follows its body is ignored.
+/// Decodes the first request of a byte stream that arrives in pieces of any size. Bytes after its body are
+/// ignored.
 class HttpCallReader {
  public:
   void feed(std::string_view bytes);
-  /// The request, once, when its head and body are complete.
+  /// Returns the request once, as soon as its head and body are complete.
   [[nodiscard]] std::optional<HttpCall> next();
-  /// The bytes received can't become a request that is accepted.
+  /// True if the received bytes are malformed or too large to be accepted.
   [[nodiscard]] bool is_broken() const { return is_broken_; }
 
  private:
@@ -38,7 +41,7 @@
   bool is_broken_ = false;
 };
 
-/// A complete response, after which the connection is closed.
+/// Encodes a complete response, after which the connection is closed.
 [[nodiscard]] std::string write_http_response(int status, std::string_view body);
 
 }  // namespace edge_proxy::codec
--- a/src/codec/thrift.cpp
+++ b/src/codec/thrift.cpp
@@ -6,9 +6,9 @@
 namespace edge_proxy::codec {
 namespace {
 
-/// The type byte before each field, and before the elements of each container.
+/// Type byte in front of each field and of the elements of each container.
 enum class TypeByte : std::uint8_t {
-  stop = 0,  // ends the fields of a struct
+  stop = 0,  // end of the fields of a struct
   boolean = 2,
   byte = 3,
   floating = 4,
@@ -26,13 +26,13 @@
 constexpr std::uint32_t kVersionMask = 0xffff0000U;
 constexpr std::uint32_t kMessageTypeMask = 0xffU;
 constexpr int kByteBits = 8;
-constexpr int kTopByteShift = 24;  // of 32 bits
+constexpr int kTopByteShift = 24;  // shift of the top byte of 32 bits
 constexpr std::size_t kFrameLengthBytes = 4;
-constexpr int kMaxDepth = 16;                     // of nested containers
-constexpr std::size_t kMaxIdleBuffer = 4 * 1024;  // bytes of capacity that an idle connection keeps
-constexpr std::size_t kHeaderReserveBytes = 64;   // bytes reserved for a message's header and field headers
+constexpr int kMaxDepth = 16;                     // nesting depth of containers
+constexpr std::size_t kMaxIdleBuffer = 4 * 1024;  // buffer capacity that an idle connection keeps, in bytes
+constexpr std::size_t kHeaderReserveBytes = 64;   // reserved for the message header and field headers
 
-// The methods of the service, and the field ids of their arguments and results.
+// Method names of the service, and the field ids of their arguments and results.
 constexpr std::string_view kProcessMethod = "process";
 constexpr std::string_view kCancelMethod = "giveUp";
 constexpr std::string_view kPingMethod = "probe";
@@ -47,12 +47,13 @@
 constexpr std::int16_t kApplicationExceptionTextId = 1;
 constexpr std::int16_t kApplicationExceptionErrorId = 2;
 
-/// Reads from the front of a frame. A read past its end sets the error, and every later read yields zeros.
+/// Reads values from the front of a frame. A read past the end of the frame sets the error; every later read
+/// returns zero or an empty string.
 class Cursor {
  public:
   explicit Cursor(std::string_view bytes) : rest_(bytes) {}
 
-  /// Why reading has failed; none where it has not.
+  /// Reason of the first failed read; none if no read has failed.
   [[nodiscard]] std::optional<MessageError> error() const { return error_; }
   [[nodiscard]] bool failed() const { return error_.has_value(); }
 
@@ -65,7 +66,7 @@
   std::int16_t i16() { return static_cast<std::int16_t>(big_endian(sizeof(std::int16_t))); }
   std::uint32_t u32() { return static_cast<std::uint32_t>(big_endian(sizeof(std::uint32_t))); }
   std::int32_t i32() { return static_cast<std::int32_t>(u32()); }
-  /// Bytes with their length before them.
+  /// Reads a length-prefixed string.
   std::string_view text() { return take(u32()); }
   std::string_view take(std::size_t size) {
     if (failed()) return {};
@@ -78,10 +79,10 @@
     return taken;
   }
 
-  /// Passes over a value of any type. Each element takes a byte at least, so a frame bounds the work.
+  /// Skips a value of any type. Each element takes at least one byte, so the frame's size bounds the work.
   void skip(TypeByte type, int depth) {
-    // Guards against a frame of nested containers that would use up the stack. It is the error that is
-    // reported, also where the frame ends at that depth.
+    // Keeps deeply nested containers from overflowing the stack. This error takes precedence over
+    // `truncated` if the frame ends at that depth.
     if (depth > kMaxDepth) error_ = MessageError::too_deep;
     if (failed()) return;
     switch (type) {
@@ -147,7 +148,8 @@
   std::optional<MessageError> error_;
 };
 
-/// Goes through the fields of a struct; `read_field(id, type)` returns whether it has read the value.
+/// Iterates over the fields of a struct. `read_field(id, type)` returns true if it has read the field's
+/// value; otherwise the value is skipped.
 template <typename ReadField>
 void for_each_field(Cursor& cursor, ReadField&& read_field) {
   while (!cursor.failed()) {
@@ -158,7 +160,8 @@
   }
 }
 
-/// Reads the map of `process` into `fields`; false: its keys or values are no strings, and it was skipped.
+/// Reads the map argument of `process` into `fields`. Returns false, and skips the map, if its keys or values
+/// are not strings.
 bool read_string_map(Cursor& cursor, StringMap& fields) {
   const TypeByte key_type = cursor.type();
   const TypeByte value_type = cursor.type();
@@ -217,13 +220,13 @@
   return UnknownCall{std::string(method)};
 }
 
-/// Writes one message in its frame.
+/// Encodes one message into a frame.
 class Writer {
  public:
-  /// `body_size`: bytes to be written after the header, to reserve memory for them.
+  /// `body_size`: number of bytes expected after the header; reserves memory for them.
   Writer(MessageType type, std::string_view method, std::int32_t sequence_id, std::size_t body_size) {
     frame_.reserve(body_size + method.size() + kHeaderReserveBytes);
-    u32(0);  // the frame's length, set by finish()
+    u32(0);  // placeholder of the frame's length, set by finish()
     u32(kStrictVersion | static_cast<std::uint32_t>(type));
     text(method);
     u32(static_cast<std::uint32_t>(sequence_id));
@@ -254,7 +257,7 @@
       text(value);
     }
   }
-  /// The frame, with its length in front.
+  /// Sets the length prefix and returns the frame.
   std::string finish() {
     const auto length = static_cast<std::uint32_t>(frame_.size() - kFrameLengthBytes);
     for (std::size_t i = 0; i < kFrameLengthBytes; ++i) {
@@ -272,7 +275,8 @@
 
 std::optional<std::string_view> FrameReader::wait_for_bytes() {
   buffer_.erase(0, std::exchange(consumed_, 0));
-  // Guards the memory against one large frame on each of many connections.
+  // Releases the buffer's memory after a large frame, so that many idle connections do not each keep a large
+  // buffer.
   if (buffer_.empty() && buffer_.capacity() > kMaxIdleBuffer) std::string().swap(buffer_);
   return std::nullopt;
 }
@@ -284,7 +288,7 @@
   for (std::size_t i = 0; i < kFrameLengthBytes; ++i) {
     length = length << 8U | static_cast<unsigned char>(rest[i]);
   }
-  // Guards against a client that announces more than is ever sent: nothing of that size is waited for.
+  // Rejects an excessive announced length at once, as the client may never send that many bytes.
   if (length > kMaxFrame) {
     error_ = FrameError::too_large;
     return std::nullopt;
