--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -20,19 +20,20 @@
 using Environment = std::map<std::string, std::string>;
 
 constexpr int kMinMemoryMb = 16;
-constexpr int kMinSockets = 64;  // fewer leave no room for clients beside the connections to the caches
+/// A smaller limit leaves no descriptors for clients beside the upstream connections.
+constexpr int kMinSockets = 64;
 constexpr unsigned kMbShift = 20;
 constexpr int kMaxPort = 65535;
-/// How many policies of the largest size one message of the consensus may hold.
+/// Number of policies of the largest size that one consensus message can hold.
 constexpr std::size_t kPoliciesPerUserMessage = 4;
 
-/// The variable's value; empty where it is not set.
+/// Returns the value of an environment variable; empty if it is not set.
 std::string from_environment(const Environment& environment, const char* variable) {
   const auto found = environment.find(variable);
   return found == environment.end() ? std::string() : found->second;
 }
 
-/// Guards the folder against a name that would lead out of it.
+/// Replaces characters that are unsafe in a file name, so that the path cannot leave its folder.
 std::string to_file_name(std::string name) {
   const auto is_unsafe = [](unsigned char character) {
     return std::isalnum(character) == 0 && character != '-';
@@ -54,7 +55,7 @@
   if (!is_host_and_port(address)) throw FieldError(0, key, "should be host:port, not '" + address + "'");
 }
 
-/// The listen address of the clients' side: GW_LISTEN, where set, else the key `listen`.
+/// Returns the listen address for clients: GW_LISTEN if set, otherwise the key `listen`.
 std::string read_listen_address(const Fields& root, const Environment& environment) {
   const std::string environment_value = from_environment(environment, "GW_LISTEN");
   std::string address = environment_value.empty() ? root.text("listen") : environment_value;
@@ -62,7 +63,7 @@
   return address;
 }
 
-/// The admin address: GW_ADMIN_ADDR, where set, else the key `admin_addr`; empty: there is none.
+/// Returns the admin address: GW_ADMIN_ADDR if set, otherwise the key `admin_addr`; empty if neither is set.
 std::string read_admin_address(const Fields& root, const Environment& environment) {
   const std::string environment_value = from_environment(environment, "GW_ADMIN_ADDR");
   std::string address = environment_value.empty() ? root.text("admin_addr", "") : environment_value;
@@ -81,7 +82,7 @@
   if (!folder.empty()) config.overrides_path = folder + "/by-hand-" + to_file_name(config.name);
 }
 
-/// The seed as hexadecimal digits or as an integer.
+/// Reads the seed, which is a string of hexadecimal digits or an integer.
 std::uint64_t read_seed(const Fields& root) {
   const Json* seed = root.find("seed");
   if (seed == nullptr) return 0;
@@ -155,7 +156,7 @@
 
 rapidjson::Document parse_json(const std::string& json) {
   rapidjson::Document document;
-  // Iterative: guards against nesting that would use up the stack.
+  // Iterative parsing keeps deeply nested input from overflowing the stack.
   document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
   if (document.HasParseError()) {
     const std::string problem = "not JSON at byte " + std::to_string(document.GetErrorOffset());
--- a/src/config/fields.h
+++ b/src/config/fields.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Reads the fields of JSON objects. An error carries the path of the faulty field.
+/// Typed access to the fields of JSON objects. An error carries the path of the invalid field.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -17,14 +17,14 @@
 
 namespace edge_proxy {
 
-/// What is wrong with one field of an input. The text is `field 'KEY': PROBLEM`, with `line N, ` in front
-/// where the input came in lines.
+/// Error in one field of an input. The text is `field 'KEY': PROBLEM`, preceded by `line N, ` if the input
+/// consists of lines.
 class FieldError : public std::runtime_error {
  public:
-  /// `line`: number of the input's line, from 1; 0: the input has no lines. `key`: path of the field; empty:
-  /// the whole input.
+  /// `line`: line number in the input, from 1; 0: the input has no lines. `key`: path of the field; empty:
+  /// the error concerns the whole input.
   FieldError(std::size_t line, std::string key, std::string problem);
-  /// An error that is written out already and carries no key.
+  /// An error with a complete text and without a key.
   explicit FieldError(const std::string& text) : std::runtime_error(text) {}
 
   [[nodiscard]] std::size_t line() const { return line_; }
@@ -39,28 +39,30 @@
 
 using Json = rapidjson::Value;
 
-/// A JSON object, with its place for error messages: the input's line and the path inside the line.
-/// Refers to the JSON value, which has to outlive it. Each reader throws FieldError where the field can't be
-/// read; one without a default for an absent field, also where it is absent. A null counts as absent.
+/// A JSON object with its location for error messages: the line in the input and the path within the line.
+/// Refers to the JSON value, which has to outlive it. Each reader throws FieldError if the field has the
+/// wrong type or value; a reader without a default value also throws if the field is absent. A null counts as
+/// absent.
 class Fields {
  public:
-  /// `line`: as in FieldError. `path`: put before the names of fields, with the dot at its end.
+  /// `line`: as in FieldError. `path`: prefix of the field names, with its trailing dot.
   Fields(const Json& value, std::size_t line, std::string path = "");
 
-  /// Throws FieldError for the field `name`; empty: for the object itself.
+  /// Throws FieldError for the field `name`; an empty name stands for the object itself.
   [[noreturn]] void fail(std::string_view name, std::string_view problem) const;
 
-  /// The field's value, or null where it is absent.
+  /// Returns the field's value, or null if it is absent.
   [[nodiscard]] const Json* find(const char* name) const;
+  /// Returns the field's value.
   [[nodiscard]] const Json& required(const char* name) const;
 
-  /// Integers of 64 bits; one above the signed range keeps its bits (seeds use all 64).
+  /// Reads a 64-bit integer. A value above the signed range keeps its bits, as seeds use all 64.
   [[nodiscard]] std::int64_t integer(const char* name) const;
   [[nodiscard]] std::int64_t integer(const char* name, std::int64_t default_value) const;
-  /// Integers that fit an int.
+  /// Reads an integer that fits an int.
   [[nodiscard]] int small_integer(const char* name) const;
   [[nodiscard]] int small_integer(const char* name, int default_value) const;
-  /// Microseconds.
+  /// Reads a time in microseconds.
   [[nodiscard]] Time time(const char* name) const;
   [[nodiscard]] Time time(const char* name, Time default_value) const;
   [[nodiscard]] double number(const char* name, double default_value) const;
@@ -68,7 +70,7 @@
   [[nodiscard]] std::string text(const char* name) const;
   [[nodiscard]] std::string text(const char* name, const char* default_value) const;
 
-  /// An enumeration whose enumerators count from 0 in the order of `words`.
+  /// Reads an enumeration whose enumerators count from 0 in the order of `words`.
   template <typename Enum, std::size_t N>
   [[nodiscard]] Enum enumerator(const char* name, const std::array<std::string_view, N>& words) const {
     const std::string found = text(name);
@@ -84,15 +86,16 @@
   }
 
   [[nodiscard]] Fields object(const char* name) const;
-  /// An object that may be absent: then one without fields.
+  /// Reads an object; an absent one is empty.
   [[nodiscard]] Fields object_or_empty(const char* name) const;
-  /// A list of objects.
+  /// Reads a list of objects.
   [[nodiscard]] std::vector<Fields> objects(const char* name) const;
-  /// A list of numbers, with true as 1 and false as 0; absent: empty.
+  /// Reads a list of numbers, with true as 1 and false as 0; an absent list is empty.
   [[nodiscard]] std::vector<double> numbers(const char* name) const;
-  /// A list of strings.
+  /// Reads a list of strings.
   [[nodiscard]] std::vector<std::string> strings(const char* name) const;
-  /// Calls `visit(std::string)` for each string of a list, and stops at the first item that is none.
+  /// Calls `visit(std::string)` for each string of a list; throws FieldError at the first item that is not a
+  /// string.
   template <typename Visit>
   void for_each_string(const char* name, Visit&& visit) const {
     for (const Json& item : require_list(name, required(name)).GetArray()) {
@@ -101,7 +104,7 @@
     }
   }
 
-  /// An identifier of an object: up to 16 hexadecimal digits.
+  /// Reads an object id, which has up to 16 hexadecimal digits.
   [[nodiscard]] std::uint64_t object_id(const char* name) const;
 
  private:
--- a/src/config/membership_config.cpp
+++ b/src/config/membership_config.cpp
@@ -40,7 +40,7 @@
   return value;
 }
 
-/// The same for sizes; the range holds no negative values.
+/// Like read_in_range(), for sizes; the range must not contain negative values.
 std::size_t read_size(const Fields& fields, const char* name, std::size_t default_value, IntRange range) {
   return static_cast<std::size_t>(read_in_range(fields, name, static_cast<int>(default_value), range));
 }
@@ -101,14 +101,14 @@
 void read_intervals(const Fields& section, membership::Settings& settings) {
   settings.probe_interval = read_interval(section, "probe_every", settings.probe_interval);
   settings.probe_timeout = read_interval(section, "probe_timeout", settings.probe_timeout);
-  // Guards against indirect probes that start when the probe's interval is over already.
+  // A longer timeout could start indirect probes after the end of the probe interval.
   if (settings.probe_timeout * 2 > settings.probe_interval) {
     section.fail("probe_timeout", "should be half of probe_every at most");
   }
   settings.min_suspicion_timeout = read_interval(section, "suspicion_least", settings.min_suspicion_timeout);
   settings.full_sync_interval = read_interval(section, "exchange_every", settings.full_sync_interval);
   settings.reconnect_interval = read_interval(section, "seek_every", settings.reconnect_interval);
-  // Guards the lease against running out between two rounds of probes, at the largest size.
+  // Keeps the lease from expiring between two probe rounds, even with max_members members.
   const Time probe_rounds_duration =
       kProbeRoundsPerQuotaLease * settings.probe_interval * static_cast<int>(settings.max_members);
   settings.quota_lease =
@@ -131,7 +131,8 @@
   const auto fleet_size = static_cast<std::size_t>(std::max(1, proxy.fleet_size));
   settings.expected_members =
       read_size(section, "expected", fleet_size, {1, static_cast<int>(settings.max_members)});
-  // A small part of the descriptors: the upstream pool has to do without them (proxy/resource_limits.h).
+  // Streams may take only a small part of the descriptors, as these are not available to the upstream pool
+  // (proxy/resource_limits.h).
   const int max_streams = std::max(1, proxy.max_descriptors / kDescriptorsPerStream);
   config.max_streams =
       read_in_range(section, "streams", std::min(config.max_streams, max_streams), {1, max_streams});
--- a/src/config/policy_config.cpp
+++ b/src/config/policy_config.cpp
@@ -9,7 +9,7 @@
 namespace edge_proxy::config {
 namespace {
 
-/// What a proxy does without a lease on the policy.
+/// Behavior of a proxy that holds no lease on the policy.
 enum class PartitionMode { refuse, serve };
 constexpr std::array<std::string_view, 2> kPartitionModeWords{"refuse", "serve"};
 
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -13,7 +13,7 @@
 constexpr std::array<std::string_view, 3> kSiblingFillsWords{"none", "location", "any"};
 constexpr std::array<std::string_view, 3> kCacheStatusDetailWords{"none", "hit", "all"};
 
-/// How changes of the endpoint list reach a router.
+/// Delivery of endpoint updates to a router: pushed, or fetched on request.
 enum class DiscoveryMode { pushed, on_request };
 constexpr std::array<std::string_view, 2> kDiscoveryModeWords{"pushed", "on_request"};
 
@@ -29,7 +29,7 @@
   settings.weights = fields.enumerator("weights", kWeightsWords, WeightMeaning::none);
 }
 
-/// What belongs to content networks alone.
+/// Reads the settings that apply only to content networks.
 void read_specifics(const Fields& fields, Settings& settings) {
   settings.routers_by_zone = to_integers(fields.numbers("seats_by_zone"));
   settings.hub_by_zone = to_integers(fields.numbers("hub_by_zone"));
@@ -49,7 +49,8 @@
   settings.invalidation_settled_after = fields.time("cleared_within", Time{0});
 }
 
-/// The lists of the specifics that hold one value for each request class; a list may be shorter.
+/// Lists in the section `specifics` that hold one value per request class. A list may be shorter than the
+/// list of classes; the missing values get their defaults.
 class PerClassLists {
  public:
   explicit PerClassLists(const Fields& specifics)
