--- a/src/simulator/action_writer.cpp
+++ b/src/simulator/action_writer.cpp
@@ -6,7 +6,7 @@
 namespace edge_proxy::simulator {
 namespace {
 
-// Bits of the field `opts`.
+// Flag bits of the field `opts`.
 constexpr std::int64_t kJoinFillBit = 1;
 constexpr std::int64_t kCachedOnlyBit = 2;
 constexpr std::int64_t kParentUncachedBit = 4;
--- a/src/simulator/action_writer.h
+++ b/src/simulator/action_writer.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Writes a router's actions as the simulator's messages, each a JSON object on one line.
+/// Encodes a router's actions as simulator messages, each a JSON object on one line.
 #pragma once
 
 #include <rapidjson/stringbuffer.h>
@@ -14,14 +14,14 @@
 
 namespace edge_proxy::simulator {
 
-/// Writes the actions of one instance to a stream, which has to outlive the writer.
+/// Writes the actions of one router instance to a stream, which has to outlive the writer.
 class ActionWriter {
  public:
   ActionWriter(std::ostream& output, std::int64_t instance) : output_(output), instance_(instance) {}
 
   void write(const Action& action) { std::visit(*this, action); }
 
-  // Called by std::visit, one for each type of action.
+  // Overloads for std::visit, one for each type of action.
   void operator()(const Attempt& attempt);
   void operator()(const Cancel& cancel);
   void operator()(const Reject& reject);
@@ -31,7 +31,7 @@
   void operator()(const FetchEndpointList& fetch);
   void operator()(const SubscribeEndpointList& subscribe);
   void operator()(const LogMessage& message);
-  /// Writes nothing: the simulator's routers have no local cache.
+  /// Writes nothing, as routers in the simulator have no local cache.
   void operator()(const ServeFromLocalCache& serve);
 
  private:
--- a/src/simulator/message_reader.cpp
+++ b/src/simulator/message_reader.cpp
@@ -51,7 +51,7 @@
   return report;
 }
 
-/// A number that stands for no status reads as unknown.
+/// Reads the cache status; a number without a defined status reads as unknown.
 CacheStatus read_cache_status(const Fields& message) {
   const std::int64_t detail = message.integer("detail", 0);
   const bool is_known = detail > 0 && detail <= static_cast<std::int64_t>(CacheStatus::origin_failed);
--- a/src/simulator/message_reader.h
+++ b/src/simulator/message_reader.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Reads the simulator's messages, each a JSON object on one line. The simulator's words for fields and
-/// values stand here and in action_writer.cpp alone.
+/// Decodes the simulator's messages, each a JSON object on one line. The simulator's names of fields and
+/// values appear only in message_reader.cpp and action_writer.cpp.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,10 @@
 enum class MessageKind {
   set_clock,
   end_of_batch,
-  define_list,     ///< an endpoint list under a number, for later messages
-  create_router,   ///< starts an instance
-  destroy_router,  ///< ends an instance
-  endpoint_list,   ///< this and what follows are events for one instance
+  define_list,     ///< defines a numbered endpoint list for later messages
+  create_router,   ///< starts a router instance
+  destroy_router,  ///< ends a router instance
+  endpoint_list,   ///< this kind and the following ones are events for one instance
   request,
   timer_fired,
   outcome,
@@ -26,31 +26,31 @@
   invalidation,
   request_cancelled,
   stream_started,
-  gossip  ///< from another router; not used
+  gossip  ///< message from another router; ignored
 };
 
-/// What the message says of itself. Throws FieldError where the kind is unknown.
+/// Reads the kind of a message. Throws FieldError if the kind is unknown.
 [[nodiscard]] MessageKind read_kind(const Fields& message);
 
-/// The new time of a set_clock.
+/// Reads the new time from a set_clock message.
 [[nodiscard]] Time read_clock(const Fields& message);
 
-/// The instance that a message is for, or that it starts or ends.
+/// Reads the number of the instance that a message addresses, starts or ends.
 [[nodiscard]] std::int64_t read_instance(const Fields& message);
 
-/// The number of the list that a define_list defines or an endpoint_list refers to.
+/// Reads the number of the list that a define_list message defines or an endpoint_list message refers to.
 [[nodiscard]] std::int64_t read_list_number(const Fields& message);
 
-/// The endpoints of a define_list.
+/// Reads the endpoints from a define_list message.
 [[nodiscard]] std::vector<Endpoint> read_endpoints(const Fields& message);
 
-/// The router that a create_router starts.
+/// Creates the router that a create_router message describes.
 [[nodiscard]] Router read_router(const Fields& message);
 
-/// How to understand the list of an endpoint_list.
+/// Reads how the list of an endpoint_list message was obtained and whether it is complete.
 [[nodiscard]] ListKind read_list_kind(const Fields& message);
 
-/// The event of a message from `request` to `stream_started`; none for the other kinds.
+/// Reads the event from a message of the kinds `request` to `stream_started`; none for the other kinds.
 [[nodiscard]] std::optional<Event> read_event(MessageKind kind, const Fields& message);
 
 }  // namespace edge_proxy::simulator
--- a/src/simulator/session.cpp
+++ b/src/simulator/session.cpp
@@ -17,7 +17,7 @@
   for (std::size_t number = 1; std::getline(input, line); ++number) handle_line(line, number);
 }
 
-/// Parses in place: the line's text is overwritten.
+/// Parses `line` in place, which overwrites its text.
 void SimulatorSession::handle_line(std::string& line, std::size_t number) {
   if (line.find_first_not_of(" \t\r") == std::string::npos) return;
   rapidjson::Document document;
@@ -64,7 +64,7 @@
   routers_.insert_or_assign(read_instance(message), std::move(router));
 }
 
-/// The list that the message refers to; a list that could not be had is empty.
+/// Returns the list that the message refers to; the list of a failed fetch is empty.
 EndpointList SimulatorSession::find_list(const Fields& message) const {
   EndpointList list{read_list_kind(message), {}};
   if (list.kind == ListKind::failed) return list;
--- a/src/simulator/session.h
+++ b/src/simulator/session.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// A session with the simulator: batches of messages in, the routers' actions out. No decision is made here.
+/// A session with the simulator: passes batches of messages to the routers and writes their actions. It makes
+/// no routing decisions.
 #pragma once
 
 #include <cstdint>
@@ -13,17 +14,17 @@
 
 namespace edge_proxy::simulator {
 
-/// What is wrong with an input line; it carries the line's number and the field.
+/// Error in an input line; carries the line number and the path of the field.
 using WireError = FieldError;
 
-/// Reads batches of messages and carries them out on one Router per instance.
+/// Executes batches of messages, with one Router per instance.
 class SimulatorSession {
  public:
-  /// `output` takes the actions and has to outlive the session.
+  /// `output` receives the actions and has to outlive the session.
   explicit SimulatorSession(std::ostream& output) : output_(output) {}
 
-  /// Reads messages until the input ends. Throws WireError where a line is malformed; the lines before it
-  /// have been carried out.
+  /// Executes messages until the input ends. Throws WireError if a line is malformed; the lines before it
+  /// have been executed.
   void run(std::istream& input);
 
  private:
@@ -37,10 +38,10 @@
   std::ostream& output_;
   Time now_{0};
   std::map<std::int64_t, std::vector<Endpoint>> lists_;
-  std::map<std::int64_t, Router> routers_;  // by instance
+  std::map<std::int64_t, Router> routers_;  // by instance number
 };
 
-/// Runs one session from `input` to `output`.
+/// Runs one session that reads from `input` and writes to `output`.
 void serve(std::istream& input, std::ostream& output);
 
 }  // namespace edge_proxy::simulator
