--- a/tests/codec/codec_test.cpp
+++ b/tests/codec/codec_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The parsers: any split of the bytes, bounded sizes, typed errors.
+// Tests of the codecs: input split at any byte, size limits and typed errors.
 #include <gtest/gtest.h>
 
 #include "codec/cache_lines.h"
@@ -15,28 +15,32 @@
 
 // ---- Thrift ----
 
+/// Returns a 32-bit integer in network byte order.
 std::string be32(std::uint32_t value) {
-  std::string out;
-  for (int shift = 24; shift >= 0; shift -= 8) out.push_back(static_cast<char>(value >> shift & 0xffU));
-  return out;
+  std::string bytes;
+  for (int shift = 24; shift >= 0; shift -= 8) bytes.push_back(static_cast<char>(value >> shift & 0xffU));
+  return bytes;
 }
-std::string text(const std::string& value) { return be32(static_cast<std::uint32_t>(value.size())) + value; }
-std::string head(const std::string& method, int type = 1) {
-  return be32(0x80010000U | static_cast<unsigned>(type)) + text(method) + be32(7);
+std::string length_prefixed(const std::string& value) {
+  return be32(static_cast<std::uint32_t>(value.size())) + value;
+}
+std::string message_header(const std::string& method, int type = 1) {
+  return be32(0x80010000U | static_cast<unsigned>(type)) + length_prefixed(method) + be32(7);
 }
 const std::string kStop("\0", 1);  // ends the fields of a struct
 
-std::string process(const std::string& verb, const std::string& body) {
-  return head("process") + "\x0d\0\1\x0b\x0b"s + be32(1) + text("verb") + text(verb) + "\x0b\0\2"s +
-         text(body) + kStop;
+/// Returns a call of `process` with one map entry.
+std::string process_call(const std::string& verb, const std::string& body) {
+  return message_header("process") + "\x0d\0\1\x0b\x0b"s + be32(1) + length_prefixed("verb") +
+         length_prefixed(verb) + "\x0b\0\2"s + length_prefixed(body) + kStop;
 }
 
-TEST(Memory, ReadersReleaseTheBufferOfALargeMessage) {
-  codec::CacheResponseReader answers;
-  answers.feed("a HIT - 200000\r\n" + std::string(200'000, 'x') + "\r\n");
-  ASSERT_TRUE(answers.next());
-  EXPECT_FALSE(answers.next());
-  EXPECT_LE(answers.buffered_bytes(), codec::kMaxLine);
+TEST(ReaderBuffer, IsReleasedAfterALargeMessage) {
+  codec::CacheResponseReader responses;
+  responses.feed("a HIT - 200000\r\n" + std::string(200'000, 'x') + "\r\n");
+  ASSERT_TRUE(responses.next());
+  EXPECT_FALSE(responses.next());
+  EXPECT_LE(responses.buffered_bytes(), codec::kMaxLine);
   codec::FrameReader frames;
   frames.feed(std::string("\0\0\xc0\0", 4) + std::string(0xc000, 'x'));
   ASSERT_TRUE(frames.next());
@@ -44,15 +48,15 @@
   EXPECT_LE(frames.buffered_bytes(), 4096U);
 }
 
-TEST(Thrift, TheNumberOfACallIsFoundInTheBeginningOfItsFrame) {
-  const std::string head("\x80\x01\0\x01\0\0\0\x01p\0\0\0\x05", 13);
-  EXPECT_EQ(codec::sequence_id_of(head), 5);
-  EXPECT_EQ(codec::sequence_id_of(head.substr(0, 12)), 0);
+TEST(Thrift, SequenceIdIsReadFromTheBeginningOfAFrame) {
+  const std::string call_start("\x80\x01\0\x01\0\0\0\x01p\0\0\0\x05", 13);
+  EXPECT_EQ(codec::sequence_id_of(call_start), 5);
+  EXPECT_EQ(codec::sequence_id_of(call_start.substr(0, 12)), 0);
   EXPECT_EQ(codec::sequence_id_of(std::string(20, 'x')), 0);
 }
 
-TEST(Frames, AreCutOutOfAnySplit) {
-  const std::string stream = text("one") + text("") + text("three");
+TEST(Frames, AreReadFromAnySplitOfTheStream) {
+  const std::string stream = length_prefixed("one") + length_prefixed("") + length_prefixed("three");
   for (std::size_t split = 0; split <= stream.size(); ++split) {
     FrameReader reader;
     std::vector<std::string> frames;
@@ -64,15 +68,15 @@
   }
 }
 
-TEST(Frames, OneThatIsTooLargeIsAnError) {
+TEST(Frames, TooLargeFrameIsAnError) {
   FrameReader reader;
   reader.feed(be32(kMaxFrame + 1));
   EXPECT_FALSE(reader.next());
   EXPECT_EQ(reader.error(), FrameError::too_large);
 }
 
-TEST(Thrift, AProcessCallIsRead) {
-  const auto read = read_message(process("pages", "some\0bytes"s));
+TEST(Thrift, ProcessCallIsDecoded) {
+  const auto read = read_message(process_call("pages", "some\0bytes"s));
   const auto& message = std::get<Message>(read);
   EXPECT_EQ(message.sequence_id, 7);
   const auto& call = std::get<ProcessCall>(message.call);
@@ -81,80 +85,85 @@
   EXPECT_EQ(call.body, "some\0bytes"s);
 }
 
-TEST(Thrift, OtherCallsAreRead) {
-  const auto give_up = read_message(head("giveUp", 4) + "\x08\0\1"s + be32(3) + kStop);
-  EXPECT_EQ(std::get<CancelCall>(std::get<Message>(give_up).call).sequence_id, 3);
+TEST(Thrift, CancelPingAndUnknownCallsAreDecoded) {
+  const auto cancel = read_message(message_header("giveUp", 4) + "\x08\0\1"s + be32(3) + kStop);
+  EXPECT_EQ(std::get<CancelCall>(std::get<Message>(cancel).call).sequence_id, 3);
   EXPECT_TRUE(std::holds_alternative<PingCall>(
-      std::get<Message>(read_message(head("probe") + "\x02\0\1\1"s + kStop)).call));
-  const auto unknown = read_message(head("dance") + "\x0f\0\1\x0c"s + be32(1) + "\x0a\0\1"s +
+      std::get<Message>(read_message(message_header("probe") + "\x02\0\1\1"s + kStop)).call));
+  const auto unknown = read_message(message_header("noSuchMethod") + "\x0f\0\1\x0c"s + be32(1) + "\x0a\0\1"s +
                                     std::string(8, 'x') + kStop + kStop);
-  EXPECT_EQ(std::get<UnknownCall>(std::get<Message>(unknown).call).method, "dance");
+  EXPECT_EQ(std::get<UnknownCall>(std::get<Message>(unknown).call).method, "noSuchMethod");
 }
 
-TEST(Thrift, ACallOfOtherTypesIsNotReadable) {
-  const auto of = [](const std::string& arguments) {
-    return std::get<ProcessCall>(std::get<Message>(read_message(head("process") + arguments + kStop)).call)
+TEST(Thrift, ProcessCallWithWrongArgumentTypesIsNotReadable) {
+  const auto is_readable = [](const std::string& arguments) {
+    return std::get<ProcessCall>(
+               std::get<Message>(read_message(message_header("process") + arguments + kStop)).call)
         .is_readable;
   };
-  EXPECT_FALSE(of(""));                                                      // no fields at all
-  EXPECT_FALSE(of("\x08\0\1"s + be32(5)));                                   // a number for the map
-  EXPECT_FALSE(of("\x0d\0\1\x0b\x08"s + be32(1) + text("verb") + be32(1)));  // numbers in the map
+  // No arguments.
+  EXPECT_FALSE(is_readable(""));
+  // An integer in place of the map.
+  EXPECT_FALSE(is_readable("\x08\0\1"s + be32(5)));
+  // Integers in place of the map's values.
+  EXPECT_FALSE(is_readable("\x0d\0\1\x0b\x08"s + be32(1) + length_prefixed("verb") + be32(1)));
 }
 
-TEST(Thrift, WhatIsNoMessageIsAnErrorWhereverItIsCut) {
-  const std::string whole = process("pages", "body");
-  for (std::size_t size = 0; size < whole.size(); ++size) {
-    const auto read = read_message(std::string_view(whole).substr(0, size));
+TEST(Thrift, TruncatedAndMalformedMessagesAreTypedErrors) {
+  const std::string complete = process_call("pages", "body");
+  for (std::size_t size = 0; size < complete.size(); ++size) {
+    const auto read = read_message(std::string_view(complete).substr(0, size));
     ASSERT_TRUE(std::holds_alternative<MessageError>(read)) << "cut at " << size;
     EXPECT_EQ(std::get<MessageError>(read), MessageError::truncated);
   }
   const auto error = [](const std::string& frame) { return std::get<MessageError>(read_message(frame)); };
-  EXPECT_EQ(error(text("old style") + kStop), MessageError::not_strict);
-  EXPECT_EQ(error(head("process", 2)), MessageError::bad_type);
-  EXPECT_EQ(error(head("dance") + "\x7f\0\1"s), MessageError::bad_type);
-  // A map that claims to hold 2^32 - 1 entries.
-  EXPECT_EQ(error(head("process") + "\x0d\0\1\x0b\x0b"s + be32(0xffffffffU)), MessageError::truncated);
-  std::string deep = head("dance");
-  for (int i = 0; i < 100000; ++i) deep += "\x0c\0\1"s;
-  EXPECT_EQ(error(deep), MessageError::too_deep);
+  EXPECT_EQ(error(length_prefixed("old style") + kStop), MessageError::not_strict);
+  EXPECT_EQ(error(message_header("process", 2)), MessageError::bad_type);
+  EXPECT_EQ(error(message_header("noSuchMethod") + "\x7f\0\1"s), MessageError::bad_type);
+  // The map's header announces 2^32 - 1 entries.
+  EXPECT_EQ(error(message_header("process") + "\x0d\0\1\x0b\x0b"s + be32(0xffffffffU)),
+            MessageError::truncated);
+  std::string nested = message_header("noSuchMethod");
+  for (int i = 0; i < 100000; ++i) nested += "\x0c\0\1"s;
+  EXPECT_EQ(error(nested), MessageError::too_deep);
 }
 
-TEST(Thrift, TooDeepNestingIsReportedAlsoWhereTheFrameEndsThere) {
-  std::string deep = head("dance");
-  for (int i = 0; i < 17; ++i) deep += "\x0c\0\1"s;
-  deep.resize(deep.size() - 2);  // the last field's id is missing
-  const auto read = read_message(deep);
+TEST(Thrift, TooDeepNestingTakesPrecedenceOverTruncation) {
+  std::string nested = message_header("noSuchMethod");
+  for (int i = 0; i < 17; ++i) nested += "\x0c\0\1"s;
+  nested.resize(nested.size() - 2);  // removes the id of the last field
+  const auto read = read_message(nested);
   EXPECT_EQ(std::get<MessageError>(read), MessageError::too_deep);
   EXPECT_EQ(name_of(std::get<MessageError>(read)), "too_deep");
 }
 
-// ---- Cache lines ----
+// ---- Line protocol of the caches ----
 
-TEST(CacheLines, AnswersAreReadFromAnySplit) {
+TEST(CacheLines, ResponsesAreReadFromAnySplitOfTheStream) {
   const std::string stream =
       "a HIT ver=t1,born=5 7\r\nx\r\ny\0z\r\nb NONE - 0\r\n\r\nc PONG report=inflight:7 0\r\n\r\n"s;
   const std::string with_body =
       "a HIT ver=t1,born=5 6\r\nx\r\ny\0z\r\n"s + stream.substr(stream.find("b NONE"));
   for (std::size_t split = 0; split <= with_body.size(); ++split) {
     CacheResponseReader reader;
-    std::vector<CacheResponse> answers;
+    std::vector<CacheResponse> responses;
     for (const auto& part : {with_body.substr(0, split), with_body.substr(split)}) {
       reader.feed(part);
-      while (auto answer = reader.next()) answers.push_back(*answer);
+      while (auto response = reader.next()) responses.push_back(*response);
     }
-    ASSERT_EQ(answers.size(), 3U) << "split at " << split;
+    ASSERT_EQ(responses.size(), 3U) << "split at " << split;
     EXPECT_EQ(reader.error(), LineError::none);
-    EXPECT_EQ(answers[0].id, "a");
-    EXPECT_EQ(answers[0].status, CacheResponseStatus::hit);
-    EXPECT_EQ(answers[0].body, "x\r\ny\0z"s);
-    EXPECT_EQ(field_in(answers[0].fields, "born"), "5");
-    EXPECT_EQ(answers[1].status, CacheResponseStatus::not_found);
-    EXPECT_EQ(field_in(answers[1].fields, "ver"), std::nullopt);
-    EXPECT_EQ(field_in(answers[2].fields, "report"), "inflight:7");
+    EXPECT_EQ(responses[0].id, "a");
+    EXPECT_EQ(responses[0].status, CacheResponseStatus::hit);
+    EXPECT_EQ(responses[0].body, "x\r\ny\0z"s);
+    EXPECT_EQ(field_in(responses[0].fields, "born"), "5");
+    EXPECT_EQ(responses[1].status, CacheResponseStatus::not_found);
+    EXPECT_EQ(field_in(responses[1].fields, "ver"), std::nullopt);
+    EXPECT_EQ(field_in(responses[2].fields, "report"), "inflight:7");
   }
 }
 
-TEST(CacheLines, WhatIsNoAnswerIsATypedError) {
+TEST(CacheLines, MalformedResponsesAreTypedErrors) {
   const auto error = [](const std::string& bytes) {
     CacheResponseReader reader;
     reader.feed(bytes);
@@ -171,7 +180,7 @@
   EXPECT_EQ(error(std::string(kMaxLine + 10, 'x')), LineError::line_too_long);
 }
 
-TEST(CacheLines, CommandsAreWritten) {
+TEST(CacheLines, RequestsAndCancellationsAreEncoded) {
   FieldList fields;
   EXPECT_EQ(write_request("a", fields, ""), "serve a - 0\r\n\r\n");
   fields.add("x", "1");
@@ -180,7 +189,7 @@
   EXPECT_EQ(write_cancel("a"), "cancel a\r\n");
 }
 
-// ---- The discovery service's stream ----
+// ---- Event stream of the discovery service ----
 
 std::vector<StreamEvent> events_of(const std::string& bytes, std::size_t split) {
   EventStreamReader reader;
@@ -193,7 +202,7 @@
   return events;
 }
 
-TEST(EventStream, EventsAreReadFromAnySplitChunkedOrNot) {
+TEST(EventStream, EventsAreReadFromAnySplitOfPlainAndChunkedStreams) {
   const std::string plain =
       "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\nid: 4\ndata: {\"a\"\ndata: "
       ":1}\n\nid:5\r\ndata:x\r\n\r\n";
@@ -213,21 +222,21 @@
   }
 }
 
-TEST(EventStream, WhatIsNoStreamIsATypedError) {
+TEST(EventStream, MalformedStreamsAreTypedErrors) {
   const auto error = [](const std::string& bytes) {
     EventStreamReader reader;
     reader.feed(bytes);
     EXPECT_FALSE(reader.next());
     return reader.error();
   };
-  const std::string ok = "HTTP/1.1 200 OK\r\n";
+  const std::string status_line = "HTTP/1.1 200 OK\r\n";
   EXPECT_EQ(error("HTTP/1.1 404 Not Found\r\n\r\n"), StreamError::not_ok);
   EXPECT_EQ(error(std::string(kMaxHead + 1, 'x')), StreamError::head_too_long);
-  EXPECT_EQ(error(ok + "Transfer-Encoding: chunked\r\n\r\nzz\r\n"), StreamError::bad_chunk);
-  EXPECT_EQ(error(ok + "\r\ndata: " + std::string(kMaxEvent, 'x')), StreamError::event_too_long);
+  EXPECT_EQ(error(status_line + "Transfer-Encoding: chunked\r\n\r\nzz\r\n"), StreamError::bad_chunk);
+  EXPECT_EQ(error(status_line + "\r\ndata: " + std::string(kMaxEvent, 'x')), StreamError::event_too_long);
 }
 
-TEST(DiscoveryEvents, AreReadAndErrorsNameTheField) {
+TEST(DiscoveryEvents, EventsAreReadAndErrorsNameTheField) {
   const DiscoveryNames names{{"north", "east"}, {"std", "origin"}};
   const auto list = parse_discovery_event(
       R"({"no":41,"roster":{"revision":7,"complete":true,"members":[{"id":"s-1","host_port":"10.1.0.9:9090",)"
@@ -235,19 +244,20 @@
       names);
   EXPECT_EQ(list.number, 41);
   ASSERT_TRUE(list.endpoints && list.endpoints->is_complete);
-  const ListedEndpoint& m = list.endpoints->endpoints.at(0);
-  EXPECT_EQ(m.address, "10.1.0.9:9090");
-  EXPECT_EQ(m.endpoint.zone, 1);
-  EXPECT_EQ(m.endpoint.kind, 0);
-  EXPECT_EQ(m.endpoint.state, EndpointState::draining);
-  EXPECT_EQ(m.endpoint.started, std::chrono::milliseconds(1764576000123));
+  const ListedEndpoint& listed = list.endpoints->endpoints.at(0);
+  EXPECT_EQ(listed.address, "10.1.0.9:9090");
+  EXPECT_EQ(listed.endpoint.zone, 1);
+  EXPECT_EQ(listed.endpoint.kind, 0);
+  EXPECT_EQ(listed.endpoint.state, EndpointState::draining);
+  EXPECT_EQ(listed.endpoint.started, std::chrono::milliseconds(1764576000123));
 
-  const auto purge = parse_discovery_event(R"({"no":43,"recall":{"lot":17,"issued":1000}})", names);
-  ASSERT_TRUE(purge.invalidation);
-  EXPECT_FALSE(purge.invalidation->object);
-  EXPECT_EQ(purge.invalidation->group, 17);
-  // The moment was rounded down: a copy made within that millisecond may be older than the purge.
-  EXPECT_EQ(purge.invalidation->issued_at, std::chrono::milliseconds(1001));
+  const auto group_event = parse_discovery_event(R"({"no":43,"recall":{"lot":17,"issued":1000}})", names);
+  ASSERT_TRUE(group_event.invalidation);
+  EXPECT_FALSE(group_event.invalidation->object);
+  EXPECT_EQ(group_event.invalidation->group, 17);
+  // The service rounds the time down to a millisecond, so a copy made within that millisecond may be older
+  // than the invalidation.
+  EXPECT_EQ(group_event.invalidation->issued_at, std::chrono::milliseconds(1001));
 
   const auto problem = [&names](const char* json) -> std::string {
     try {
@@ -267,16 +277,16 @@
   EXPECT_NE(problem("[]"), "none");
 }
 
-// ---- Requests at the admin address ----
+// ---- HTTP requests to the admin address ----
 
-TEST(HttpCall, IsReadHoweverItIsSplit) {
+TEST(HttpCall, RequestIsReadOnceFromSingleBytes) {
   HttpCallReader reader;
   const std::string bytes = "POST /v1/a%2fb?x=1 HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}";
   std::optional<HttpCall> call;
-  for (const char c : bytes) {
-    reader.feed(std::string_view(&c, 1));
+  for (const char byte : bytes) {
+    reader.feed(std::string_view(&byte, 1));
     if (auto read = reader.next()) {
-      EXPECT_FALSE(call);  // once
+      EXPECT_FALSE(call);  // it is returned only once
       call = std::move(read);
     }
   }
@@ -285,7 +295,7 @@
   EXPECT_EQ(call->path, "/v1/a/b");
 }
 
-TEST(HttpCall, WhatIsNoneOrNeverEndsIsBroken) {
+TEST(HttpCall, MalformedAndEndlessRequestsAreBroken) {
   for (const std::string& bytes :
        {std::string("hello\r\n\r\n"), std::string("GET /%zz HTTP/1.1\r\n\r\n"),
         std::string(" / HTTP/1.1\r\n\r\n"), std::string("GET / FTP\r\n\r\n"), std::string(100'000, 'x')}) {
