--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -12,13 +12,15 @@
 
 const std::map<std::string, std::string> kAddresses{{"edge", "10.0.0.4:9090"}, {"bulletin", "10.2.0.1:9092"}};
 
+/// Returns the text of a valid configuration file in which the first `from` is replaced by `to`.
 std::string changed(const std::string& from, const std::string& to) {
   std::string text = config_text({"box-1", "main"}, kAddresses);
-  const std::size_t at = text.find(from);
-  EXPECT_NE(at, std::string::npos) << from;
-  return text.replace(at, from.size(), to);
+  const std::size_t position = text.find(from);
+  EXPECT_NE(position, std::string::npos) << from;
+  return text.replace(position, from.size(), to);
 }
 
+/// Returns the text of the error that parsing `text` causes; "none" if there is no error.
 std::string problem(const std::string& text, const std::map<std::string, std::string>& environment = {}) {
   try {
     static_cast<void>(parse(text, environment));
@@ -28,7 +30,7 @@
   return "none";
 }
 
-TEST(Config, AllIsRead) {
+TEST(Config, AllKeysAreRead) {
   const Config config = parse(config_text({"box-1", "main"}, kAddresses), {});
   EXPECT_EQ(config.name, "n1");
   EXPECT_EQ(config.listen_address, "10.0.0.4:9090");
@@ -44,14 +46,14 @@
   EXPECT_EQ(config.known_events[0].endpoints->endpoints[1].endpoint.kind, config.settings.origin_kind);
 }
 
-TEST(Config, TheEnvironmentStandsAboveTheFile) {
+TEST(Config, EnvironmentOverridesTheFile) {
   const Config config =
       parse(config_text({"main"}, kAddresses), {{"GW_NAME", "n9"}, {"GW_LISTEN", "10.0.0.5:1"}});
   EXPECT_EQ(config.name, "n9");
   EXPECT_EQ(config.listen_address, "10.0.0.5:1");
 }
 
-TEST(Config, TheSecondAddressAndWhatIsKeptAreOptional) {
+TEST(Config, AdminAddressAndOverridesPathAreOptional) {
   const std::string text = changed(R"("admin_addr":"admin:1",)", "");
   EXPECT_EQ(parse(text, {}).admin_address, "");
   EXPECT_EQ(parse(text, {}).overrides_path, "");
@@ -63,7 +65,7 @@
             "field 'GW_ADMIN_ADDR': should be host:port, not 'here'");
 }
 
-TEST(Config, TheLinkOfItsOwnCopiesIsOptional) {
+TEST(Config, LocalCacheRatesAreOptional) {
   EXPECT_EQ(parse(config_text({"main"}, kAddresses), {}).link_bytes_per_s, 200'000);
   const std::string text = changed(R"("flow_bytes_per_s":100000,)", "");
   EXPECT_EQ(parse(text, {}).flow_bytes_per_s, 0);
@@ -71,13 +73,13 @@
             "field 'flow_bytes_per_s': should be 0 or more");
 }
 
-TEST(Config, WhatIsLeftOutHasADefault) {
+TEST(Config, AbsentKeysGetTheirDefaults) {
   const Config config = parse(changed(R"("conn_idle":30000000,"connect_timeout":400000,)", ""), {});
   EXPECT_EQ(config.connection_idle, std::chrono::seconds(30));
   EXPECT_EQ(config.connect_timeout, std::chrono::milliseconds(400));
 }
 
-TEST(Config, FaultsNameTheKey) {
+TEST(Config, ErrorsNameTheKey) {
   EXPECT_EQ(problem(changed(R"("bulletin":"10.2.0.1:9092")", R"("bulletin":"10.2.0.1")")),
             "field 'bulletin': should be host:port, not '10.2.0.1'");
   EXPECT_EQ(problem(config_text({"main"}, kAddresses), {{"GW_LISTEN", "here:0"}}),
@@ -100,7 +102,7 @@
   EXPECT_NE(problem("{\"name\":").find("not JSON at byte 8"), std::string::npos);
 }
 
-TEST(Config, WhatSettingsCannotMeanNamesTheKey) {
+TEST(Config, InvalidSettingsNameTheKey) {
   const std::vector<std::tuple<const char*, const char*, const char*>> cases{
       {R"("deadline":2500000)", R"("deadline":0)", "request_classes[1].deadline': should be more than 0"},
       {R"("aim":250000)", R"("aim":-1)", "request_classes[1].aim': should be 0 or more"},
@@ -118,11 +120,11 @@
       {R"("origin_kind":2)", R"("origin_kind":3)", "specifics.origin_kind': is no place in kinds"},
       {R"("purge_slack":300000)", R"("purge_slack":-5)", "specifics.purge_slack': should be 0 or more"},
   };
-  for (const auto& [from, to, told] : cases)
-    EXPECT_EQ(problem(changed(from, to)), std::string("field 'settings.") + told) << to;
+  for (const auto& [from, to, expected_error] : cases)
+    EXPECT_EQ(problem(changed(from, to)), std::string("field 'settings.") + expected_error) << to;
 }
 
-TEST(Config, AnErrorCarriesItsKey) {
+TEST(Config, ErrorCarriesKeyAndProblem) {
   try {
     static_cast<void>(parse(changed(R"("multiplex":32)", R"("multiplex":0)"), {}));
     FAIL() << "no error";
@@ -133,7 +135,7 @@
   }
 }
 
-TEST(Config, AMissingFileIsNamed) {
+TEST(Config, MissingFileIsNamedInTheError) {
   try {
     static_cast<void>(load({{"GW_CONFIG", "/nowhere/at/all.json"}}));
     FAIL() << "no error";
