--- a/tests/simulator/session_test.cpp
+++ b/tests/simulator/session_test.cpp
@@ -26,13 +26,15 @@
 const std::string kClock = R"({"what":"clock","at_time":1000000})";
 const std::string kEnd = R"({"what":"eob"})";
 
+/// Returns the output of a session that reads these lines.
 std::string reply(std::initializer_list<std::string> lines) {
-  std::stringstream in, out;
-  for (const std::string& line : lines) in << line << '\n';
-  serve(in, out);
-  return out.str();
+  std::stringstream input, output;
+  for (const std::string& line : lines) input << line << '\n';
+  serve(input, output);
+  return output.str();
 }
 
+/// Returns the text of the error that these lines cause; "none" if there is no error.
 std::string problem(std::initializer_list<std::string> lines) {
   try {
     reply(lines);
@@ -42,37 +44,40 @@
   return "none";
 }
 
-TEST(SimulatorSession, AnEmptyBatchGetsAnEmptyReply) {
+TEST(SimulatorSession, EmptyBatchIsAnsweredWithDoneOnly) {
   EXPECT_EQ(reply({kClock, kEnd}), "{\"what\":\"done\"}\n");
 }
 
-TEST(SimulatorSession, ARequestIsSentToTheCacheWithTheOriginAsSource) {
-  const std::string out = reply({kClock, kEnlist, kRegister, kRegistry, kRequest, kEnd});
-  EXPECT_NE(out.find("\"opts\":9"), std::string::npos) << out;  // join 1, renew 8
+TEST(SimulatorSession, RequestIsSentToTheCacheWithTheOriginAsSource) {
+  const std::string output = reply({kClock, kEnlist, kRegister, kRegistry, kRequest, kEnd});
+  EXPECT_NE(output.find("\"opts\":9"), std::string::npos)
+      << output;  // join_fill (1) and stale_while_revalidate (8)
   EXPECT_NE(
-      out.find(
+      output.find(
           R"({"what":"answer_from","proxy_id":3,"handle":"h1","store":"cache:1","from_where":"origin:1")"),
       std::string::npos)
-      << out;
-  EXPECT_NE(out.find(R"("how_old":12000000)"), std::string::npos) << out;
-  EXPECT_NE(out.find(R"("what":"wake_at")"), std::string::npos) << out;
+      << output;
+  EXPECT_NE(output.find(R"("how_old":12000000)"), std::string::npos) << output;
+  EXPECT_NE(output.find(R"("what":"wake_at")"), std::string::npos) << output;
 }
 
-TEST(SimulatorSession, ANumberUsedAgainInABatchNamesTheNewerList) {
-  std::string empty = R"({"what":"register","buffer":0,"nodes_list":[]})";
-  const std::string out = reply({kClock, kEnlist, kRegister, kRegistry, empty, kRegistry, kRequest, kEnd});
-  EXPECT_EQ(out.find("answer_from"), std::string::npos) << out;
-  EXPECT_NE(out.find("bounce"), std::string::npos) << out;
+TEST(SimulatorSession, RedefinedListNumberRefersToTheNewerList) {
+  const std::string empty_list = R"({"what":"register","buffer":0,"nodes_list":[]})";
+  const std::string output =
+      reply({kClock, kEnlist, kRegister, kRegistry, empty_list, kRegistry, kRequest, kEnd});
+  EXPECT_EQ(output.find("answer_from"), std::string::npos) << output;
+  EXPECT_NE(output.find("bounce"), std::string::npos) << output;
 }
 
-TEST(SimulatorSession, DestroyAndEnlistInOneBatchStartAfresh) {
-  const std::string out = reply({kClock, kEnlist, kRegister, kRegistry, kRequest,
-                                 R"({"what":"destroy","proxy_id":3})", kEnlist, kRegistry, kRequest, kEnd});
-  EXPECT_NE(out.find("answer_from"), out.rfind("answer_from"));
+TEST(SimulatorSession, DestroyAndEnlistInOneBatchCreateANewRouter) {
+  const std::string output =
+      reply({kClock, kEnlist, kRegister, kRegistry, kRequest, R"({"what":"destroy","proxy_id":3})", kEnlist,
+             kRegistry, kRequest, kEnd});
+  EXPECT_NE(output.find("answer_from"), output.rfind("answer_from"));
 }
 
-TEST(SimulatorSession, OutcomesAndTimersAreTakenIn) {
-  const std::string out = reply(
+TEST(SimulatorSession, OutcomesTimersAndOtherEventsAreHandled) {
+  const std::string output = reply(
       {kClock, kEnlist, kRegister, kRegistry, kRequest, kEnd, R"({"what":"clock","at_time":1100000})",
        R"({"what":"report_back","proxy_id":3,"handle":"h1","n":0,"store":"cache:1","outcome":"shed","rtt":500,)"
        R"("settled":false,"detail":null,"ttfb":null,"report":{"busy":0.5,"x0":0.7}})",
@@ -81,10 +86,10 @@
        R"({"what":"sampled","proxy_id":3,"store":"cache:1","outcome":"delivered","rtt":10,"report":null})",
        R"({"what":"message","proxy_id":3,"author":1,"msg":"hi"})",
        R"({"what":"withdrawn","proxy_id":3,"handle":"h1"})", kEnd});
-  EXPECT_NE(out.find(R"("store":"origin:1")"), std::string::npos) << out;
+  EXPECT_NE(output.find(R"("store":"origin:1")"), std::string::npos) << output;
 }
 
-TEST(SimulatorSession, AnErrorCarriesItsLineAndKey) {
+TEST(SimulatorSession, ErrorCarriesLineAndKey) {
   try {
     reply({kClock, R"({"what":"register","buffer":0,"nodes_list":[{"store":5}]})"});
     FAIL() << "no error";
@@ -95,22 +100,23 @@
   }
 }
 
-TEST(SimulatorSession, KeepsListsAndRoutersBetweenInputs) {
-  std::stringstream out;
-  SimulatorSession session(out);
+TEST(SimulatorSession, ListsAndRoutersPersistBetweenInputs) {
+  std::stringstream output;
+  SimulatorSession session(output);
   std::stringstream first(kClock + "\n" + kEnlist + "\n" + kRegister + "\n");
   session.run(first);
   std::stringstream second(kRegistry + "\n" + kRequest + "\n" + kEnd + "\n");
   session.run(second);
-  EXPECT_EQ(out.str(), reply({kClock, kEnlist, kRegister, kRegistry, kRequest, kEnd}));
+  EXPECT_EQ(output.str(), reply({kClock, kEnlist, kRegister, kRegistry, kRequest, kEnd}));
 }
 
-TEST(SimulatorSession, MalformedInputNamesLineAndField) {
-  EXPECT_NE(problem({kClock, "{nonsense"}).find("line 2"), std::string::npos);
+TEST(SimulatorSession, MalformedInputErrorNamesLineAndField) {
+  EXPECT_NE(problem({kClock, "{malformed"}).find("line 2"), std::string::npos);
   EXPECT_EQ(problem({R"({"what":"clock","at_time":"soon"})"}),
             "line 1, field 'at_time': should be a whole number");
   EXPECT_EQ(problem({R"({"what":"clock"})"}), "line 1, field 'at_time': is missing");
-  EXPECT_EQ(problem({R"({"what":"party"})"}), "line 1, field 'what': has the unknown value 'party'");
+  EXPECT_EQ(problem({R"({"what":"unsupported"})"}),
+            "line 1, field 'what': has the unknown value 'unsupported'");
   EXPECT_EQ(problem({kClock, R"({"what":"reminder","proxy_id":9,"label":1})"}),
             "line 2, field 'proxy_id': names no running instance");
   EXPECT_EQ(problem({kClock, R"({"what":"register","buffer":0,"nodes_list":[{"store":"a","state":"Odd"}]})"}),
