--- a/src/codec/http_call.cpp
+++ b/src/codec/http_call.cpp
@@ -12,8 +12,8 @@
 
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kLineEnd = "\r\n";
-constexpr std::string_view kVersion = "HTTP/1.";
-// Statuses that the admin address replies with.
+constexpr std::string_view kVersionPrefix = "HTTP/1.";
+// Response statuses of the admin address.
 constexpr int kStatusOk = 200;
 constexpr int kStatusAccepted = 202;
 constexpr int kStatusBadRequest = 400;
@@ -26,7 +26,7 @@
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kEscapeDigits = 2;
 
-/// The byte that the digits of a percent escape stand for.
+/// Decodes the two hexadecimal digits of a percent escape; none if they are malformed.
 std::optional<char> decode_escape(std::string_view digits) {
   unsigned value = 0;
   const char* const digits_end = digits.data() + digits.size();
@@ -35,7 +35,7 @@
   return static_cast<char>(value);
 }
 
-/// A path without its query, percent-decoded; none where an escape is malformed.
+/// Returns the percent-decoded path of a request target, without its query; none if an escape is malformed.
 std::optional<std::string> decode_path(std::string_view target) {
   target = target.substr(0, target.find('?'));
   std::string path;
@@ -53,23 +53,23 @@
   return path;
 }
 
-/// The Content-Length of a head that ends in an empty line's CRLF; 0 where it is absent, none where it is
-/// malformed.
+/// Returns the Content-Length of a head whose every line, the last included, ends in CRLF: 0 if the header is
+/// absent, none if it is malformed.
 std::optional<std::size_t> content_length(std::string_view head) {
   constexpr std::string_view kName = "\r\ncontent-length:";
   const std::string lowered = to_lower(head);
-  std::size_t at = lowered.find(kName);
-  if (at == std::string::npos) return 0;
-  at += kName.size();
-  while (lowered[at] == ' ') ++at;
+  std::size_t position = lowered.find(kName);
+  if (position == std::string::npos) return 0;
+  position += kName.size();
+  while (lowered[position] == ' ') ++position;
   std::size_t length = 0;
-  const auto [end, error] = std::from_chars(lowered.data() + at, lowered.data() + lowered.size(), length);
+  const auto [end, error] =
+      std::from_chars(lowered.data() + position, lowered.data() + lowered.size(), length);
   if (error != std::errc{} || *end != '\r') return std::nullopt;
   return length;
 }
 
-/// The reason phrase of a status.
-std::string_view reason_of(int status) {
+std::string_view reason_phrase(int status) {
   switch (status) {
     case kStatusOk:
       return "OK";
@@ -96,7 +96,7 @@
 
 void HttpCallReader::feed(std::string_view bytes) {
   if (is_done_ || is_broken_) return;
-  // Guards the memory against a head that never ends.
+  // Bounds the memory that an endless head can take.
   constexpr std::size_t kMaxReceived = kMaxCallHead + kMaxCallBody + 1;
   received_.append(bytes.substr(0, kMaxReceived - std::min(received_.size(), kMaxReceived)));
 }
@@ -115,7 +115,8 @@
   return call;
 }
 
-/// Sets `is_broken_` where the request is malformed or too large; none also where its body is incomplete.
+/// Returns none and sets `is_broken_` if the request is malformed or too large. Returns none without setting
+/// it if the body is incomplete.
 std::optional<HttpCall> HttpCallReader::read_call(std::size_t head_end) {
   const std::string_view received = received_;
   const std::string_view line = received.substr(0, received.find(kLineEnd));
@@ -123,7 +124,7 @@
   const std::size_t target_start = method_end == std::string_view::npos ? method_end : method_end + 1;
   const std::size_t target_end = line.find(' ', target_start);
   is_broken_ = target_end == std::string_view::npos || method_end == 0 ||
-               !line.substr(target_end + 1).starts_with(kVersion);
+               !line.substr(target_end + 1).starts_with(kVersionPrefix);
   if (is_broken_) return std::nullopt;
   std::optional<std::string> path = decode_path(line.substr(target_start, target_end - target_start));
   is_broken_ = !path || path->empty();
@@ -137,11 +138,11 @@
 }
 
 std::string write_http_response(int status, std::string_view body) {
-  std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
-  out.append(reason_of(status))
+  std::string response = "HTTP/1.1 " + std::to_string(status) + " ";
+  response.append(reason_phrase(status))
       .append("\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: ");
-  out.append(std::to_string(body.size())).append("\r\n\r\n").append(body);
-  return out;
+  response.append(std::to_string(body.size())).append("\r\n\r\n").append(body);
+  return response;
 }
 
 }  // namespace edge_proxy::codec
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -20,19 +20,20 @@
 using Environment = std::map<std::string, std::string>;
 
 constexpr int kMinMemoryMb = 16;
-constexpr int kMinSockets = 64;  // fewer leave no room for clients beside the connections to the caches
+/// A smaller limit leaves no descriptors for clients beside the upstream connections.
+constexpr int kMinSockets = 64;
 constexpr unsigned kMbShift = 20;
 constexpr int kMaxPort = 65535;
-/// How many policies of the largest size one message of the consensus may hold.
+/// Number of policies of the largest size that one consensus message can hold.
 constexpr std::size_t kPoliciesPerUserMessage = 4;
 
-/// The variable's value; empty where it is not set.
+/// Returns the value of an environment variable; empty if it is not set.
 std::string from_environment(const Environment& environment, const char* variable) {
   const auto found = environment.find(variable);
   return found == environment.end() ? std::string() : found->second;
 }
 
-/// Guards the folder against a name that would lead out of it.
+/// Replaces characters that are unsafe in a file name, so that the path cannot leave its folder.
 std::string to_file_name(std::string name) {
   const auto is_unsafe = [](unsigned char character) {
     return std::isalnum(character) == 0 && character != '-';
@@ -46,27 +47,27 @@
   if (colon == std::string::npos || colon == 0) return false;
   const char* const end = address.data() + address.size();
   int port = 0;
-  const auto [stop, error] = std::from_chars(address.data() + colon + 1, end, port);
-  return error == std::errc{} && stop == end && port > 0 && port <= kMaxPort;
+  const auto [parsed_end, error] = std::from_chars(address.data() + colon + 1, end, port);
+  return error == std::errc{} && parsed_end == end && port > 0 && port <= kMaxPort;
 }
 
 void check_address(const std::string& key, const std::string& address) {
   if (!is_host_and_port(address)) throw FieldError(0, key, "should be host:port, not '" + address + "'");
 }
 
-/// The listen address of the clients' side: GW_LISTEN, where set, else the key `listen`.
+/// Returns the listen address for clients: GW_LISTEN if set, otherwise the key `listen`.
 std::string read_listen_address(const Fields& root, const Environment& environment) {
-  const std::string from_variable = from_environment(environment, "GW_LISTEN");
-  std::string address = from_variable.empty() ? root.text("listen") : from_variable;
-  check_address(from_variable.empty() ? "listen" : "GW_LISTEN", address);
+  const std::string environment_value = from_environment(environment, "GW_LISTEN");
+  std::string address = environment_value.empty() ? root.text("listen") : environment_value;
+  check_address(environment_value.empty() ? "listen" : "GW_LISTEN", address);
   return address;
 }
 
-/// The admin address: GW_ADMIN_ADDR, where set, else the key `admin_addr`; empty: there is none.
+/// Returns the admin address: GW_ADMIN_ADDR if set, otherwise the key `admin_addr`; empty if neither is set.
 std::string read_admin_address(const Fields& root, const Environment& environment) {
-  const std::string from_variable = from_environment(environment, "GW_ADMIN_ADDR");
-  std::string address = from_variable.empty() ? root.text("admin_addr", "") : from_variable;
-  if (!address.empty()) check_address(from_variable.empty() ? "admin_addr" : "GW_ADMIN_ADDR", address);
+  const std::string environment_value = from_environment(environment, "GW_ADMIN_ADDR");
+  std::string address = environment_value.empty() ? root.text("admin_addr", "") : environment_value;
+  if (!address.empty()) check_address(environment_value.empty() ? "admin_addr" : "GW_ADMIN_ADDR", address);
   return address;
 }
 
@@ -81,7 +82,7 @@
   if (!folder.empty()) config.overrides_path = folder + "/by-hand-" + to_file_name(config.name);
 }
 
-/// The seed as hexadecimal digits or as an integer.
+/// Reads the seed, which is a string of hexadecimal digits or an integer.
 std::uint64_t read_seed(const Fields& root) {
   const Json* seed = root.find("seed");
   if (seed == nullptr) return 0;
@@ -90,11 +91,11 @@
 }
 
 void read_resource_limits(const Fields& limits, Config& config) {
-  config.max_descriptors = limits.small("sockets", config.max_descriptors);
+  config.max_descriptors = limits.small_integer("sockets", config.max_descriptors);
   if (config.max_descriptors < kMinSockets) {
     limits.fail("sockets", "should be " + std::to_string(kMinSockets) + " or more");
   }
-  const int memory_mb = limits.small("memory_mb", static_cast<int>(config.memory_bytes >> kMbShift));
+  const int memory_mb = limits.small_integer("memory_mb", static_cast<int>(config.memory_bytes >> kMbShift));
   if (memory_mb < kMinMemoryMb) {
     limits.fail("memory_mb", "should be " + std::to_string(kMinMemoryMb) + " or more");
   }
@@ -107,8 +108,8 @@
   return bytes_per_s;
 }
 
-Time read_positive_time(const Fields& fields, const char* name, Time absent) {
-  const Time value = fields.time(name, absent);
+Time read_positive_time(const Fields& fields, const char* name, Time default_value) {
+  const Time value = fields.time(name, default_value);
   if (value <= Time{0}) fields.fail(name, "should be more than 0");
   return value;
 }
@@ -121,14 +122,14 @@
   const Fields bounds = section.object_or_empty("bounds");
   config.connection_idle = read_positive_time(bounds, "conn_idle", config.connection_idle);
   config.connect_timeout = read_positive_time(bounds, "connect_timeout", config.connect_timeout);
-  config.requests_per_connection = bounds.small("multiplex", config.requests_per_connection);
+  config.requests_per_connection = bounds.small_integer("multiplex", config.requests_per_connection);
   if (config.requests_per_connection < 1) bounds.fail("multiplex", "should be 1 or more");
 }
 
 void read_cluster_sections(const Fields& root, Config& config) {
   if (root.find("peers") != nullptr) {
-    const ProxyFacts proxy{config.name, config.settings.zone, config.settings.router_count,
-                           config.max_descriptors};
+    const ProxyProperties proxy{config.name, config.settings.zone, config.settings.router_count,
+                                config.max_descriptors};
     config.membership = read_membership_config(root.object("peers"), proxy);
   }
   if (root.find("policy") == nullptr) return;
@@ -139,10 +140,10 @@
 }
 
 std::string to_json(const Json& value) {
-  rapidjson::StringBuffer text;
-  rapidjson::Writer<rapidjson::StringBuffer> writer(text);
+  rapidjson::StringBuffer buffer;
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
   value.Accept(writer);
-  return text.GetString();
+  return buffer.GetString();
 }
 
 void read_known_events(const Fields& known, Config& config) {
@@ -155,11 +156,11 @@
 
 rapidjson::Document parse_json(const std::string& json) {
   rapidjson::Document document;
-  // Iterative: guards against nesting that would use up the stack.
+  // Iterative parsing keeps deeply nested input from overflowing the stack.
   document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
   if (document.HasParseError()) {
-    const std::string place = "not JSON at byte " + std::to_string(document.GetErrorOffset());
-    throw FieldError(0, "", place + ": " + rapidjson::GetParseError_En(document.GetParseError()));
+    const std::string problem = "not JSON at byte " + std::to_string(document.GetErrorOffset());
+    throw FieldError(0, "", problem + ": " + rapidjson::GetParseError_En(document.GetParseError()));
   }
   return document;
 }
@@ -177,21 +178,21 @@
   config.link_bytes_per_s = read_rate(root, "link_bytes_per_s");
   read_settings_section(root.object("settings"), config);
   read_cluster_sections(root, config);
-  config.settings_text = to_json(root.need("settings"));
+  config.settings_text = to_json(root.required("settings"));
   read_known_events(root.object_or_empty("known"), config);
   return config;
 }
 
-std::vector<std::string> restart_only_keys(const Config& running, const Config& read) {
+std::vector<std::string> restart_only_keys(const Config& running, const Config& loaded) {
   std::vector<std::string> keys;
-  if (running.name != read.name) keys.emplace_back("name");
-  if (running.listen_address != read.listen_address) keys.emplace_back("listen");
-  if (running.admin_address != read.admin_address) keys.emplace_back("admin_addr");
-  if (running.flow_bytes_per_s != read.flow_bytes_per_s) keys.emplace_back("flow_bytes_per_s");
-  if (running.link_bytes_per_s != read.link_bytes_per_s) keys.emplace_back("link_bytes_per_s");
-  if (running.membership != read.membership) keys.emplace_back("peers");
-  if (running.policy != read.policy) keys.emplace_back("policy");
-  if (running.settings_text != read.settings_text) keys.emplace_back("settings");
+  if (running.name != loaded.name) keys.emplace_back("name");
+  if (running.listen_address != loaded.listen_address) keys.emplace_back("listen");
+  if (running.admin_address != loaded.admin_address) keys.emplace_back("admin_addr");
+  if (running.flow_bytes_per_s != loaded.flow_bytes_per_s) keys.emplace_back("flow_bytes_per_s");
+  if (running.link_bytes_per_s != loaded.link_bytes_per_s) keys.emplace_back("link_bytes_per_s");
+  if (running.membership != loaded.membership) keys.emplace_back("peers");
+  if (running.policy != loaded.policy) keys.emplace_back("policy");
+  if (running.settings_text != loaded.settings_text) keys.emplace_back("settings");
   return keys;
 }
 
--- a/src/config/policy_config.cpp
+++ b/src/config/policy_config.cpp
@@ -9,7 +9,7 @@
 namespace edge_proxy::config {
 namespace {
 
-/// What a proxy does without a lease on the policy.
+/// Behavior of a proxy that holds no lease on the policy.
 enum class PartitionMode { refuse, serve };
 constexpr std::array<std::string_view, 2> kPartitionModeWords{"refuse", "serve"};
 
@@ -19,7 +19,7 @@
 constexpr std::array<std::size_t, 3> kVoterCounts{3, 5, 7};
 
 std::vector<std::string> read_voters(const Fields& section) {
-  const Json& list = section.need("voters");
+  const Json& list = section.required("voters");
   if (!list.IsArray()) section.fail("voters", "should be a list");
   std::vector<std::string> voters;
   for (const auto& voter : list.GetArray()) {
@@ -37,8 +37,8 @@
   return voters;
 }
 
-Time read_lease(const Fields& section, Time absent) {
-  const Time lease = section.time("lease", absent);
+Time read_lease(const Fields& section, Time default_value) {
+  const Time lease = section.time("lease", default_value);
   if (lease < kMinLease || lease > kMaxLease) {
     section.fail("lease", "should be 1000000 to 300000000 microseconds");
   }
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -13,29 +13,29 @@
 constexpr std::array<std::string_view, 3> kSiblingFillsWords{"none", "location", "any"};
 constexpr std::array<std::string_view, 3> kCacheStatusDetailWords{"none", "hit", "all"};
 
-/// How changes of the endpoint list reach a router.
+/// Delivery of endpoint updates to a router: pushed, or fetched on request.
 enum class DiscoveryMode { pushed, on_request };
 constexpr std::array<std::string_view, 2> kDiscoveryModeWords{"pushed", "on_request"};
 
 std::vector<int> to_integers(const std::vector<double>& values) { return {values.begin(), values.end()}; }
 
 void read_router(const Fields& fields, Settings& settings) {
-  settings.router_number = fields.small("me", 0);
-  settings.zone = fields.small("az", 0);
-  settings.router_count = fields.small("fleet_size", 1);
+  settings.router_number = fields.small_integer("me", 0);
+  settings.zone = fields.small_integer("az", 0);
+  settings.router_count = fields.small_integer("fleet_size", 1);
   settings.tick = fields.time("tick", Time{0});
   const auto discovery = fields.enumerator("discovery", kDiscoveryModeWords, DiscoveryMode::pushed);
   settings.subscription_required = discovery == DiscoveryMode::on_request;
   settings.weights = fields.enumerator("weights", kWeightsWords, WeightMeaning::none);
 }
 
-/// What belongs to content networks alone.
+/// Reads the settings that apply only to content networks.
 void read_specifics(const Fields& fields, Settings& settings) {
   settings.routers_by_zone = to_integers(fields.numbers("seats_by_zone"));
   settings.hub_by_zone = to_integers(fields.numbers("hub_by_zone"));
   settings.link_in_kb_per_s = fields.numbers("inlet_kb_per_s");
-  settings.parent_kind = fields.small("upper_kind", -1);
-  settings.origin_kind = fields.small("origin_kind", -1);
+  settings.parent_kind = fields.small_integer("upper_kind", -1);
+  settings.origin_kind = fields.small_integer("origin_kind", -1);
   settings.direct_to_sources = fields.boolean("straight", false);
   settings.sibling_fills = fields.enumerator("peers_fill", kSiblingFillsWords, SiblingFills::none);
   settings.cache_status_detail = fields.enumerator("says", kCacheStatusDetailWords, CacheStatusDetail::none);
@@ -49,10 +49,11 @@
   settings.invalidation_settled_after = fields.time("cleared_within", Time{0});
 }
 
-/// The lists of the specifics that hold one value for each request class; a list may be shorter.
-class ClassLists {
+/// Lists in the section `specifics` that hold one value per request class. A list may be shorter than the
+/// list of classes; the missing values get their defaults.
+class PerClassLists {
  public:
-  explicit ClassLists(const Fields& specifics)
+  explicit PerClassLists(const Fields& specifics)
       : max_age_(specifics.numbers("max_age")),
         grace_(specifics.numbers("grace_for")),
         stale_weight_(specifics.numbers("stale_earns")),
@@ -68,8 +69,8 @@
   }
 
  private:
-  static double value_at(const std::vector<double>& values, std::size_t index, double absent) {
-    return index < values.size() ? values[index] : absent;
+  static double value_at(const std::vector<double>& values, std::size_t index, double default_value) {
+    return index < values.size() ? values[index] : default_value;
   }
   static Time to_time(double microseconds) { return Time{static_cast<std::int64_t>(microseconds)}; }
 
@@ -107,7 +108,7 @@
 }
 
 void read_bounds(const Fields& fields, Settings& settings) {
-  settings.max_attempts = fields.small("attempts_cap", 1);
+  settings.max_attempts = fields.small_integer("attempts_cap", 1);
   settings.cancellation = fields.boolean("cancelling", false);
   settings.health_checks = fields.boolean("probes", false);
   settings.hedging = fields.boolean("second_copies", false);
@@ -133,7 +134,7 @@
   read_router(fields, settings);
   const Fields specifics = fields.object_or_empty("specifics");
   read_specifics(specifics, settings);
-  const ClassLists class_lists(specifics);
+  const PerClassLists class_lists(specifics);
   for (const Fields& entry : fields.objects("request_classes")) {
     RequestClass request_class = read_class(entry);
     class_lists.apply(settings.classes.size(), request_class);
