--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -56,9 +56,9 @@
   settings.classes[0].max_age = 8s;
   settings.classes[0].grace = 20s;
   World world(settings, {make_endpoint("cache-a", 0, 2)});  // no source for fills
-  const auto held = actions_of<Attempt>(world.handle(world.request(1)));
-  ASSERT_EQ(held.size(), 1U);
-  EXPECT_EQ(held.front().max_copy_age, 28s);
+  const auto denied = actions_of<Attempt>(world.handle(world.request(1)));
+  ASSERT_EQ(denied.size(), 1U);
+  EXPECT_EQ(denied.front().max_copy_age, 28s);
   world.handle(Invalidation{2, 0, 1s});
   const auto purged = actions_of<Attempt>(world.handle(world.request(2)));
   ASSERT_EQ(purged.size(), 1U);
@@ -260,7 +260,7 @@
 
 TEST(Memory, RemovedEndpointsAreFreedWithTheLastRequestThatRefersToThem) {
   World world;
-  Attempt held;
+  Attempt open_attempt;
   for (int n = 0; n < 500; ++n) {
     Endpoint next = make_endpoint("next-" + std::to_string(n), 0, 2),
              old = make_endpoint("next-" + std::to_string(n - 1), 0, 2);
@@ -268,20 +268,20 @@
     world.handle(EndpointList{ListKind::changes, {old, next}});
     const auto sent = actions_of<Attempt>(world.handle(world.request(static_cast<std::uint64_t>(n))));
     ASSERT_EQ(sent.size(), 1U);
-    if (held.request.empty() && sent.front().endpoint == next.id) {
-      held = sent.front();  // stays open long after its endpoint is removed
+    if (open_attempt.request.empty() && sent.front().endpoint == next.id) {
+      open_attempt = sent.front();  // stays open long after its endpoint is removed
     } else {
       world.end_attempt(sent.front(), AttemptResult::served);
     }
     world.advance(10ms);
   }
-  ASSERT_FALSE(held.request.empty());
+  ASSERT_FALSE(open_attempt.request.empty());
   // The six initial endpoints, the newest one, and those of the open attempt and of its hedged request.
   EXPECT_LE(world.stats().endpoints, 9U);
   EXPECT_GE(world.stats().endpoints, 8U);
   EXPECT_LE(world.stats().in_flight, 2U);
-  world.end_attempt(held, AttemptResult::timed_out, 0);
-  world.end_attempt(held, AttemptResult::timed_out, 1);
+  world.end_attempt(open_attempt, AttemptResult::timed_out, 0);
+  world.end_attempt(open_attempt, AttemptResult::timed_out, 1);
   world.advance(3s);
   EXPECT_EQ(world.stats().endpoints, 7U);
   EXPECT_LT(world.stats().table_entries, 20U);
@@ -423,9 +423,9 @@
   // load, so that they sent nothing to caches that were warming up and rejected nearly all requests for 18 s.
   Settings settings = default_settings();
   settings.weights = WeightMeaning::nominal;
-  Endpoint cold = make_endpoint("cache-a", 0, 2, 1000s);
-  cold.weight = 4;
-  World world(settings, {cold, make_endpoint("origin", 2, 0)});
+  Endpoint warming_cache = make_endpoint("cache-a", 0, 2, 1000s);
+  warming_cache.weight = 4;
+  World world(settings, {warming_cache, make_endpoint("origin", 2, 0)});
   const auto sent_in_2s = [&world] {
     std::size_t sent = 0;
     for (std::uint64_t i = 0; i < 200; ++i) {
@@ -449,9 +449,9 @@
   const auto sent_in_2s = [](double part) {
     Settings settings = default_settings();
     settings.weights = WeightMeaning::nominal;
-    Endpoint cold = make_endpoint("cache-a", 0, 2, 1000s);
-    cold.weight = 4;
-    World world(settings, {cold, make_endpoint("origin", 2, 0)});
+    Endpoint warming_cache = make_endpoint("cache-a", 0, 2, 1000s);
+    warming_cache.weight = 4;
+    World world(settings, {warming_cache, make_endpoint("origin", 2, 0)});
     world.advance(5s);
     world.handle(QuotaChanged{1, part});
     std::size_t sent = 0;
@@ -804,7 +804,7 @@
 TEST(Fills, DeniedForASlowOriginStillUseParentCaches) {
   // Guards against rejecting objects that a parent has cached while fills are denied for a slow origin.
   World world;
-  std::size_t held = 0;
+  std::size_t cached_only_attempts = 0;
   for (int i = 0; i < 120; ++i) {
     const auto sent = actions_of<Attempt>(world.handle(world.request(static_cast<std::uint64_t>(i))));
     if (sent.empty()) continue;
@@ -813,7 +813,7 @@
       world.end_attempt(attempt, AttemptResult::cache_miss, 0, CacheStatus::unknown);
     } else if (attempt.cached_only) {
       EXPECT_TRUE(attempt.source.starts_with("parent"));
-      held += i >= 80 ? 1 : 0;
+      cached_only_attempts += i >= 80 ? 1 : 0;
       const auto after =
           world.end_attempt(attempt, i % 2 == 0 ? AttemptResult::served : AttemptResult::cache_miss, 0,
                             i % 2 == 0 ? CacheStatus::filled : CacheStatus::source_miss);
@@ -825,7 +825,7 @@
     world.advance(100ms);
     world.end_cancelled_attempts();
   }
-  EXPECT_GE(held, 20U);
+  EXPECT_GE(cached_only_attempts, 20U);
 }
 
 TEST(Fills, AreFewerWhenLoadReportsShowAFullLink) {
