--- a/tests/golden/stored_files_golden_test.cpp
+++ b/tests/golden/stored_files_golden_test.cpp
@@ -420,7 +420,7 @@
       consensus::RaftLog::Output out;
       EXPECT_TRUE(node.log->open(out)) << node.log->error();
       record_.add(name(at) + " opened id=" + number(node.log->id()) + " term=" + number(node.log->term()) +
-                  " entries=" + number(node.log->entries()) +
+                  " entries=" + number(node.log->entry_count()) +
                   " runs=" + (node.log->is_running() ? "yes" : "no"));
       take_out(at, out);
     }
