--- a/src/consensus/append_verification.h
+++ b/src/consensus/append_verification.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// How much of a follower's log is known to agree with its leader's.
+/// Tracks the part of a follower's log that is known to match the leader's log.
 #pragma once
 
 #include <algorithm>
@@ -10,12 +10,14 @@
 
 namespace edge_proxy::consensus {
 
-/// Guards against libraft 0.15: it answers an AppendEntries without entries with the end of its own log, of
-/// which the leader may know nothing. Where an entry of an earlier leader stands there, the new one takes its
-/// own entry of that number for replicated (found by a drawn schedule), and may commit what no majority has.
+/// Works around a fault of libraft 0.15: a follower answers an AppendEntries without entries with the last
+/// index of its own log, although the leader has not compared the log up to there. If that part holds an
+/// entry of an earlier leader, the new leader takes its own entry at the same index for replicated and may
+/// commit an entry that no majority has. A randomized test found this.
 class AppendVerification {
  public:
-  /// A message is about to be handled. A leader's compares this log with its own up to the message's end.
+  /// Must be called before a message is handled. A leader's message compares this log with the leader's log
+  /// up to the last entry of the message.
   void begin(const pb::RaftMessage& message) {
     Term term = 0;
     pending_index_ = 0;
@@ -34,21 +36,21 @@
     }
     if (term == 0 || term != term_) pending_index_ = 0;
   }
-  /// The message in work did not fit the log.
+  /// The current message did not match the log.
   void reject() { rejected_ = true; }
   void end() {
     if (!rejected_) verified_index_ = std::max(verified_index_, pending_index_);
     pending_index_ = 0;
   }
-  /// The highest index that this server may report as in common with the leader of that term.
+  /// The highest index that this server may report as matching the log of the leader of `term`.
   [[nodiscard]] Index verified_index(Term term) const {
     return term == term_ ? std::max(verified_index_, pending_index_) : 0;
   }
 
  private:
-  Term term_ = 0;  // the highest one of a leader that sent entries or a snapshot
+  Term term_ = 0;  // the highest term of a leader that has sent entries or a snapshot
   Index verified_index_ = 0;
-  Index pending_index_ = 0;  // by the message in work
+  Index pending_index_ = 0;  // the last index that the current message compares; 0: none
   bool rejected_ = false;
 };
 
--- a/src/consensus/codec.cpp
+++ b/src/consensus/codec.cpp
@@ -8,7 +8,7 @@
 namespace edge_proxy::consensus {
 namespace {
 
-constexpr std::size_t kMaxTextBytes = 128 * 1024;  // of a policy, a key or a reason
+constexpr std::size_t kMaxTextBytes = 128 * 1024;  // of a policy, a key, a name or a reason
 constexpr int kMaxEntries = 64;
 constexpr int kMaxOutcomes = 256;
 
@@ -34,7 +34,7 @@
                from.reason()};
 }
 
-/// One of each kind, to its part of the wire's.
+/// Writes each kind of message to its field of the envelope.
 struct EnvelopeWriter {
   pb::Envelope& envelope;
 
@@ -219,7 +219,7 @@
 std::optional<UserMessage> decode(std::string_view bytes, Time lease, bool* has_other_lease) {
   pb::Envelope envelope;
   if (!envelope.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
-  // Guards against two whose leases are not alike: each would take the other's for run out too early.
+  // Members with different lease durations would each assume too early that the other's lease has expired.
   if (envelope.lease_us() != lease.count()) {
     if (has_other_lease != nullptr) *has_other_lease = true;
     return std::nullopt;
--- a/src/consensus/debug_state.cpp
+++ b/src/consensus/debug_state.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Text forms of the reducer's state for the model checker: equal for states that behave alike from here on.
+// Text forms of the reducer's state for the model checker. Two states with equal texts behave the same from
+// now on.
 #include <algorithm>
 
 #include "consensus/lease_manager.h"
--- a/src/consensus/epoch_lease.h
+++ b/src/consensus/epoch_lease.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The member's side of a lease: which epoch it may decide under, and until when by its own clock.
+/// The lease of a member: the epoch that it may decide under, and until when by the member's own clock.
 #pragma once
 
 #include <map>
@@ -12,19 +12,19 @@
 
 class EpochLease {
  public:
-  /// `first_request`: greater than any number that an earlier process of this member has used. Guards
-  /// against a late LeaseGrant for an earlier process.
+  /// `first_request` is greater than any request number of an earlier process of this member, so that a late
+  /// LeaseGrant for an earlier process is ignored.
   explicit EpochLease(std::uint64_t first_request) : last_request_(first_request) {}
 
-  /// The number of a new LeaseRequest; a lease granted on it is counted from `now`.
+  /// Returns the number of a new LeaseRequest. A lease granted for this request starts at `now`.
   std::uint64_t new_request(Time now) {
-    // Only the newest few count: little would be left of a lease granted on an older one.
+    // Only the newest requests are kept: a lease granted for an older request would expire soon.
     if (requested_at_.size() >= kMaxOutstandingRequests) requested_at_.erase(requested_at_.begin());
     requested_at_[++last_request_] = now;
     return last_request_;
   }
-  /// Whether that changed which epoch is held. `active`: the epoch of its own state machine: no other is
-  /// held.
+  /// Returns true if the member holds a lease now and did not before. `active` is the epoch of the member's
+  /// own state machine; a grant for another epoch is ignored.
   bool on_grant(const LeaseGrant& grant, Epoch active, Time now) {
     const auto found = requested_at_.find(grant.request_number);
     if (found == requested_at_.end() || grant.epoch != active) return false;
@@ -36,7 +36,7 @@
     epoch_ = grant.epoch;
     return !was_held;
   }
-  /// Ends the lease and forgets all requests so far. Guards against a LeaseGrant that is on its way.
+  /// Ends the lease and forgets all requests so far, so that a LeaseGrant in transit is ignored.
   void revoke() {
     requested_at_.clear();
     expires_at_ = Time{0};
@@ -53,7 +53,7 @@
   static constexpr std::size_t kMaxOutstandingRequests = 4;
 
   std::uint64_t last_request_;
-  std::map<std::uint64_t, Time> requested_at_;  // by number
+  std::map<std::uint64_t, Time> requested_at_;  // by request number
   Epoch epoch_ = 0;
   Time expires_at_{0};
 };
--- a/src/consensus/lease_manager.cpp
+++ b/src/consensus/lease_manager.cpp
@@ -12,14 +12,15 @@
       voters_(std::move(voters)),
       earlier_leases_expire_at_(now + lease_expiry_bound(settings.lease, settings.max_clock_drift)) {}
 
-// The exact bound, rounded up: the holder's clock may be slow (1 - drift) while this one is fast (1 + drift).
-// QuotaLeases::lease_expiry_bound takes 1 + 2 * drift instead, which is lower by about 2 * drift squared.
+// The exact bound, rounded up: the holder's clock may run at the rate 1 - drift while the leader's clock runs
+// at 1 + drift. QuotaLeases::lease_expiry_bound uses the factor 1 + 2 * drift, which is lower by about 2 *
+// drift squared.
 Time LeaseManager::lease_expiry_bound(Time lease, double drift) {
   return Time{
       static_cast<Time::rep>(std::ceil(static_cast<double>(lease.count()) * (1 + drift) / (1 - drift)))};
 }
 
-/// While a change is under way all running members request each urgent interval.
+/// While a change is in progress, all running members send a lease request in each urgent interval.
 bool LeaseManager::is_silent(const Holder& holder, Time now) const {
   return now - holder.requested_at >
          (change_ == 0 ? 2 * settings_.renew_interval : 3 * settings_.urgent_interval);
@@ -30,13 +31,13 @@
 void LeaseManager::on_lease_request(const std::string& from, const LeaseRequest& request, Time now) {
   holders_[from].requested_at = now;
   PendingGrant& pending = pending_grants_[from];
-  // The newest request counts. It waits for a round of leadership checks that begins after it.
+  // Only the newest request counts. It waits for a round of leadership checks that starts after it arrived.
   if (request.number > pending.number) pending = {request.number, round_ + 1};
 }
 
-/// Guards against a leader that has been deposed and does not know it: it would go on renewing leases that
-/// the next one takes for expired. A majority that has not voted for a later term by now shows that no later
-/// leader had begun when the leases were asked for.
+/// Prevents a deposed leader that does not know of its successor from renewing leases that the new leader
+/// assumes to have expired. If a majority has not voted in a later term by now, no later leader was elected
+/// before the leases were requested.
 void LeaseManager::send_leadership_checks(Time now, LeaderActions& actions) {
   if (!round_in_progress_) {
     ++round_;
@@ -76,7 +77,7 @@
 
 // ---- A change ----
 
-/// Forgets what was about an earlier change. Whether another one, or none, is under way than before.
+/// Resets the state of an earlier change. Returns true if the change in progress, or its absence, is new.
 bool LeaseManager::track_change(const PolicyStateMachine& policy_state) {
   const Index current = policy_state.change() ? policy_state.change()->id : 0;
   if (current == change_) return false;
@@ -103,7 +104,7 @@
   std::erase_if(pending_proposals_, [&policy_state](const ProposeRequest& pending) {
     return policy_state.knows_change(pending.key);
   });
-  // Guards the log against a call that is repeated until its answer comes.
+  // A call is repeated until it is answered; only its first request is appended to the log.
   if (policy_state.knows_change(request.key) ||
       std::any_of(pending_proposals_.begin(), pending_proposals_.end(), has_same_key))
     return;
@@ -131,26 +132,27 @@
                                     const PolicyStateMachine& policy_state, LeaderActions& actions) {
   track_change(policy_state);
   if (!awaits_decision(change, policy_state)) return;
-  // Operators read this reason in the answer to their call.
+  // The operator who proposed the change reads this reason in the answer to the call.
   propose_decision(Step::abort, "an operator's word at " + from, actions);
 }
 
 void LeaseManager::on_revocation_ack(const std::string& from, const LeaseRevocationAck& ack,
                                      const PolicyStateMachine& policy_state) {
-  // Guards against a member that gave up its lease to an earlier leadership, or for an earlier change, and
-  // has taken a newer one since.
+  // An acknowledgement for an earlier term or an earlier change is ignored: the member may have obtained a
+  // newer lease since.
   if (!revoking_ || ack.term != term_ || ack.epoch != policy_state.epoch()) return;
   if (const auto found = holders_.find(from); found != holders_.end()) found->second.expires_at = Time{0};
 }
 
-/// Members that are reached, by membership or by a recent request, and have not said that they can run it.
+/// Members that are reachable, by membership or by a recent request, and have not replied that they are
+/// ready.
 std::set<std::string> LeaseManager::unprepared_members(const std::map<std::string, bool>& members,
                                                        Time now) const {
   std::set<std::string> unprepared;
   for (const auto& [name, is_reached] : members) {
     if (is_reached) unprepared.insert(name);
   }
-  // Guards against a view that does not have all members yet: whoever may decide counts as well.
+  // The membership view may not hold all members yet, so lease holders count as well.
   for (const auto& [name, holder] : holders_) {
     if (holder.has_lease(now) && now - holder.requested_at <= 2 * settings_.renew_interval)
       unprepared.insert(name);
@@ -178,7 +180,7 @@
     send_leadership_checks(now, actions);
 }
 
-/// Those without a lease that have not asked for one lately.
+/// Removes members that have no lease and have not requested one recently.
 void LeaseManager::forget_expired_holders(Time now) {
   std::erase_if(holders_, [&](const auto& item) {
     const Holder& holder = item.second;
@@ -187,7 +189,7 @@
   std::erase_if(pending_grants_, [&](const auto& item) { return holders_.count(item.first) == 0; });
 }
 
-/// Tells members that the log has gone on, and holders to give up their leases where that is due.
+/// Sends the log position to the members, and repeats revocations to the lease holders while revoking.
 void LeaseManager::announce_change(const PolicyStateMachine& policy_state,
                                    const std::map<std::string, bool>& members, Time now,
                                    LeaderActions& actions) {
@@ -198,7 +200,7 @@
   if (revoking_) send_revocations(policy_state, now, actions);
 }
 
-/// Commits a change that all reached members have prepared; aborts it where one has not in time.
+/// Commits the change if all reachable members are ready. Aborts it if one has not replied by the timeout.
 void LeaseManager::decide_prepared_change(const std::map<std::string, bool>& members, Time now,
                                           LeaderActions& actions) {
   if (decision_proposed_) return;
@@ -212,13 +214,14 @@
   }
 }
 
-/// Ends the leases on the epoch before, then activates the committed change.
+/// Revokes the leases on the previous epoch, then activates the committed change.
 void LeaseManager::advance_activation(const PolicyStateMachine& policy_state, Time now,
                                       LeaderActions& actions) {
   if (activation_proposed_ || earlier_leases_expire_at_ > now) return;
-  // Guards the service: while one that fell silent holds a lease, all others go on under the epoch before.
+  // While a silent member holds a lease, activation has to wait. The other members keep their leases on the
+  // previous epoch during this time, so that they can still decide.
   if (!revoking_ && !has_silent_lease_holder(now)) start_revocation(policy_state, now, actions);
-  // Guards the invariant: nobody may decide under the epoch before any more.
+  // Invariant: at activation no member can decide under the previous epoch any more.
   if (!revoking_ || has_lease_holder(now)) return;
   activation_proposed_ = true;
   actions.append(Step::activate, change_);
--- a/src/consensus/lease_manager.h
+++ b/src/consensus/lease_manager.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The leader's side: grants leases, collects from the reached members whether they can run a policy, and
-/// appends the next step of a change to the log once nobody is left who may decide under the epoch before.
+/// The leader's part of the protocol: grants leases, collects the reachable members' replies on whether they
+/// can apply a proposed policy, and appends the next step of a change to the log. A change is activated only
+/// when no member can decide under the previous epoch any more.
 #pragma once
 
 #include <map>
@@ -15,13 +16,13 @@
 
 namespace edge_proxy::consensus {
 
-/// What the leader wants done, in this order: all messages, then all entries.
+/// The actions of the leader, performed in this order: all messages, then all entries.
 struct LeaderActions {
   std::vector<SendMessage> messages;
-  std::vector<Entry> entries;  ///< for the log
+  std::vector<Entry> entries;  ///< to append to the log
 
   void send(const std::string& to, Message message) { messages.push_back({to, std::move(message)}); }
-  /// A step of a change after its proposal.
+  /// Adds an entry for a step of a change after its proposal.
   void append(Step step, Index change, std::string reason = {}) {
     entries.push_back({step, change, {}, 0, {}, std::move(reason)});
   }
@@ -29,8 +30,8 @@
 
 class LeaseManager {
  public:
-  /// A leadership begins: the log holds all that was ever committed before it. `now`: when it began at the
-  /// latest. Leases that earlier leaders granted were asked for before that.
+  /// Starts a leadership; all entries committed before it have been applied. `now` is not before the start of
+  /// the term. Members requested the leases of earlier leaders before `now`.
   LeaseManager(const Settings& settings, Term term, std::set<std::string> voters, Time now);
 
   void on_lease_request(const std::string& from, const LeaseRequest& request, Time now);
@@ -45,38 +46,39 @@
   void on_propose_request(const ProposeRequest& request, const PolicyStateMachine& policy_state,
                           LeaderActions& actions);
 
-  /// Does what the time, or any of the above, has made due. `members`: the registered ones, and whether each
-  /// is reached.
+  /// Performs the actions that are due after the calls above or after the passing of time. `members` holds
+  /// the registered members and whether each is reachable.
   void advance(const PolicyStateMachine& policy_state, const std::map<std::string, bool>& members, Time now,
                LeaderActions& actions);
   [[nodiscard]] Time next_due(Time now) const;
 
-  /// Members, or leases of an earlier leader, that a change waits for, each with the reason.
+  /// Lists the members, and the leases of earlier leaders, that a change waits for, each with the reason.
   [[nodiscard]] std::vector<std::string> blocking_members(const PolicyStateMachine& policy_state,
                                                           const std::map<std::string, bool>& members,
                                                           Time now) const;
   [[nodiscard]] Term term() const { return term_; }
   [[nodiscard]] const std::set<std::string>& ready_members() const { return ready_members_; }
   void set_voters(std::set<std::string> voters) { voters_ = std::move(voters); }
-  /// The whole state, with times relative to `now` and numbers of requests relative to each member's newest:
-  /// equal for states that behave alike from here on. For the model checker.
+  /// Returns the whole state as text for the model checker. Times are relative to `now`, and request numbers
+  /// are relative to the newest request of each member, so that states that behave the same from now on have
+  /// equal texts.
   [[nodiscard]] std::string debug_state(Time now,
                                         const std::map<std::string, std::uint64_t>& newest_requests) const;
 
-  /// After this, by the leader's clock, a lease that was granted now has expired by its holder's, if both
-  /// clocks are off by `drift` (a fraction) at most.
+  /// The time on the leader's clock after which a lease granted now has expired on the holder's clock, if the
+  /// rate of each clock is wrong by at most the fraction `drift`.
   static Time lease_expiry_bound(Time lease, double drift);
 
  private:
   struct Holder {
     [[nodiscard]] bool has_lease(Time now) const { return expires_at > now; }
 
-    Time expires_at{0};    // its lease may last that long, by this clock
-    Time requested_at{0};  // its newest request came
+    Time expires_at{0};    // the latest possible end of its lease, by the leader's clock
+    Time requested_at{0};  // when its newest request arrived
   };
   struct PendingGrant {
-    std::uint64_t number = 0;  // of the request
-    std::uint64_t round = 0;   // of leadership checks: the first one that began after the request came
+    std::uint64_t number = 0;  // the number of the request
+    std::uint64_t round = 0;   // the first round of leadership checks that starts after the request arrived
   };
 
   bool track_change(const PolicyStateMachine& policy_state);
@@ -100,23 +102,23 @@
   Settings settings_;
   Term term_;
   std::set<std::string> voters_;
-  Time earlier_leases_expire_at_;  // leases of earlier leaders may last that long
+  Time earlier_leases_expire_at_;  // the latest possible end of leases granted by earlier leaders
 
   std::map<std::string, Holder> holders_;
-  std::map<std::string, PendingGrant> pending_grants_;  // requests for a lease
+  std::map<std::string, PendingGrant> pending_grants_;  // requests that have not been granted yet
   std::uint64_t round_ = 0;
   bool round_in_progress_ = false;
   Time round_sent_at_{0};
   std::set<std::string> round_confirmed_;
 
-  Index change_ = 0;  // the one that all below is about
+  Index change_ = 0;  // the change that the members below refer to; 0: none
   Time change_started_at_{0};
   std::set<std::string> ready_members_;
-  bool decision_proposed_ = false;  // commit or abort is in the log, or on its way
-  bool revoking_ = false;           // no lease is granted until the change is active
+  bool decision_proposed_ = false;  // a commit or abort entry has been appended or is being appended
+  bool revoking_ = false;           // leases are being revoked; none is granted until the change is active
   bool activation_proposed_ = false;
   Time announced_at_{0};
-  std::vector<ProposeRequest> pending_proposals_;  // appended in this leadership and not applied yet
+  std::vector<ProposeRequest> pending_proposals_;  // appended in this term and not applied yet
 };
 
 }  // namespace edge_proxy::consensus
--- a/src/consensus/log_bootstrap.h
+++ b/src/consensus/log_bootstrap.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// How the initial voters begin a log: together, and only where none of them has one.
+/// Creates the log: all initial voters start it together, and only if none of them has one.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +13,17 @@
 
 namespace edge_proxy::consensus {
 
-/// Guards against a voter that lost its disk: it would begin the log again, and vote twice in a term.
+/// Asking the other initial voters first prevents a voter that has lost its disk from creating the log again
+/// and voting twice in a term.
 class LogBootstrap {
  public:
   using Servers = RaftConfiguration::Servers;
 
   LogBootstrap(RaftContext& context, std::vector<std::string> initial_voters);
 
-  /// At one that has no log, during a call: asks the other initial voters whether they have one, at
-  /// intervals. The servers to begin the log with, once none of them has; empty before.
+  /// To be called during a call of RaftLog at a proxy without a log. Asks the other initial voters
+  /// periodically whether they have a log. Returns the servers to start the log with once all have replied
+  /// that they have none; empty before.
   [[nodiscard]] Servers poll();
   [[nodiscard]] bool is_initial_voter(const std::string& name) const;
   void set_without_log(const std::string& name, std::uint64_t id) { without_log_[name] = id; }
@@ -33,7 +35,8 @@
 
   RaftContext& context_;
   std::vector<std::string> initial_voters_;
-  std::map<std::string, std::uint64_t> without_log_;  // initial voters that have no log, and their ids
+  std::map<std::string, std::uint64_t>
+      without_log_;  // initial voters known to have no log, and their server ids
   Time next_request_{0};
 };
 
--- a/src/consensus/policy_state_machine.cpp
+++ b/src/consensus/policy_state_machine.cpp
@@ -31,7 +31,7 @@
   const bool is_current = change_ && change_->id == entry.change;
   switch (entry.step) {
     case Step::propose:
-      // Guards against a call that was repeated, or forwarded twice: one key is one change.
+      // A key identifies one change, so a repeated call, or one that was forwarded twice, has no effect.
       if (knows_change(entry.key)) return;
       if (change_ || entry.base_epoch != epoch_) {
         outcomes_.push_back({entry.key, ChangeResult::rejected, epoch_,
@@ -52,12 +52,12 @@
       finish_change(ChangeResult::active, "");
       break;
     case Step::abort:
-      // Guards what all have prepared: once committed, a change is not taken back.
+      // A committed change is not aborted: members rely on its activation.
       if (!is_current || change_->committed) return;
       finish_change(ChangeResult::aborted, entry.reason);
       break;
   }
-  // Guards the memory against callers without end: what became of old changes is dropped.
+  // Bounds the memory: outcomes of old changes are dropped.
   if (outcomes_.size() > kMaxOutcomes) outcomes_.pop_front();
 }
 
--- a/src/consensus/policy_state_machine.h
+++ b/src/consensus/policy_state_machine.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The state that the log leads to: the active policy, the change under way, the outcomes of earlier ones.
-/// Equal on all proxies that have applied the same entries. No I/O, no clock.
+/// The replicated state: the active policy, the change in progress and the outcomes of earlier changes. It is
+/// equal on all proxies that have applied the same entries. It uses no I/O and no clock.
 #pragma once
 
 #include <algorithm>
@@ -18,9 +18,9 @@
   PolicyStateMachine() = default;
   explicit PolicyStateMachine(Snapshot snapshot);
 
-  /// Entries in the order of the log; entries up to index() are ignored.
+  /// Applies an entry. Entries have to come in the order of the log; those up to index() are ignored.
   void apply(Index index, const Entry& entry);
-  /// The log has come that far without an entry of this kind.
+  /// Sets index() to a log position that holds no policy entry.
   void advance_to(Index index) { index_ = std::max(index_, index); }
 
   [[nodiscard]] Index index() const { return index_; }
@@ -28,7 +28,8 @@
   [[nodiscard]] const std::string& key() const { return key_; }
   [[nodiscard]] const std::string& policy() const { return policy_; }
   [[nodiscard]] const std::optional<Change>& change() const { return change_; }
-  /// What became of the change with that key; none: it is under way, was never heard of, or is too long ago.
+  /// The outcome of the change with that key. Null: the change is in progress, is unknown, or its outcome has
+  /// been dropped.
   [[nodiscard]] const ChangeOutcome* outcome(const std::string& key) const;
   [[nodiscard]] bool knows_change(const std::string& key) const;
   [[nodiscard]] Snapshot snapshot() const;
--- a/src/consensus/raft_context.cpp
+++ b/src/consensus/raft_context.cpp
@@ -23,7 +23,8 @@
   if (!error.empty()) return;
   error = storage_error;
   const bool took_part = failure == RaftStorage::Failure::io;
-  log("policy storage failed: " + error + "; it takes no part in the log" + (took_part ? " any more" : ""));
+  log("policy storage failed: " + error + "; this proxy takes no part in the log" +
+      (took_part ? " from now on" : ""));
 }
 
 void RaftContext::run_deferred_callbacks() {
--- a/src/consensus/raft_context.h
+++ b/src/consensus/raft_context.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What libraft's callbacks read and change at one proxy: time, random numbers, the disk, the applied state
-/// and the result of the running call. Owned by RaftLog.
+/// The state of one proxy that libraft's callbacks use: time, random numbers, the disk, the applied state and
+/// the output of the current call. RaftLog owns it.
 #pragma once
 
 #include <cstdint>
@@ -20,24 +20,24 @@
   RaftContext(std::string own_name, Time lease_duration, storage::Journal& journal, Time start,
               std::uint64_t seed);
 
-  /// Where no call runs, the line is lost.
+  /// Adds a log line to the output of the current call. Outside a call the line is dropped.
   void log(std::string line);
-  /// Records a failure after which this proxy takes no part in the log. The first one counts.
+  /// Records a failure, after which this proxy does not participate in the log. Only the first one is kept.
   void on_storage_failure(RaftStorage::Failure failure, const std::string& storage_error);
-  /// Runs what libraft has put off, and what that puts off, until nothing is left.
+  /// Runs the deferred callbacks, including those that they defer in turn, until none is left.
   void run_deferred_callbacks();
 
   std::string name;
   std::uint64_t server_id = 0;  ///< 0 until the storage is open
-  Time lease;                   ///< goes with each message: see decode()
+  Time lease;                   ///< sent with each message: see decode()
   Time now;
   std::mt19937_64 random;
-  std::string error;  ///< empty: none so far
+  std::string error;  ///< empty: no failure so far
   RaftStorage storage;
-  PolicyStateMachine state_machine;  ///< what has been applied: for snapshots
-  Index reported_index = 0;          ///< the reducer has been given what is applied up to here
+  PolicyStateMachine state_machine;  ///< the applied state, used for snapshots
+  Index reported_index = 0;          ///< the applied entries up to here have been reported to the reducer
   std::deque<std::function<void()>> deferred_callbacks;
-  RaftLogOutput* output = nullptr;  ///< of the running call; null: none runs
+  RaftLogOutput* output = nullptr;  ///< of the current call; null outside a call
 };
 
 }  // namespace edge_proxy::consensus
--- a/src/consensus/raft_io_table.cpp
+++ b/src/consensus/raft_io_table.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// RaftNode's tables of functions for libraft. Writes are done at once; all callbacks are put off until
-// libraft has returned, which is not reentrant.
+// The function tables that RaftNode passes to libraft. Writes are performed immediately. All callbacks are
+// deferred until libraft has returned, because it is not reentrant.
 #include <algorithm>
 #include <chrono>
 
@@ -35,7 +35,7 @@
   io_.bootstrap = [](raft_io* io, const raft_configuration* servers) {
     return from(io).store_bootstrap(*servers);
   };
-  // A log is never begun anew from the servers that are left: docs/consensus.md, "What remains".
+  // A log is never recreated from the remaining servers: docs/consensus.md, "What remains".
   io_.recover = [](raft_io*, const raft_configuration*) -> int { return RAFT_INVALID; };
   io_.set_term = [](raft_io* io, raft_term term) {
     return write_status(from(io).context_.storage.set_term(term));
--- a/src/consensus/raft_log.cpp
+++ b/src/consensus/raft_log.cpp
@@ -15,7 +15,8 @@
 namespace edge_proxy::consensus {
 namespace {
 
-/// Of one name with one disk: another disk is another server.
+/// Derives the server id from the member's name and its disk: the same name with a different disk is a
+/// different server.
 std::uint64_t server_id_of(const std::string& name, std::uint64_t disk_id) {
   constexpr std::uint64_t kGoldenRatio = 0x9e3779b97f4a7c15U;
   std::uint64_t hash = fnv1a(name) ^ disk_id * kGoldenRatio;
@@ -23,10 +24,10 @@
   return (hash >> 1U) | 1U;  // never 0
 }
 
-/// What a learned state or its entries lead to.
+/// The result of applying a learned snapshot or learned entries.
 struct LearnedUpdate {
   PolicyStateMachine state_machine;
-  std::vector<Input> inputs;  // for the reducer; empty: nothing new
+  std::vector<Input> inputs;  // for the reducer; empty if nothing is new
 };
 
 LearnedUpdate apply_learned(PolicyStateMachine state_machine, const Snapshot& snapshot) {
@@ -60,10 +61,10 @@
   RaftContext context;
   LogBootstrap bootstrap;
   VoterChanges voter_changes;
-  std::unique_ptr<RaftNode> node;  // none: this proxy has no log
+  std::unique_ptr<RaftNode> node;  // null: this proxy has no log
 };
 
-/// A call from outside: what happens meanwhile goes into `output`, and is completed at the end.
+/// The scope of a public call: results go to `output`, and the destructor adds what is still to be reported.
 class RaftLog::Call {
  public:
   Call(RaftLog& log, Output& output) : log_(log) { log_.components_->context.output = &output; }
@@ -96,7 +97,7 @@
   RaftContext& context = components_->context;
   if (!context.storage.open(context.random)) return false;
   if (const std::size_t repaired = context.storage.repaired_records(); repaired > 0)
-    context.log("policy storage mended records=" + std::to_string(repaired) +
+    context.log("policy storage repaired records=" + std::to_string(repaired) +
                 ": one of two copies was damaged");
   context.server_id = server_id_of(settings_.name, context.storage.disk_id());
   if (const auto& learned = context.storage.learned()) {
@@ -122,11 +123,11 @@
   if (status == 0) return true;
   RaftContext& context = components_->context;
   if (context.error.empty()) context.error = components_->node->describe_error(status);
-  context.log("policy log can't begin: " + context.error);
+  context.log("policy log failed to start: " + context.error);
   return false;
 }
 
-// ---- The beginning of the log ----
+// ---- Creation of the log ----
 
 void RaftLog::poll_bootstrap() {
   if (components_->node || !error().empty()) return;
@@ -135,7 +136,7 @@
   if (initial.initial_servers_size() > 0) bootstrap_log(initial);
 }
 
-/// False: this proxy is none of the servers that begin it, or it could not be begun.
+/// Returns false if this proxy is not one of the servers that the log starts with, or if the start failed.
 bool RaftLog::bootstrap_log(const pb::BootstrapMessage& message) {
   const auto& servers = message.initial_servers();
   const auto is_own = [this](const pb::Server& server) { return server.id() == id(); };
@@ -146,7 +147,7 @@
   if (status == 0) status = components_->node->bootstrap(*configuration);
   close();
   if (status != 0) return false;
-  components_->context.log("policy log begins voters=" + std::to_string(servers.size()));
+  components_->context.log("policy log created voters=" + std::to_string(servers.size()));
   return start();
 }
 
@@ -156,8 +157,8 @@
   reply.set_has_log(components_->node != nullptr || !error().empty());
   const RaftStorage& storage = components_->context.storage;
   if (!components_->node || storage.first_index() != 1 || storage.entries().empty()) return reply;
-  // The servers with which the log began, where they are still its first entry: another of them whose disk
-  // has not been lost begins with them too.
+  // While the servers that the log started with are still its first entry, they are sent to the other initial
+  // voters: one that has not started yet, and still has its disk, starts with the same servers.
   if (components_->node->configuration_index() <= 1)
     RaftConfiguration::write_servers(components_->node->configuration(), *reply.mutable_initial_servers());
   return reply;
@@ -227,10 +228,11 @@
   advance_clock(now);
   pb::RaftMessage received;
   if (!error().empty() || !received.ParseFromString(message.bytes)) return;
-  // Guards against a message for a server that had this name with another disk: its votes are not this one's.
+  // A message may be meant for a server that had this name with a different disk. Its votes are not valid for
+  // this server.
   if (received.to() != id()) return;
   const Call call(*this, output);
-  // A leader has added it: it takes the log from there.
+  // A leader has added this proxy as a server, so it receives the log from there.
   if (!components_->node && received.has_append_entries()) start();
   if (is_running()) components_->node->receive(received);
 }
@@ -253,7 +255,7 @@
       },
       learned.learned);
   if (update.inputs.empty()) return;
-  // All of it is one small record: written anew each time, the journal does not grow.
+  // The state is one small record that replaces the previous one, so the journal does not grow.
   if (!context.storage.store_learned(update.state_machine.snapshot())) return;
   context.state_machine = std::move(update.state_machine);
   context.reported_index = context.state_machine.index();
@@ -265,7 +267,7 @@
   const auto current_voters = voters();
   if (const auto found = current_voters.find(name); found != current_voters.end()) {
     if (found->second == id) return true;
-    // The one before has lost its disk, and its votes with it: it goes first.
+    // The previous server of that name has lost its disk and its votes, so it is removed first.
     components_->voter_changes.queue_removal(name, found->second);
   }
   components_->voter_changes.queue_addition(name, id);
@@ -284,9 +286,10 @@
   return true;
 }
 
-// ---- The result of a call ----
+// ---- The results of a call ----
 
-/// What libraft has put off, then the role and the changes of voters, and what these have put off.
+/// Runs deferred callbacks, reports the role, advances voter changes, and runs the callbacks deferred by
+/// these.
 void RaftLog::report_progress() {
   components_->context.run_deferred_callbacks();
   report_role();
@@ -296,7 +299,7 @@
     report_applied();
 }
 
-/// The log has come this far, also without an entry of the policy.
+/// Reports the last applied index, which may hold no policy entry.
 void RaftLog::report_applied() {
   RaftContext& context = components_->context;
   context.reported_index = components_->node->last_applied();
@@ -313,14 +316,14 @@
   }
 }
 
-/// A request to libraft, which owns it until its callback.
+/// A request to libraft, which owns it until the callback runs.
 struct RaftLog::Barrier {
   struct raft_barrier request {};
   RaftLog* log = nullptr;
   Term term = 0;
 };
 
-/// Once a barrier of this term has been applied, so has all that was ever committed before.
+/// When the barrier of this term has been applied, all entries committed earlier have been applied as well.
 void RaftLog::request_leader_barrier() {
   is_leader_reported_ = true;
   reported_leader_term_ = term();
--- a/src/consensus/raft_log.h
+++ b/src/consensus/raft_log.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The replicated log at one proxy, on libraft: time, random numbers, disk and messages are handed in, so it
-/// runs in the program and in virtual time alike. At a proxy that is no voter it stores what was learned from
-/// others, and Raft does not run.
+/// The replicated log at one proxy, based on libraft. Time, random numbers, disk and messages are passed in,
+/// so that it runs the same in the program and in virtual time. At a proxy without a vote, Raft does not run
+/// and the log stores the state that was learned from other members.
 #pragma once
 
 #include <cstdint>
@@ -23,12 +23,12 @@
  public:
   struct Settings {
     std::string name;
-    std::vector<std::string> initial_voters;  ///< names of the voters that begin the log
-    Time lease{5'000'000};                    ///< goes with each message: see decode()
+    std::vector<std::string> initial_voters;  ///< names of the voters that the log starts with
+    Time lease{5'000'000};                    ///< sent with each message: see decode()
     unsigned heartbeat_ms = 100;
     unsigned election_ms = 1000;
-    unsigned snapshot_threshold_entries = 1024;  ///< a snapshot is taken each time so many are applied
-    unsigned trailing_entries = 128;  ///< entries kept behind a snapshot, for followers a little behind
+    unsigned snapshot_threshold_entries = 1024;  ///< a snapshot is taken after this many applied entries
+    unsigned trailing_entries = 128;  ///< entries kept before a snapshot, for followers that lag a little
     std::uint64_t seed = 1;
   };
   using Output = RaftLogOutput;
@@ -38,22 +38,24 @@
   RaftLog(const RaftLog&) = delete;
   RaftLog& operator=(const RaftLog&) = delete;
 
-  /// Reads what is on the disk and starts. False: error() says what is wrong; the proxy takes no part in the
-  /// log.
+  /// Reads the disk and starts Raft if there is a log. Returns false on a failure, which error() describes;
+  /// the proxy does not participate in the log then.
   bool open(Output& output);
-  /// To be called at least each half of a heartbeat interval.
+  /// Must be called at least twice per heartbeat interval.
   void tick(Time now, Output& output);
   void on_message(Time now, const RaftMessage& message, Output& output);
   void on_message(Time now, const std::string& from, const BootstrapMessage& message, Output& output);
-  /// At the leader; elsewhere the entry is lost.
+  /// Appends an entry at the leader. At any other proxy the entry is dropped.
   void append(Time now, const Entry& entry, Output& output);
-  /// To the disk of a proxy that is no voter.
+  /// Stores learned state on the disk of a proxy without a vote.
   void persist_learned(Time now, const PersistLearned& learned, Output& output);
-  /// Whether it has voted for no later term; never true where it has no vote, or its disk has failed.
+  /// Whether this proxy is a voter that has not voted in a term later than `term`. Always false if it has no
+  /// vote or its disk has failed.
   [[nodiscard]] bool can_confirm_leadership(Term term) const;
 
-  /// At the leader, one change at a time: a voter is added, in place of one of the same name if there is one,
-  /// or removed. The result is logged. `id`: of the new one, as its /v1/policy shows. False: not begun.
+  /// Add or remove a voter at the leader, one change at a time. An added voter replaces one of the same name.
+  /// `id` is the server id of the new voter, which its /v1/policy shows. The result is logged. Return false
+  /// if the change was not started.
   bool add_voter(const std::string& name, std::uint64_t id, Output& output);
   bool remove_voter(const std::string& name, Output& output);
 
@@ -61,11 +63,11 @@
   [[nodiscard]] bool is_running() const;
   [[nodiscard]] bool is_leader() const;
   [[nodiscard]] Term term() const;
-  /// Names of the voters and their ids.
+  /// Names of the voters and their server ids.
   [[nodiscard]] std::map<std::string, std::uint64_t> voters() const;
-  /// Empty: nothing has failed.
+  /// The first failure; empty if there was none.
   [[nodiscard]] const std::string& error() const;
-  /// Raft's entries on the disk, without those that a snapshot has replaced.
+  /// The number of Raft entries on the disk, without those that a snapshot has replaced.
   [[nodiscard]] std::size_t entry_count() const;
 
  private:
@@ -73,7 +75,7 @@
   struct Components;
   struct Barrier;
 
-  // Start.
+  // Starting the log.
   int initialize_node();
   bool start();
   void close();
@@ -81,7 +83,7 @@
   void poll_bootstrap();
   [[nodiscard]] pb::BootstrapMessage bootstrap_reply() const;
 
-  // What a call has led to.
+  // Reporting the results of a call.
   void report_progress();
   void report_applied();
   void report_role();
--- a/src/consensus/raft_log_output.h
+++ b/src/consensus/raft_log_output.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The result of a call of the replicated log.
+/// The results of a call to the replicated log.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 namespace edge_proxy::consensus {
 
 struct RaftLogOutput {
-  std::vector<std::pair<std::string, std::string>> messages;  ///< member and encoded message
+  std::vector<std::pair<std::string, std::string>> messages;  ///< receiving member and encoded message
   std::vector<Input> inputs;                                  ///< for the reducer, in order
   std::vector<std::string> log_lines;
 };
--- a/src/consensus/raft_messages.cpp
+++ b/src/consensus/raft_messages.cpp
@@ -77,8 +77,8 @@
   return true;
 }
 
-/// The data of all entries goes into one block, the batch: libraft frees the entries of a message together,
-/// also where it has some of them already.
+/// The data of all entries is stored in one block, the batch: libraft frees the entries of a message
+/// together, even if it already has some of them.
 bool read_entries(const pb::AppendEntries& from, raft_append_entries& to) {
   std::size_t size = 1;
   for (const pb::LogEntry& entry : from.entries()) size += entry.data().size();
--- a/src/consensus/raft_messages.h
+++ b/src/consensus/raft_messages.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Conversion between libraft's messages and those on the wire.
+/// Conversion between libraft's messages and the messages on the wire.
 #pragma once
 
 #include "consensus.pb.h"
@@ -11,12 +11,13 @@
 
 namespace edge_proxy::consensus {
 
-/// The kind and its fields; `from`, `to` and the address are the caller's. False: a kind that has no form on
-/// the wire.
+/// Writes the kind of the message and its fields; the caller sets `from`, `to` and the address. Returns false
+/// for a kind that has no wire format.
 [[nodiscard]] bool write_raft_message(const raft_message& from, pb::RaftMessage& to);
 
-/// False: a field is out of its range, or there is no memory; `to` then owns nothing. True: what `to` owns
-/// (entries, servers, a snapshot's data) is for libraft to free. `to.server_address` points into `from`.
+/// Returns false if a field is out of range or there is not enough memory; `to` then owns nothing. On success
+/// libraft frees what `to` owns (entries, servers, the data of a snapshot). `to.server_address` points into
+/// `from`.
 [[nodiscard]] bool read_raft_message(const pb::RaftMessage& from, raft_message& to);
 
 }  // namespace edge_proxy::consensus
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -23,7 +23,7 @@
   set_state_machine_functions();
 }
 
-// ---- Calls of libraft ----
+// ---- Calls to libraft ----
 
 int RaftNode::initialize() {
   const std::string address = server_address(context_.name, context_.server_id);
@@ -82,7 +82,7 @@
     entry->term = from.term;
     entry->type = static_cast<unsigned short>(from.type);
     entry->buf = make_buffer(from.data);
-    entry->batch = entry->buf.base;  // each is a batch of its own: freed alone
+    entry->batch = entry->buf.base;  // each entry is its own batch and is freed separately
     ++entry;
   }
   *entries = loaded.release();
@@ -115,7 +115,7 @@
 int RaftNode::apply(const raft_buffer& command) {
   const auto entry = decode_entry(to_string(command));
   const Index index = raft_.last_applied + 1;
-  // An entry that can't be read was written by another version: nothing is made of it anywhere.
+  // An entry that cannot be decoded was written by a different version. All proxies skip it.
   if (!entry) {
     context_.state_machine.advance_to(index);
     return 0;
@@ -141,15 +141,15 @@
                                          encode(written, context_.lease));
 }
 
-/// Guards against libraft 0.15: a rejected pre-vote carries the term that was asked for, not the voter's own.
-/// A candidate with the longer log and the lower term then asks for the same term for ever, and nobody leads
-/// (found by a drawn schedule).
+/// Works around a fault of libraft 0.15: the rejection of a pre-vote carries the requested term instead of
+/// the voter's current term. A candidate with a longer log and a lower term then requests the same term
+/// forever, and no leader is elected. A randomized test found this.
 void RaftNode::correct_vote_result(pb::RequestVoteResult& result) const {
   if (result.pre_vote() == raft_tribool_true && !result.granted())
     result.set_term(std::max<Term>(result.term(), raft_.current_term));
 }
 
-/// See AppendVerification.
+/// Limits the reported index: see AppendVerification.
 void RaftNode::correct_append_result(pb::AppendEntriesResult& result) {
   if (result.rejected_index() != 0) {
     verification_.reject();
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// libraft's server at one proxy: the table of functions through which it reaches time, disk, messages and
-/// the state machine, and the calls that are made of it. Of raft_log and voter_changes alone.
+/// The libraft server of one proxy: the function tables through which libraft uses time, disk, messages and
+/// the state machine, and the calls to libraft. Only raft_log and voter_changes use it.
 #pragma once
 
 #include <cstddef>
@@ -28,36 +28,36 @@
   RaftNode(const RaftNode&) = delete;
   RaftNode& operator=(const RaftNode&) = delete;
 
-  // 0, or an error of libraft.
+  // These functions return 0 or an error code of libraft.
   [[nodiscard]] int initialize();
   [[nodiscard]] int start(const Timing& timing);
-  /// Writes the first entry of the log, with its servers. On a disk without a log.
+  /// Writes the first entry of the log, which holds its servers. The disk must not hold a log.
   [[nodiscard]] int bootstrap(const RaftConfiguration& servers);
-  /// Must be called before destruction, after initialize(); callbacks of pending requests run.
+  /// Must be called after initialize() and before destruction; runs the callbacks of pending requests.
   void close();
 
   void tick() { tick_callback_(&io_); }
-  /// A message that is malformed is dropped as a whole.
+  /// A malformed message is dropped.
   void receive(const pb::RaftMessage& message);
-  /// Appends a command to the log, at the leader; elsewhere it is lost.
+  /// Appends a command to the log at the leader. At any other server the command is dropped.
   void propose(const std::string& command);
 
   [[nodiscard]] bool is_leader() { return raft_state(&raft_) == RAFT_LEADER; }
-  /// Empty: not known.
+  /// Empty if the leader is unknown.
   [[nodiscard]] std::string leader_name();
   [[nodiscard]] Term term() const { return raft_.current_term; }
   [[nodiscard]] Index last_applied() const { return raft_.last_applied; }
   [[nodiscard]] const raft_configuration& configuration() const { return raft_.configuration; }
   [[nodiscard]] Index configuration_index() const { return raft_.configuration_index; }
   [[nodiscard]] std::string describe_error(int status);
-  /// For requests with callbacks of their own.
+  /// For requests to libraft that have their own callbacks.
   [[nodiscard]] raft* handle() { return &raft_; }
 
  private:
   static RaftNode& from(const raft_io* io) { return *static_cast<RaftNode*>(io->impl); }
   static RaftNode& from(const raft_fsm* fsm) { return *static_cast<RaftNode*>(fsm->data); }
 
-  // The table of functions.
+  // Function tables, in raft_io_table.cpp.
   void set_lifecycle_functions();
   void set_storage_functions();
   void set_snapshot_functions();
@@ -73,7 +73,7 @@
 
   // Snapshots, in raft_snapshots.cpp.
   int store_snapshot(unsigned trailing_entries, const raft_snapshot& snapshot);
-  /// Null: there is none, or no memory.
+  /// Null if there is no snapshot or not enough memory.
   [[nodiscard]] raft_snapshot* load_snapshot() const;
   int take_snapshot(raft_buffer** buffers, unsigned* count) const;
   int restore_snapshot(const std::string& data);
--- a/src/consensus/raft_snapshots.cpp
+++ b/src/consensus/raft_snapshots.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// RaftNode's snapshots: of the state machine, from the disk and from the leader.
+// The snapshot functions of RaftNode: taking and restoring snapshots of the state machine, and storing and
+// loading them on the disk.
 #include <span>
 #include <string>
 
--- a/src/consensus/raft_storage.cpp
+++ b/src/consensus/raft_storage.cpp
@@ -69,7 +69,7 @@
   for (const std::string& bytes : records) {
     pb::Record record;
     if (record.ParseFromString(bytes) && replay(record)) continue;
-    on_failure_(Failure::inconsistent_records, "its records do not go together");
+    on_failure_(Failure::inconsistent_records, "the journal holds inconsistent or unreadable records");
     return false;
   }
   if (disk_id_ != 0) return true;
--- a/src/consensus/raft_storage.h
+++ b/src/consensus/raft_storage.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
 /// The durable state of the replicated log at one proxy: Raft's term, vote, entries and snapshot, and the
-/// state that a member without a vote has learned. Each change is on the disk when its function returns.
+/// state that a member without a vote has learned. A change is durable when its function returns true.
 #pragma once
 
 #include <cstdint>
@@ -33,43 +33,43 @@
   };
   enum class Failure : std::uint8_t {
     io,                   ///< the journal could not be read or written
-    inconsistent_records  ///< its records contradict each other or can't be read
+    inconsistent_records  ///< records of the journal contradict each other or cannot be decoded
   };
   using FailureHandler = std::function<void(Failure failure, const std::string& error)>;
 
-  /// `on_failure` is called at each failed read or write. A failure is final: the journal refuses all that
-  /// follows.
+  /// `on_failure` is called at each failed read or write. A failure is final: the journal rejects all later
+  /// writes.
   RaftStorage(storage::Journal& journal, FailureHandler on_failure);
 
-  /// Reads the journal, and draws the id of a new disk from `random`. False: it failed.
+  /// Reads the journal. If the disk has no id yet, generates one with `random`. Returns false on a failure.
   [[nodiscard]] bool open(std::mt19937_64& random);
 
-  // False, or an error: not on the disk.
+  // These functions return false if the change is not durable.
   bool set_term(Term term);
   bool set_vote(std::uint64_t server_id);
-  /// The first entry of a log without any, in term 1.
+  /// Writes the first entry of an empty log, and its term.
   bool bootstrap(StoredEntry first);
   bool append(std::span<StoredEntry> entries);
-  /// Removes that entry and all behind it. `from` is at least first_index().
+  /// Removes the entry at `from` and all later entries. `from` is at least first_index().
   bool truncate(Index from);
-  /// Replaces the entries up to the snapshot's index, but for the last `trailing_entries` of them.
-  /// 0: the snapshot came from a leader, and no entry is kept.
+  /// Replaces the entries up to the index of the snapshot, except for the last `trailing_entries` of them. 0
+  /// means that the snapshot came from a leader; no entry is kept then.
   bool store_snapshot(const pb::RaftSnapshot& snapshot, unsigned trailing_entries);
-  /// The state that a member without a vote has come to.
+  /// Stores the state that a member without a vote has learned.
   bool store_learned(Snapshot learned);
 
-  /// Records of which one of two copies was damaged when the journal was opened.
+  /// The number of records of which one of two copies was damaged when the journal was opened.
   [[nodiscard]] std::size_t repaired_records() const { return journal_.was_repaired(); }
   /// Whether Raft has ever written here.
   [[nodiscard]] bool has_log() const { return term_ != 0 || !entries_.empty() || !snapshot_.empty(); }
-  /// Drawn once for each disk, never 0 after open().
+  /// Generated once for each disk; never 0 after a successful open().
   [[nodiscard]] std::uint64_t disk_id() const { return disk_id_; }
   [[nodiscard]] Term term() const { return term_; }
   [[nodiscard]] std::uint64_t vote() const { return vote_; }
-  /// Of the first of entries(), or of the next one where there is none.
+  /// The index of the first of entries(), or of the next entry if there is none.
   [[nodiscard]] Index first_index() const { return first_index_; }
   [[nodiscard]] const std::deque<StoredEntry>& entries() const { return entries_; }
-  /// None: there is no snapshot.
+  /// None if there is no snapshot.
   [[nodiscard]] std::optional<pb::RaftSnapshot> snapshot() const;
   [[nodiscard]] const std::optional<Snapshot>& learned() const { return learned_; }
 
@@ -78,7 +78,7 @@
   [[nodiscard]] bool replay_entry(const pb::StoredEntry& stored);
   [[nodiscard]] bool replay_truncation(Index from);
   void remove_entries_from(Index from);
-  /// Rewrites the journal with the records of the present state alone.
+  /// Rewrites the journal so that it holds only the records of the current state.
   bool compact();
   bool write(const std::vector<std::string>& records);
   bool check(bool succeeded);
@@ -91,7 +91,7 @@
   std::uint64_t vote_ = 0;
   Index first_index_ = 1;
   std::deque<StoredEntry> entries_;
-  std::string snapshot_;  // a pb::RaftSnapshot; empty: none
+  std::string snapshot_;  // an encoded pb::RaftSnapshot; empty if there is none
   std::optional<Snapshot> learned_;
 };
 
--- a/src/consensus/reducer.cpp
+++ b/src/consensus/reducer.cpp
@@ -11,12 +11,12 @@
 constexpr std::size_t kMaxEntriesPerResponse = 16;
 constexpr std::size_t kMaxPendingCalls = 16;  // of operators
 constexpr std::size_t kMaxKeyBytes = 64;
-// Without a lease, requests without an answer after which the leader is taken for unknown.
+// The number of unanswered requests of a member without a lease after which the leader counts as unknown.
 constexpr std::uint64_t kRequestsBeforeLeaderUnknown = 4;
-// One of so many catch-up requests goes to the leader, the others to any member.
+// One of this many catch-up requests goes to the leader, the others go to any member.
 constexpr std::uint64_t kCatchUpsPerLeaderRequest = 3;
 
-// Statuses of HTTP, for operators.
+// HTTP status codes of the answers to operators.
 constexpr int kOk = 200;
 constexpr int kAccepted = 202;
 constexpr int kBadRequest = 400;
@@ -38,7 +38,8 @@
 
 std::vector<Effect> State::handle(Time now, const Input& input) {
   now_ = std::max(now_, now);
-  // First of all: guards against deciding on after a pause of the process in which the lease expired.
+  // This comes before the input: the lease may have expired while the process was paused, and the proxy must
+  // not decide under it any more.
   report_decision();
   std::visit([this](const auto& received) { on_input(received); }, input);
   run_timers();
@@ -63,7 +64,7 @@
 
 std::optional<Epoch> State::decision_epoch(Time now) const {
   if (const auto held = lease_.held_epoch(now)) return held;
-  // Where the operators chose so: the last known epoch goes on, and the invariant may be broken.
+  // With this setting the proxy keeps deciding under the last known epoch, which may break the invariant.
   if (settings_.serve_when_partitioned && has_reported_decision_) return state_machine_.epoch();
   return std::nullopt;
 }
@@ -112,12 +113,12 @@
   answer_finished_calls();
 }
 
-/// Whether this proxy can run it goes with its next lease request, which is due now.
+/// The result of the check is sent with the next lease request, which becomes due now.
 void State::check_proposed_change(const Change& change) {
   checked_change_ = change.id;
   unsupported_reason_ = check_policy(change.policy);
   log("policy proposed key=" + change.key + " epoch=" + std::to_string(change.epoch) +
-      (unsupported_reason_ ? " unfit: " + *unsupported_reason_ : ""));
+      (unsupported_reason_ ? " unsupported: " + *unsupported_reason_ : ""));
   next_lease_request_ = now_;
 }
 
@@ -134,11 +135,12 @@
   unsupported_reason_.reset();
 }
 
-/// Guards against an epoch that is over, should clocks go beyond the bound on their drift.
+/// Handles a lease that is still held although its epoch has ended, which happens only if clocks drift beyond
+/// max_clock_drift.
 void State::revoke_outlived_lease() {
   if (!lease_.held_epoch(now_) || lease_.epoch() == state_machine_.epoch()) return;
-  log("policy lease on epoch=" + std::to_string(lease_.epoch()) +
-      " outlived it: clocks drift beyond the bound");
+  log("policy lease revoked epoch=" + std::to_string(lease_.epoch()) +
+      ": the epoch has ended, clock drift exceeds the allowed maximum");
   lease_.revoke();
 }
 
@@ -150,17 +152,18 @@
   lease_manager_.emplace(settings_, input.term, input.voters, now_);
   leader_ = settings_.name;
   is_voter_ = true;
-  log("policy leads term=" + std::to_string(input.term) + " voters=" + std::to_string(input.voters.size()));
+  log("policy became leader term=" + std::to_string(input.term) +
+      " voters=" + std::to_string(input.voters.size()));
 }
 
 void State::on_input(const BecameFollower& input) {
-  if (lease_manager_) log("policy leads no more");
+  if (lease_manager_) log("policy lost leadership");
   lease_manager_.reset();
   is_voter_ = input.is_voter;
   if (input.is_voter || !input.leader.empty()) leader_ = input.leader;
 }
 
-// ---- The leader's side ----
+// ---- Messages to the leader ----
 
 void State::on_message(const std::string& from, const LeaseRequest& message) {
   if (lease_manager_) {
@@ -197,7 +200,7 @@
   });
 }
 
-/// Runs a step of the lease manager, where this proxy leads, and carries out what it wants.
+/// If this proxy is the leader, calls `step` and performs the resulting actions.
 template <typename LeaderStep>
 void State::with_lease_manager(LeaderStep&& step) {
   if (!lease_manager_) return;
@@ -207,7 +210,7 @@
   for (Entry& entry : actions.entries) effects_.emplace_back(AppendEntry{std::move(entry)});
 }
 
-// ---- The member's side ----
+// ---- Messages to a member ----
 
 void State::on_message(const std::string& from, const LeaseGrant& message) {
   if (!lease_manager_) leader_ = from;
@@ -218,7 +221,7 @@
 void State::on_message(const std::string& from, const LeaseRevocation& message) {
   if (!lease_manager_) leader_ = from;
   if (lease_.epoch() == message.epoch || !lease_.held_epoch(now_)) lease_.revoke();
-  // Guards the invariant: only a lease that is certainly given up is acknowledged.
+  // Invariant: a revocation is acknowledged only if no lease is held any more.
   if (!lease_.held_epoch(now_)) send(from, LeaseRevocationAck{message.term, message.epoch});
   next_lease_request_ = std::min(next_lease_request_, now_ + settings_.urgent_interval);
 }
@@ -250,7 +253,7 @@
 }
 
 void State::on_message(const std::string&, const CatchUpResponse& message) {
-  // A voter's entries come from its log alone, which has them on its disk by then.
+  // A voter receives entries only from its Raft log, which has already written them to the disk.
   if (is_voter_ || message.after_index != state_machine_.index() ||
       message.up_to_index <= message.after_index)
     return;
@@ -261,7 +264,7 @@
   effects_.emplace_back(PersistLearned{message});
 }
 
-/// The leader, where it is known; else one of the voters after the other.
+/// The leader if it is known, otherwise the voters in turn.
 std::string State::leader_or_next_voter() {
   if (lease_manager_) return settings_.name;
   if (!leader_.empty()) return leader_;
@@ -272,7 +275,7 @@
 void State::request_lease() {
   const bool held = lease_.held_epoch(now_).has_value();
   next_lease_request_ = now_ + (is_urgent() ? settings_.urgent_interval : settings_.renew_interval);
-  // A leader that answers nothing may lead no more.
+  // A leader that does not answer may not be the leader any more.
   if (!held && !lease_manager_ && !is_voter_ && ++unanswered_requests_ % kRequestsBeforeLeaderUnknown == 0)
     leader_.clear();
   const std::string to = leader_or_next_voter();
@@ -286,12 +289,13 @@
 
 void State::request_catch_up() {
   next_catch_up_ = now_ + settings_.urgent_interval;
-  // Mostly from any member: guards the voters against work that grows with the fleet.
+  // Most requests go to any member, so that the load on the voters does not grow with the fleet.
   std::vector<std::string> sources;
   for (const auto& [name, is_reached] : members_) {
     if (is_reached && name != settings_.name) sources.push_back(name);
   }
-  // All of them in turn, by a counter of its own: guards against two members that only ever ask each other.
+  // Each member asks all others in turn and starts at its own position, so that two members that lack the
+  // same entries do not ask only each other.
   const std::uint64_t turn = catch_up_turn_++;
   const std::string to = sources.empty() || turn % kCatchUpsPerLeaderRequest == kCatchUpsPerLeaderRequest - 1
                              ? leader_or_next_voter()
@@ -324,8 +328,8 @@
   if (!epoch) ++counters_.lease_expiries;
   reported_decision_ = epoch;
   has_reported_decision_ = true;
-  log(epoch ? "policy decides epoch=" + std::to_string(*epoch)
-            : "policy decides nothing: no lease on the active epoch");
+  log(epoch ? "policy decides under epoch=" + std::to_string(*epoch)
+            : "policy rejects requests: no lease on the active epoch");
   effects_.emplace_back(EpochChanged{epoch, state_machine_.policy()});
 }
 
@@ -333,7 +337,8 @@
   const bool is_without_lease = epoch && !lease_.held_epoch(now_);
   if (is_without_lease && !deciding_without_lease_) {
     ++counters_.unleased_periods;
-    log("policy goes on without a lease epoch=" + std::to_string(*epoch) + ": the promise is broken");
+    log("policy decides without a lease epoch=" + std::to_string(*epoch) +
+        ": other members may use another epoch");
   }
   deciding_without_lease_ = is_without_lease;
 }
@@ -350,19 +355,19 @@
   answer_finished_calls();
 }
 
-/// The answer to a call that is not passed on to the leader.
+/// The answer to a call that is not forwarded to the leader. None: the call is forwarded.
 std::optional<AdminReply> State::reject_proposal(const ProposeCall& input) const {
   if (input.key.empty() || input.key.size() > kMaxKeyBytes)
     return AdminReply{input.call, kBadRequest, "the key should have 1 to 64 characters"};
   if (input.policy.size() > settings_.max_policy_bytes)
     return AdminReply{input.call, kContentTooLarge, "the policy is too large"};
-  // Guards against a rejection that is none: what has been decided under this key stands, whatever is sent
-  // with it now.
+  // The outcome for a known key is final, so the call is answered with it even if the policy sent now would
+  // be rejected.
   if (state_machine_.knows_change(input.key)) return std::nullopt;
   if (const auto unsupported_reason = check_policy(input.policy))
     return AdminReply{input.call, kUnprocessable, settings_.name + ": " + *unsupported_reason};
   if (pending_calls_.size() >= kMaxPendingCalls)
-    return AdminReply{input.call, kUnavailable, "unknown: too many calls wait"};
+    return AdminReply{input.call, kUnavailable, "unknown: too many calls are pending"};
   return std::nullopt;
 }
 
@@ -390,12 +395,13 @@
   }
 }
 
-/// 200 only once the change is active, 409 only where it never can be. None: it is not decided yet.
+/// The status is 200 only if the change is active, and 409 only if it can never become active. None: the
+/// change is not decided yet.
 std::optional<AdminReply> State::final_reply(std::uint64_t call, const PendingCall& pending) const {
   const ChangeOutcome* outcome = state_machine_.outcome(pending.key);
   if (outcome == nullptr) {
     if (pending.deadline > now_) return std::nullopt;
-    return AdminReply{call, kUnavailable, "unknown: ask again with the same key"};
+    return AdminReply{call, kUnavailable, "unknown: retry with the same key"};
   }
   const std::string epoch = "epoch=" + std::to_string(outcome->epoch);
   if (outcome->result == ChangeResult::active) return AdminReply{call, kOk, "active " + epoch};
--- a/src/consensus/reducer.h
+++ b/src/consensus/reducer.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Consensus on the policy, at one proxy: (state, now, input) -> effects. The log itself is elsewhere
-/// (consensus/raft_log at voters; other members catch up from anyone); here are the state that it leads to,
-/// which epoch this proxy may decide under, and the answers to operators. docs/consensus.md says how and why.
-/// No I/O, no clock.
+/// The reducer for consensus on the policy at one proxy: (state, now, input) -> effects. It holds the state
+/// that results from the log, the epoch under which this proxy may decide, and the pending calls of
+/// operators. The log itself is in consensus/raft_log at voters; other members catch up from any member.
+/// docs/consensus.md explains the protocol. The reducer uses no I/O and no clock.
 #pragma once
 
 #include <deque>
@@ -28,30 +28,32 @@
   Message message;
 };
 struct TimerExpired {};
-/// Committed, and on this proxy's disk. No entry: the log has come that far without one of this kind.
+/// An entry has been committed and is on this proxy's disk. Without `entry`, the log has been applied up to
+/// `index` and holds no policy entry there.
 struct EntryApplied {
   Index index = 0;
   std::optional<Entry> entry;
 };
-/// As it was on the disk, or of one that was too far ahead for single entries.
+/// The state was read from the disk, or replaced by a snapshot because this proxy was too far behind for
+/// single entries.
 struct SnapshotRestored {
   Snapshot snapshot;
 };
-/// This proxy leads the log, and has applied all that was committed before.
+/// This proxy has become the leader and has applied all entries that were committed before.
 struct BecameLeader {
   Term term = 0;
   std::set<std::string> voters;
 };
-/// It does not. `leader`: empty where none is known.
+/// This proxy is not the leader. `leader` is empty if none is known.
 struct BecameFollower {
   std::string leader;
-  bool is_voter = false;  ///< the log gives it its entries
+  bool is_voter = false;  ///< this proxy receives its entries from its own Raft log
 };
-/// The voters have changed, while this proxy leads.
+/// The voters have changed while this proxy is the leader.
 struct VotersChanged {
   std::set<std::string> names;
 };
-/// The registered members, and whether each is reached.
+/// The registered members, and whether each is reachable.
 struct MembersChanged {
   std::map<std::string, bool> reachable;
 };
@@ -70,20 +72,21 @@
 
 // ---- Effects ----
 
-/// To the log, at its leader. It may be lost with the leadership.
+/// Appends an entry to the log at the leader. The entry may be lost if the leader changes.
 struct AppendEntry {
   Entry entry;
 };
-/// To this proxy's own log, where it is a voter's: answer `from` unless a vote went to a later term.
+/// Asks this proxy's own log to reply to `from` if this proxy is a voter and has not voted in a later term.
 struct CheckTerm {
   std::string from;
   LeadershipCheck check;
 };
-/// To this proxy's disk, where it is no voter: EntryApplied or SnapshotRestored follow once it is durable.
+/// Stores learned state on the disk of a proxy without a vote. EntryApplied or SnapshotRestored follows once
+/// the state is durable.
 struct PersistLearned {
   std::variant<CatchUpResponse, Snapshot> learned;
 };
-/// From now on requests are decided under this epoch and policy; none: they are refused.
+/// From now on requests are decided under this epoch and policy. Without an epoch they are rejected.
 struct EpochChanged {
   std::optional<Epoch> epoch;
   std::string policy;
@@ -107,14 +110,14 @@
 
 class State {
  public:
-  /// `first_request`: as EpochLease takes it. `seed`: which member is asked first to catch up.
+  /// `first_request` is passed to EpochLease. `seed` selects the member that is asked first when catching up.
   State(Settings settings, std::uint64_t first_request, std::uint64_t seed, Time now);
 
   std::vector<Effect> handle(Time now, const Input& input);
-  /// When TimerExpired is wanted; the newest value counts.
+  /// When TimerExpired should be passed to handle() next. The value may change with each call of handle().
   [[nodiscard]] Time next_due() const;
 
-  /// The epoch under which it may decide at that time; none: requests are rejected.
+  /// The epoch under which this proxy may decide at `now`. None: requests are rejected.
   [[nodiscard]] std::optional<Epoch> decision_epoch(Time now) const;
   [[nodiscard]] const PolicyStateMachine& policy_state() const { return state_machine_; }
   [[nodiscard]] const EpochLease& lease() const { return lease_; }
@@ -123,7 +126,7 @@
   [[nodiscard]] const Counters& counters() const { return counters_; }
   [[nodiscard]] const std::map<std::string, bool>& members() const { return members_; }
   [[nodiscard]] const Settings& settings() const { return settings_; }
-  /// As LeaseManager::debug_state says.
+  /// Returns the whole state as text for the model checker: see LeaseManager::debug_state.
   [[nodiscard]] std::string debug_state(const std::map<std::string, std::uint64_t>& newest_requests) const;
 
  private:
@@ -181,7 +184,7 @@
   template <typename LeaderStep>
   void with_lease_manager(LeaderStep&& step);
   void send(const std::string& to, Message message);
-  /// Empty: neither is known.
+  /// Empty if neither is known.
   [[nodiscard]] std::string leader_or_next_voter();
   [[nodiscard]] bool is_urgent() const;
   void log(std::string line) { effects_.emplace_back(LogLine{std::move(line)}); }
@@ -191,14 +194,14 @@
   PolicyStateMachine state_machine_;
   EpochLease lease_;
   std::optional<LeaseManager> lease_manager_;
-  std::string leader_;  // empty: not known
+  std::string leader_;  // empty: unknown
   bool is_voter_ = false;
-  Index newest_index_ = 0;  // the log is known to have come this far
+  Index newest_index_ = 0;  // the highest log index that any member is known to have applied
   std::map<std::string, bool> members_;
   std::deque<std::pair<Index, Entry>> recent_entries_;  // for members that catch up
   Index recent_after_index_ = 0;                        // all entries after this index are in recent_entries_
-  Index checked_change_ = 0;                            // the change that unsupported_reason_ is about
-  std::optional<std::string> unsupported_reason_;       // none: this proxy can run it
+  Index checked_change_ = 0;                       // the change that unsupported_reason_ refers to; 0: none
+  std::optional<std::string> unsupported_reason_;  // none: this proxy can apply it
   std::map<std::uint64_t, PendingCall> pending_calls_;
   Time next_lease_request_, next_catch_up_, next_call_retry_{0};
   std::uint64_t catch_up_turn_, lease_request_turn_ = 0, unanswered_requests_ = 0;
--- a/src/consensus/voter_changes.cpp
+++ b/src/consensus/voter_changes.cpp
@@ -9,7 +9,7 @@
 namespace edge_proxy::consensus {
 namespace {
 
-/// Null: it is not in the configuration.
+/// Null if the server is not in the configuration.
 const raft_server* find_server(const raft_configuration& configuration, std::uint64_t id) {
   for (const raft_server& server : std::span(configuration.servers, configuration.n)) {
     if (server.id == id) return &server;
@@ -82,7 +82,7 @@
 }
 
 void VoterChanges::fail(int status) {
-  context_.log("policy voter " + changes_.front().address + " not changed: " + raft_strerror(status));
+  context_.log("policy voter change failed: " + changes_.front().address + ": " + raft_strerror(status));
   changes_.clear();
 }
 
--- a/src/consensus/voter_changes.h
+++ b/src/consensus/voter_changes.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Adds and removes voters at the leader, one step after the other through the log.
+/// Adds and removes voters at the leader, one step at a time through the log.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +18,11 @@
   [[nodiscard]] bool is_empty() const { return changes_.empty(); }
   void queue_addition(const std::string& name, std::uint64_t id);
   void queue_removal(const std::string& name, std::uint64_t id);
-  /// The leadership has ended: whoever leads next is asked anew.
+  /// Drops all changes when the leadership ends; operators have to ask the next leader again.
   void clear() { changes_.clear(); }
-  /// Submits the next step, unless one is on its way. At the leader, during a call. A server is added without
-  /// a vote, and is given it once it has caught up. A step that fails ends all of them.
+  /// Submits the next step unless one is in progress. To be called at the leader, during a call of RaftLog. A
+  /// server is added without a vote and becomes a voter once it has caught up. A failed step drops all
+  /// changes.
   void advance(RaftNode& node);
 
  private:
@@ -31,7 +32,7 @@
     bool is_removal = false;
     bool in_progress = false;
   };
-  /// A request to libraft, which owns it until its callback.
+  /// A request to libraft, which owns it until the callback runs.
   struct Request {
     raft_change request{};
     VoterChanges* changes = nullptr;
--- a/src/event_loop/consensus_thread.cpp
+++ b/src/event_loop/consensus_thread.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTickInterval{50};
-/// While another process has the folder.
+/// Used while another process holds the lock of the folder.
 constexpr std::chrono::milliseconds kLockRetryInterval{200};
-/// Of effects that wait for a slow disk.
+/// Bounds the memory while the disk is slow.
 constexpr std::size_t kMaxQueuedEffects = 4096;
 constexpr std::size_t kMaxRecordBytes = std::size_t{1} << 20U;
 
@@ -43,7 +43,7 @@
 void ConsensusThread::perform(const proxy::ConsensusEffect& effect) {
   {
     const std::lock_guard lock(mutex_);
-    // Guards the memory against a disk that hangs: a dropped effect is as good as a message lost on the way.
+    // Bounds the memory if the disk hangs. The protocol handles a dropped effect like a lost message.
     if (queued_effects_.size() >= kMaxQueuedEffects) return;
     queued_effects_.push_back(effect);
   }
@@ -51,28 +51,29 @@
 }
 
 void ConsensusThread::deliver(proxy::ConsensusOutput output) {
-  // Guards against two threads in one reducer (seen as a crash at the start of 3 of 25 clusters).
+  // The reducer may run only on the main loop: calls from this thread crashed 3 of 25 clusters at their
+  // start.
   post_to_main_loop([owner = owner_, output = std::move(output)]() mutable {
     if (*owner != nullptr) (*owner)->on_output_(std::move(output));
   });
 }
 
-/// False: the thread has to end.
+/// Returns false if the thread has to end.
 bool ConsensusThread::sleep_unless_stopping(std::chrono::milliseconds duration) {
   std::unique_lock lock(mutex_);
   wake_.wait_for(lock, duration, [this] { return stopping_; });
   return !stopping_;
 }
 
-/// Waits until the folder is free: the process that this one replaces has it until it ends. False: the thread
-/// has to end.
+/// Waits for the lock of the folder, which the process that this one replaces holds until it ends. Returns
+/// false if the thread has to end.
 bool ConsensusThread::lock_folder(storage::SystemFolder& folder) {
   std::string logged_reason;
   while (const int error = folder.lock()) {
     const std::string reason = std::strerror(error);
     if (reason != logged_reason) {
       proxy::ConsensusOutput output;
-      output.log_lines.push_back("policy wait: the folder can't be taken: " + reason);
+      output.log_lines.push_back("policy waiting for the folder lock: " + reason);
       deliver(std::move(output));
     }
     logged_reason = reason;
@@ -92,7 +93,7 @@
   return settings;
 }
 
-/// Waits for a tick at most. None: the thread has to end.
+/// Waits for at most one tick interval. None: the thread has to end.
 std::optional<std::deque<proxy::ConsensusEffect>> ConsensusThread::wait_for_effects() {
   std::unique_lock lock(mutex_);
   wake_.wait_for(lock, kTickInterval, [this] { return stopping_ || !queued_effects_.empty(); });
--- a/src/event_loop/consensus_thread.h
+++ b/src/event_loop/consensus_thread.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The thread of the policy's Raft log: it waits for the disk so that the main loop does not. It runs only
-/// where a policy is configured.
+/// The thread of the Raft log of the policy. It waits for the disk so that the main loop does not have to. It
+/// runs only if the configuration has a section `policy`.
 #pragma once
 
 #include <chrono>
@@ -20,10 +20,10 @@
 
 namespace edge_proxy::event_loop {
 
-/// Queues consensus effects for the thread and brings its output back to the main loop.
+/// Queues consensus effects for the thread and delivers its output to the main loop.
 class ConsensusThread {
  public:
-  /// `on_output` is called on the main loop. `seed` goes into the random election timeouts.
+  /// `on_output` is called on the main loop. `seed` is one source of the random election timeouts.
   ConsensusThread(const config::PolicyConfig& config, std::uint64_t seed,
                   std::function<void(proxy::ConsensusOutput)> on_output);
   /// Waits for the thread to end.
@@ -31,7 +31,7 @@
   ConsensusThread(const ConsensusThread&) = delete;
   ConsensusThread& operator=(const ConsensusThread&) = delete;
 
-  /// Queues the effect; drops it where too many wait.
+  /// Queues the effect, or drops it if too many are queued.
   void perform(const proxy::ConsensusEffect& effect);
 
  private:
@@ -49,7 +49,7 @@
   std::condition_variable wake_;
   std::deque<proxy::ConsensusEffect> queued_effects_;  ///< guarded by mutex_
   bool stopping_ = false;                              ///< guarded by mutex_
-  /// Null once this object has gone; output that is on its way to the main loop is dropped then.
+  /// Points to null after the destruction of this object, so that output posted to the main loop is dropped.
   std::shared_ptr<ConsensusThread*> owner_;
   std::thread thread_;
 };
--- a/src/event_loop/consensus_worker.cpp
+++ b/src/event_loop/consensus_worker.cpp
@@ -67,14 +67,15 @@
 void ConsensusWorker::perform(const proxy::VoterChangeCall& call) {
   const bool is_started = call.add ? add_voter(call.name) : log_.remove_voter(call.name, log_output_);
   if (is_started) {
-    output_.admin_replies.emplace_back(call.call, kHttpAccepted, "begun: see the log and GET /v1/policy\n");
+    output_.admin_replies.emplace_back(call.call, kHttpAccepted, "started: see the log and GET /v1/policy\n");
   } else {
-    output_.admin_replies.emplace_back(call.call, kHttpConflict,
-                                       "ask the leader, with NAME=ID to add, while no other voter changes\n");
+    output_.admin_replies.emplace_back(
+        call.call, kHttpConflict,
+        "ask the leader (to add a voter: NAME=ID) while no other voter change is in progress\n");
   }
 }
 
-/// Of `NAME=ID`; an id that can't be read counts as 0, which the log rejects.
+/// Parses `NAME=ID`. An id that cannot be parsed counts as 0, which the log rejects.
 bool ConsensusWorker::add_voter(const std::string& name_and_id) {
   const std::size_t separator = name_and_id.find('=');
   std::uint64_t id = 0;
--- a/src/event_loop/consensus_worker.h
+++ b/src/event_loop/consensus_worker.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Performs the policy's consensus effects on its Raft log, on the thread that calls it.
+/// Performs consensus effects on the Raft log of the policy, on the calling thread.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace edge_proxy::event_loop {
 
-/// Owns the Raft log and gathers what its calls come to. Not thread-safe.
+/// Owns the Raft log and collects the results of its calls. Not thread-safe.
 class ConsensusWorker {
  public:
   ConsensusWorker(const consensus::RaftLog::Settings& settings, storage::Journal& journal);
@@ -24,7 +24,7 @@
   void perform(const proxy::ConsensusEffect& effect);
   /// Runs the timers that are due.
   void tick();
-  /// What came of all calls since the last one of this; none where that is nothing.
+  /// The results of all calls since the last take_output(). None if there are none.
   [[nodiscard]] std::optional<proxy::ConsensusOutput> take_output();
 
  private:
@@ -40,7 +40,7 @@
   consensus::Time lease_;
   consensus::RaftLog log_;
   std::map<std::string, std::uint64_t> reported_voters_;
-  proxy::ConsensusOutput output_;          ///< made here: goes before what the log has made
+  proxy::ConsensusOutput output_;          ///< made by this class; precedes the output of the log
   consensus::RaftLog::Output log_output_;  ///< made by the log
 };
 
