--- a/tests/consensus/model_test.cpp
+++ b/tests/consensus/model_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The search over the states of agreement: sound within its bounds, and broken in the shortest way where the
-// program or what it stands on is broken on purpose. EDGE_PROXY_MODEL_ROUNDS=N looks further.
+// Model checking of consensus: within the bounds the invariant holds in all states, and with an injected
+// fault the search finds the shortest counterexample. EDGE_PROXY_MODEL_ROUNDS=N searches up to N rounds.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -13,75 +13,79 @@
 
 struct Case {
   const char* name;
-  AgreedModel::Bounds bounds;
-  AgreedModel::Broken broken;
-  std::size_t shortest;  ///< moves of the counterexample
+  ConsensusModel::Bounds bounds;
+  ConsensusModel::InjectedFaults injected;
+  std::size_t shortest;  ///< number of moves of the shortest counterexample
 };
 
-std::ostream& operator<<(std::ostream& out, const Case& one) { return out << one.name; }
+std::ostream& operator<<(std::ostream& out, const Case& test_case) { return out << test_case.name; }
 
-AgreedModel::Bounds bounds(int rounds, std::vector<std::size_t> cut) {
-  AgreedModel::Bounds b;
-  b.rounds = rounds;
-  b.cut = std::move(cut);
-  return b;
+ConsensusModel::Bounds bounds_for(int max_rounds, std::vector<std::size_t> isolatable) {
+  ConsensusModel::Bounds bounds;
+  bounds.max_rounds = max_rounds;
+  bounds.isolatable = std::move(isolatable);
+  return bounds;
 }
 
-std::vector<Case> cases() {
-  std::vector<Case> all;
-  const auto add = [&all](const char* name, AgreedModel::Bounds b, bool AgreedModel::Broken::*what,
-                          std::size_t shortest) {
-    AgreedModel::Broken broken;
-    broken.*what = true;
-    all.push_back({name, std::move(b), broken, shortest});
+std::vector<Case> test_cases() {
+  std::vector<Case> cases;
+  const auto add = [&cases](const char* name, ConsensusModel::Bounds bounds,
+                            bool ConsensusModel::InjectedFaults::*fault, std::size_t shortest) {
+    ConsensusModel::InjectedFaults injected;
+    injected.*fault = true;
+    cases.push_back({name, std::move(bounds), injected, shortest});
   };
-  AgreedModel::Bounds b = bounds(9, {0, 1, 2});
-  b.elections = 0;
-  add("NoWaitForLeases", b, &AgreedModel::Broken::no_wait_for_leases, 2);
-  add("DriftBeyondTheBound", b, &AgreedModel::Broken::drift_beyond, 4);
-  add("GrantsWithoutAskingTheVoters", bounds(9, {0}), &AgreedModel::Broken::unconfirmed_grants, 7);
-  add("ALeaderWithShorterLeases", bounds(6, {0, 1, 2}), &AgreedModel::Broken::short_lease_leader, 3);
-  b = bounds(9, {1});
-  b.elections = 0, b.crashes = 1, b.late = 1, b.late_kind = 1, b.from_before = true;
-  add("NumbersUsedAgainAfterARestart", b, &AgreedModel::Broken::numbers_start_anew, 8);
-  b = bounds(9, {1});
-  b.late = 1, b.late_kind = 7;
-  add("YieldedToAnEarlierLeadership", b, &AgreedModel::Broken::any_term_yields, 9);
-  b = bounds(8, {0});
-  b.crashes = 1;
-  add("VoteBeforeTheWrite", b, &AgreedModel::Broken::vote_before_write, 7);
-  b = bounds(8, {0});
-  b.lost_disks = 1;
-  add("AnAmnesiacVoterLetBackIn", b, &AgreedModel::Broken::amnesiac_votes, 7);
-  return all;
+  ConsensusModel::Bounds bounds = bounds_for(9, {0, 1, 2});
+  bounds.max_elections = 0;
+  add("NoWaitForLeases", bounds, &ConsensusModel::InjectedFaults::no_wait_for_leases, 2);
+  add("ExcessiveClockDrift", bounds, &ConsensusModel::InjectedFaults::excessive_drift, 4);
+  add("GrantsWithoutLeadershipCheck", bounds_for(9, {0}), &ConsensusModel::InjectedFaults::unconfirmed_grants,
+      7);
+  add("LeaderWithShorterLeases", bounds_for(6, {0, 1, 2}),
+      &ConsensusModel::InjectedFaults::short_lease_leader, 3);
+  bounds = bounds_for(9, {1});
+  bounds.max_elections = 0, bounds.max_crashes = 1, bounds.max_late_messages = 1,
+  bounds.late_message_kind = 1, bounds.start_without_change = true;
+  add("RequestNumbersReusedAfterRestart", bounds, &ConsensusModel::InjectedFaults::reused_request_numbers, 8);
+  bounds = bounds_for(9, {1});
+  bounds.max_late_messages = 1, bounds.late_message_kind = 7;
+  add("RevocationAckForEarlierTerm", bounds, &ConsensusModel::InjectedFaults::accepts_acks_of_any_term, 9);
+  bounds = bounds_for(8, {0});
+  bounds.max_crashes = 1;
+  add("VoteBeforeWrite", bounds, &ConsensusModel::InjectedFaults::vote_before_write, 7);
+  bounds = bounds_for(8, {0});
+  bounds.max_lost_disks = 1;
+  add("VoterWithErasedDiskVotes", bounds, &ConsensusModel::InjectedFaults::erased_voter_votes, 7);
+  return cases;
 }
 
-class AgreedModelCase : public testing::TestWithParam<Case> {};
+class ConsensusModelTest : public testing::TestWithParam<Case> {};
 
-TEST_P(AgreedModelCase, IsSoundAsItStandsAndFoundWhereItIsBroken) {
-  AgreedModel::Bounds whole = GetParam().bounds;
-  const char* more = std::getenv("EDGE_PROXY_MODEL_ROUNDS");
-  if (more != nullptr) whole.rounds = std::stoi(more);
-  const AgreedModel::Result sound = AgreedModel(whole, {}).search();
-  std::string way;
-  for (const std::string& move : sound.counterexample) way += move + "\n";
-  EXPECT_EQ(sound.what, "") << way;
-  EXPECT_TRUE(sound.whole || more != nullptr) << "more states than were looked at: " << sound.states;
-  EXPECT_GT(sound.tried, 0U);
-  EXPECT_EQ(sound.stuck, 0U) << "once faults end every change ends";
-  RecordProperty("states", static_cast<int>(sound.states));
+TEST_P(ConsensusModelTest, InvariantHoldsAndInjectedFaultIsFound) {
+  ConsensusModel::Bounds bounds = GetParam().bounds;
+  const char* max_rounds = std::getenv("EDGE_PROXY_MODEL_ROUNDS");
+  if (max_rounds != nullptr) bounds.max_rounds = std::stoi(max_rounds);
+  const ConsensusModel::Result correct = ConsensusModel(bounds, {}).search();
+  std::string moves;
+  for (const std::string& move : correct.counterexample) moves += move + "\n";
+  EXPECT_EQ(correct.violation, "") << moves;
+  EXPECT_TRUE(correct.is_complete || max_rounds != nullptr)
+      << "max_states is too low; visited states: " << correct.state_count;
+  EXPECT_GT(correct.liveness_checks, 0U);
+  EXPECT_EQ(correct.liveness_failures, 0U) << "without further faults every change becomes active";
+  RecordProperty("states", static_cast<int>(correct.state_count));
 
-  const AgreedModel::Result broken = AgreedModel(GetParam().bounds, GetParam().broken).search();
-  way.clear();
-  for (const std::string& move : broken.counterexample) way += move + "\n";
-  EXPECT_EQ(broken.what, "epochs 0 and 1 at once");
-  EXPECT_EQ(broken.counterexample.size(), GetParam().shortest) << way;
-  std::printf("%s: %zu states sound, broken after %zu of:\n%s", GetParam().name, sound.states, broken.states,
-              way.c_str());
+  const ConsensusModel::Result faulty = ConsensusModel(GetParam().bounds, GetParam().injected).search();
+  moves.clear();
+  for (const std::string& move : faulty.counterexample) moves += move + "\n";
+  EXPECT_EQ(faulty.violation, "epochs 0 and 1 at once");
+  EXPECT_EQ(faulty.counterexample.size(), GetParam().shortest) << moves;
+  std::printf("%s: %zu states without the fault; counterexample after %zu states with it:\n%s",
+              GetParam().name, correct.state_count, faulty.state_count, moves.c_str());
 }
 
-INSTANTIATE_TEST_SUITE_P(Ways, AgreedModelCase, testing::ValuesIn(cases()),
-                         [](const auto& param) { return param.param.name; });
+INSTANTIATE_TEST_SUITE_P(InjectedFaults, ConsensusModelTest, testing::ValuesIn(test_cases()),
+                         [](const auto& test_case) { return test_case.param.name; });
 
 }  // namespace
 }  // namespace edge_proxy::test
--- a/tests/golden/consensus_golden_test.cpp
+++ b/tests/golden/consensus_golden_test.cpp
@@ -20,20 +20,20 @@
  public:
   ConsensusPlay(const std::string& record_name, std::size_t count, std::size_t voters, std::uint64_t seed)
       : record_(record_name), random_(seed), voters_(voters), serves_cut_off_(seed == 2) {
-    AgreedWorld::Observer observer;
+    ConsensusWorld::Observer observer;
     observer.input = [this](std::size_t i, Time now, const consensus::Input& input,
                             const std::vector<consensus::Effect>& effects, const consensus::State& state) {
-      golden::add_step(record_, AgreedWorld::name(i), now, input, effects, state);
+      golden::add_step(record_, ConsensusWorld::name(i), now, input, effects, state);
     };
     observer.log = [this](std::size_t i, const consensus::RaftLog::Output& output) {
-      golden::add_log_output(record_, AgreedWorld::name(i), output);
+      golden::add_log_output(record_, ConsensusWorld::name(i), output);
     };
     const auto edit = [serves = serves_cut_off_](consensus::Settings& settings) {
       settings.prepare_timeout = Time{4s};
       settings.serve_when_partitioned = serves;
     };
-    world_ = std::make_unique<AgreedWorld>(count, voters, seed, edit, observer);
-    world_->snapshot_every = 6;  // of processes that start from now on
+    world_ = std::make_unique<ConsensusWorld>(count, voters, seed, edit, observer);
+    world_->snapshot_threshold = 6;  // of processes that start from now on
   }
 
   void play(int turns) {
@@ -91,25 +91,25 @@
         break;
       case 4: {
         const std::size_t first = 1 + random_() % (count - 1);
-        world_->cut = [first](std::size_t a, std::size_t b) { return (a < first) != (b < first); };
+        world_->is_cut = [first](std::size_t a, std::size_t b) { return (a < first) != (b < first); };
         break;
       }
       case 5:
-        world_->cut = nullptr;
+        world_->is_cut = nullptr;
         break;
       case 6:
         if (world_->node(whom).state) world_->kill(whom, random_() % 2 == 0);
-        if (random_() % 3 == 0 && whom >= voters_) world_->empty_disk(whom);
+        if (random_() % 3 == 0 && whom >= voters_) world_->erase_disk(whom);
         break;
       case 7:
       case 8:
         start_all();
         break;
       case 9:
-        if (world_->runs(whom)) world_->stop(whom);
+        if (world_->is_running(whom)) world_->stop(whom);
         break;
       case 10:
-        if (world_->runs(whom)) world_->feed(whom, consensus::AbortCall{++call_});
+        if (world_->is_running(whom)) world_->feed(whom, consensus::AbortCall{++call_});
         break;
       case 11:
         change_voters(whom);
@@ -120,36 +120,36 @@
   }
 
   void propose(std::size_t whom) {
-    if (!world_->runs(whom)) return;
+    if (!world_->is_running(whom)) return;
     ++call_;
     const std::string key = random_() % 5 == 0 ? "again" : "key" + std::to_string(call_);
     const std::string policy =
         random_() % 6 == 0 ? "unfit for n1" : "policy " + std::to_string(call_) + std::string(call_ * 7, 'p');
     const consensus::Epoch epoch = world_->node(whom).state->policy_state().epoch();
-    world_->put(whom, call_, key, random_() % 6 == 0 ? epoch + 1 : epoch, policy);
+    world_->propose(whom, call_, key, random_() % 6 == 0 ? epoch + 1 : epoch, policy);
   }
 
   void propose_as(std::size_t whom, const std::string& policy) {
     ++call_;
-    world_->put(whom, call_, "key" + std::to_string(call_), world_->node(whom).state->policy_state().epoch(),
-                policy);
+    world_->propose(whom, call_, "key" + std::to_string(call_),
+                    world_->node(whom).state->policy_state().epoch(), policy);
   }
 
   /// Messages that this gives at once go out with the next call of the leader's log.
   void change_voters(std::size_t whom) {
     const auto leader = world_->leader();
-    if (!leader || *leader == whom || !world_->runs(whom)) return;
+    if (!leader || *leader == whom || !world_->is_running(whom)) return;
     consensus::RaftLog& log = *world_->node(*leader).log;
-    const std::string name = AgreedWorld::name(whom);
+    const std::string name = ConsensusWorld::name(whom);
     consensus::RaftLog::Output output;
     const bool is_voter = log.voters().count(name) != 0;
     const bool accepted = is_voter ? log.voters().size() > 3 && log.remove_voter(name, output)
                                    : log.add_voter(name, world_->node(whom).log->id(), output);
-    record_.add(TraceLine(AgreedWorld::name(*leader))
+    record_.add(TraceLine(ConsensusWorld::name(*leader))
                     .verbatim(is_voter ? "remove_voter" : "add_voter", name)
                     .field("accepted", accepted)
                     .text());
-    golden::add_log_output(record_, AgreedWorld::name(*leader), output);
+    golden::add_log_output(record_, ConsensusWorld::name(*leader), output);
   }
 
   void start_all() {
@@ -168,7 +168,7 @@
     }
   }
   void recover() {
-    world_->cut = nullptr;
+    world_->is_cut = nullptr;
     world_->loss = 0;
     start_all();
     resume_all();
@@ -184,9 +184,9 @@
       if (!world_->node(i).state) continue;
       const consensus::State& state = *world_->node(i).state;
       const consensus::RaftLog& log = *world_->node(i).log;
-      const auto epoch = state.decision_epoch(world_->local(i));
+      const auto epoch = state.decision_epoch(world_->local_time(i));
       const consensus::Counters& counts = state.counters();
-      record_.add(TraceLine(AgreedWorld::name(i))
+      record_.add(TraceLine(ConsensusWorld::name(i))
                       .verbatim("state", golden::text_of(state.policy_state().snapshot()))
                       .verbatim("decides_under", epoch ? golden::text_of(*epoch) : "none")
                       .field("lease_until", state.lease().expires_at())
@@ -216,7 +216,7 @@
   std::size_t voters_;
   bool serves_cut_off_;  // decides without a lease too: then two epochs may hold at once
   std::uint64_t call_ = 0;
-  std::unique_ptr<AgreedWorld> world_;
+  std::unique_ptr<ConsensusWorld> world_;
 };
 
 TEST(ConsensusGolden, DrawnPlaySeed1OfFourMembers) { ConsensusPlay("consensus_play_1", 4, 3, 1).play(16); }
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -74,7 +74,7 @@
   FaultyFolder folder;
   Begun journal(folder);
   ASSERT_TRUE(journal.append({"a"}));
-  folder.room = 30;
+  folder.free_bytes = 30;
   EXPECT_FALSE(journal.append({std::string(100, 'b')}));
   EXPECT_NE(journal.error().find("No space"), std::string::npos) << journal.error();
   EXPECT_EQ(read(folder), Records{"a"});
@@ -89,7 +89,7 @@
   }
   const std::size_t size = folder.size("log");
   for (std::size_t byte = 0; byte < size; ++byte) {
-    folder.flip("log", byte, static_cast<unsigned>(byte % 8));
+    folder.flip_bit("log", byte, static_cast<unsigned>(byte % 8));
     std::size_t mended = 0;
     ASSERT_EQ(read(folder, nullptr, nullptr, &mended), written) << byte;
     ASSERT_EQ(mended, 1U) << byte;
@@ -104,8 +104,8 @@
     Begun journal(folder);
     ASSERT_TRUE(journal.append({"first", "second"}));
   }
-  folder.flip("log", 21, 0);
-  folder.flip("log", 46, 0);
+  folder.flip_bit("log", 21, 0);
+  folder.flip_bit("log", 46, 0);
   bool good = true;
   std::string why;
   EXPECT_EQ(read(folder, &good, &why).size(), 0U);
@@ -135,7 +135,7 @@
         for (std::size_t i = 0, n = 1 + random() % 3; i < n; ++i)
           some.push_back(std::string(random() % 200, static_cast<char>('a' + random() % 26)));
         if (random() % 8 == 0) folder.fail_syncs = 1;
-        if (random() % 8 == 0) folder.fail_write = ENOSPC;
+        if (random() % 8 == 0) folder.next_write_error = ENOSPC;
         if (random() % 5 == 0) {
           Records all = durable;
           all.insert(all.end(), some.begin(), some.end());
@@ -150,7 +150,7 @@
         tried = some;
         break;
       }
-      folder.fail_syncs = folder.fail_write = 0;
+      folder.fail_syncs = folder.next_write_error = 0;
       folder.crash();
     }
   }
--- a/tests/support/consensus_model.h
+++ b/tests/support/consensus_model.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// An explicit-state search over the reducer of agreement (src/consensus/reducer): three voters, and the log
-/// as a model of Raft's promises (one leader a term; what a majority has is never lost; what only some have
-/// may be kept or lost by the next leader). Time goes in rounds: in each one member may be cut off or stand
-/// still; messages may come a later round, or twice; members crash at any message, with their disk or
-/// without; leaders change; clocks go at the edges of the drift.
+/// An explicit-state search over the consensus reducer (src/consensus/reducer) with three voters. The log is
+/// a model of Raft's guarantees: one leader per term; an entry on a majority is never lost; an entry on a
+/// minority may be kept or lost by the next leader. Time advances in rounds. In each round one member may be
+/// isolated or paused; messages may be delivered in a later round, or twice; members may crash before any
+/// input and keep or lose their disk; leaders change; clock rates are at the limits of the allowed drift.
 #pragma once
 
 #include <algorithm>
@@ -23,491 +23,522 @@
 
 namespace edge_proxy::test {
 
-class AgreedModel {
+class ConsensusModel {
  public:
   static constexpr std::size_t kNodes = 3;
   static constexpr std::size_t kNever = ~std::size_t{0};
   using Time = consensus::Time;
 
-  /// Ways in which the program, or what it stands on, is broken on purpose.
-  struct Broken {
-    bool no_wait_for_leases = false;  ///< the leader takes all for having given up their leases
-    bool vote_before_write = false;   ///< a crash forgets to whom a vote went
-    bool amnesiac_votes = false;      ///< one that lost its disk is let back in as a voter
-    bool unconfirmed_grants = false;  ///< a leader grants without asking whether it still leads
-    bool numbers_start_anew = false;  ///< a restarted member takes grants for an earlier process of its
-    bool drift_beyond = false;        ///< clocks go more unlike than is stated
-    bool any_term_yields = false;     ///< what was yielded to one leadership counts for the next
-    bool short_lease_leader = false;  ///< the second member's leases are shorter than the others'
+  /// Deliberate faults of the program or of the guarantees that it relies on.
+  struct InjectedFaults {
+    bool no_wait_for_leases = false;        ///< the leader treats all leases as released
+    bool vote_before_write = false;         ///< a crash loses the vote of the current term
+    bool erased_voter_votes = false;        ///< a member that has lost its disk still counts as a voter
+    bool unconfirmed_grants = false;        ///< a leader grants leases without leadership checks
+    bool reused_request_numbers = false;    ///< a restarted member accepts grants for its earlier process
+    bool excessive_drift = false;           ///< clocks drift beyond the allowed maximum
+    bool accepts_acks_of_any_term = false;  ///< a revocation ack for one term counts in the next
+    bool short_lease_leader = false;        ///< the second member's leases are shorter than the others'
   };
   struct Bounds {
-    std::array<int, kNodes> rates{4, 4, 4};  ///< how fast each clock goes; 3 to 5 are within the drift
-    std::vector<std::size_t> cut{0, 1, 2};   ///< who may be cut off
-    bool stills = false;                     ///< who is cut off may stand still as well
-    bool crash_anywhere = false;             ///< at every input of a round; else at its start
-    std::size_t late_kind = kNever;          ///< of messages that may be late; any
-    bool from_before = false;  ///< the change is committed at any time; else all begins with that
-    int elections = 1, crashes = 0, lost_disks = 0, late = 0;
-    std::size_t states = 400'000;
-    int rounds = 14;
+    std::array<int, kNodes> clock_rates{4, 4, 4};  ///< ticks per round; 3 to 5 are within the allowed drift
+    std::vector<std::size_t> isolatable{0, 1, 2};  ///< the members that may be isolated
+    bool may_pause = false;                        ///< an isolated member may also be paused
+    /// A crash may come before any input of a round; otherwise only at its start.
+    bool crash_at_any_input = false;
+    /// The variant index of the messages that may be late; kNever: all messages.
+    std::size_t late_message_kind = kNever;
+    /// The change may be committed at any time; otherwise it is committed before the search starts.
+    bool start_without_change = false;
+    int max_elections = 1, max_crashes = 0, max_lost_disks = 0, max_late_messages = 0;
+    std::size_t max_states = 400'000;
+    int max_rounds = 14;
   };
   struct Result {
-    std::size_t states = 0;
+    std::size_t state_count = 0;
     int rounds = 0;
-    bool whole = false;                       ///< all states within the bounds were seen
-    std::vector<std::string> counterexample;  ///< the shortest way to a broken invariant
-    std::string what;                         ///< it; empty: none is broken
-    std::size_t stuck = 0;  ///< of the states tried: those from which the change did not end without faults
-    std::size_t tried = 0;
+    bool is_complete = false;                 ///< all states within the bounds were visited
+    std::vector<std::string> counterexample;  ///< the shortest sequence of moves to a violation
+    std::string violation;                    ///< of the invariant; empty: none was found
+    std::size_t liveness_checks = 0;    ///< states from which the change was run to its end without faults
+    std::size_t liveness_failures = 0;  ///< those of them from which the change did not become active
   };
 
-  AgreedModel(const Bounds& bounds, const Broken& broken) : bounds_(bounds), broken_(broken) {}
+  ConsensusModel(const Bounds& bounds, const InjectedFaults& injected)
+      : bounds_(bounds), injected_(injected) {}
 
   Result search() {
     Result result;
     std::deque<std::uint32_t> open;
     add(initial(), kNone, "", 0, result, open);
-    while (!open.empty() && result.what.empty() && seen_.size() < bounds_.states) {
-      const std::uint32_t at = open.front();
+    while (!open.empty() && result.violation.empty() && visited_.size() < bounds_.max_states) {
+      const std::uint32_t current = open.front();
       open.pop_front();
-      const World from = std::move(*seen_[at].world);
-      seen_[at].world.reset();
-      result.rounds = std::max(result.rounds, seen_[at].round);
-      if (at % kLivenessEvery == 0) {
-        ++result.tried;
-        if (!ends(from)) ++result.stuck;
+      const SystemState system = std::move(*visited_[current].system);
+      visited_[current].system.reset();
+      result.rounds = std::max(result.rounds, visited_[current].round);
+      if (current % kLivenessCheckInterval == 0) {
+        ++result.liveness_checks;
+        if (!change_finishes(system)) ++result.liveness_failures;
       }
-      if (seen_[at].round >= bounds_.rounds) continue;
-      moves(from, [&](const std::string& what, World&& next, int rounds) {
-        add(std::move(next), at, what, seen_[at].round + rounds, result, open);
+      if (visited_[current].round >= bounds_.max_rounds) continue;
+      moves(system, [&](const std::string& move, SystemState&& next, int rounds) {
+        add(std::move(next), current, move, visited_[current].round + rounds, result, open);
       });
     }
-    result.whole = open.empty() && result.what.empty();
-    result.states = seen_.size();
+    result.is_complete = open.empty() && result.violation.empty();
+    result.state_count = visited_.size();
     return result;
   }
 
  private:
-  struct Letter {
+  struct Envelope {
     std::size_t from = 0, to = 0;
     consensus::Message message;
-    auto operator<=>(const Letter&) const = default;
+    auto operator<=>(const Envelope&) const = default;
   };
   struct Node {
     consensus::State state;
     Time clock{0};
-    consensus::Term term = 0;  // as its log answers
-    std::size_t applied = 0;   // entries of the log
-    int life = 1;
-    bool voter = true;
+    consensus::Term term = 0;  // the newest term in which it has voted or led
+    std::size_t applied = 0;   // number of applied log entries
+    int process_number = 1;
+    bool is_voter = true;
   };
-  struct World {
+  struct SystemState {
     std::vector<Node> nodes;
-    std::vector<consensus::Entry> log;    // committed
-    consensus::Term newest = 0;           // the last leader's term
-    std::size_t leader = 0;               // it
-    std::vector<consensus::Entry> limbo;  // appended by the last leader, not with a majority yet
-    std::vector<Letter> late;             // comes in a later round
-    int elections = 0, crashes = 0, lost_disks = 0, lates = 0;
+    std::vector<consensus::Entry> log;          // committed
+    consensus::Term newest_term = 0;            // the term of the last leader
+    std::size_t leader = 0;                     // the last leader
+    std::vector<consensus::Entry> uncommitted;  // appended by the last leader, not yet on a majority
+    std::vector<Envelope> late_messages;        // delivered in a later round
+    int election_count = 0, crash_count = 0, lost_disk_count = 0, late_message_count = 0;
   };
-  struct Seen {
-    std::unique_ptr<World> world;  // until its moves were made
-    std::uint32_t from = 0;
+  struct VisitedState {
+    std::unique_ptr<SystemState> system;  // released once its successors have been generated
+    std::uint32_t predecessor = 0;
     int round = 0;
     std::string move;
   };
-  /// What goes wrong in a round.
-  struct Plan {
-    std::size_t cut = kNodes;       // that member hears nobody and is heard by nobody
-    bool still = false;             // it stands still as well
-    std::size_t crash_at = kNever;  // the input in that round before which its receiver crashes
+  /// The faults of one round.
+  struct RoundFaults {
+    std::size_t isolated = kNodes;     // this member neither receives nor sends messages; kNodes: none
+    bool is_paused = false;            // the isolated member is paused as well
+    std::size_t crash_input = kNever;  // the receiver of this input crashes before it
     bool empty_disk = false;
-    std::size_t late_at = kNever;  // the message in that round that comes later on
-    bool doubled = false;          // it comes now as well
+    std::size_t late_message = kNever;  // this message is delivered in a later round
+    bool is_duplicated = false;         // the late message is delivered in this round as well
   };
   static constexpr std::uint32_t kNone = ~std::uint32_t{0};
-  static constexpr std::uint32_t kLivenessEvery = 97;
-  static constexpr std::uint64_t kNumbersAgain =
-      7;  // that a restarted member uses again, where that is broken
-  using Made = std::function<void(const std::string&, World&&, int)>;
+  static constexpr std::uint32_t kLivenessCheckInterval = 97;
+  /// How many request numbers a restarted member uses again, with reused_request_numbers.
+  static constexpr std::uint64_t kReusedRequestNumbers = 7;
+  using OnMove = std::function<void(const std::string&, SystemState&&, int)>;
 
   static std::string name(std::size_t i) { return std::string(1, static_cast<char>('x' + i)); }
-  static std::size_t number(const std::string& name) { return static_cast<std::size_t>(name[0] - 'x'); }
+  static std::size_t index_of(const std::string& name) { return static_cast<std::size_t>(name[0] - 'x'); }
 
   consensus::Settings settings(std::size_t i) const {
-    consensus::Settings s;
-    s.name = name(i);
-    for (std::size_t v = 0; v < kNodes; ++v) s.voters.push_back(name(v));
-    s.lease = Time{broken_.short_lease_leader && i == 1 ? 2 : 12};
-    s.renew_interval = Time{4};
-    s.urgent_interval = Time{3};
-    s.max_clock_drift = 0.25;  // clocks of 3 to 5 where time goes 4
-    s.prepare_timeout = Time{60};
-    return s;
+    consensus::Settings settings;
+    settings.name = name(i);
+    for (std::size_t voter = 0; voter < kNodes; ++voter) settings.voters.push_back(name(voter));
+    settings.lease = Time{injected_.short_lease_leader && i == 1 ? 2 : 12};
+    settings.renew_interval = Time{4};
+    settings.urgent_interval = Time{3};
+    settings.max_clock_drift = 0.25;  // clock rates from 3 to 5 with a nominal rate of 4
+    settings.prepare_timeout = Time{60};
+    return settings;
   }
-  consensus::State fresh(std::size_t i, int life, Time clock) const {
-    return consensus::State(settings(i), static_cast<std::uint64_t>(life) * 1000, i, clock);
+  consensus::State initial_state(std::size_t i, int process_number, Time clock) const {
+    return consensus::State(settings(i), static_cast<std::uint64_t>(process_number) * 1000, i, clock);
   }
 
-  /// One leader, all hold leases on epoch 0, and a change is committed: what follows is what may go wrong.
-  World initial() const {
-    World w;
-    for (std::size_t i = 0; i < kNodes; ++i) w.nodes.push_back({fresh(i, 1, Time{1000}), Time{1000}});
+  /// The initial state: there is a leader, all members hold leases on epoch 0, and a change is committed
+  /// unless start_without_change is set.
+  SystemState initial() const {
+    SystemState system;
+    for (std::size_t i = 0; i < kNodes; ++i)
+      system.nodes.push_back({initial_state(i, 1, Time{1000}), Time{1000}});
     std::map<std::string, bool> reached;
     for (std::size_t i = 0; i < kNodes; ++i) reached[name(i)] = true;
     for (std::size_t i = 0; i < kNodes; ++i)
-      w.nodes[i].state.handle(Time{1000}, consensus::MembersChanged{reached});
-    Course course(*this, w, {});
-    course.elect(0, 1, true);
-    for (int round = 0; round < 8; ++round) Course(*this, w, {}).run();  // past the leases of leaders before
-    if (!bounds_.from_before) commit_change(w);
-    w.elections = 0;
-    return w;
+      system.nodes[i].state.handle(Time{1000}, consensus::MembersChanged{reached});
+    RoundRunner runner(*this, system, {});
+    runner.elect(0, 1, true);
+    for (int round = 0; round < 8; ++round)
+      RoundRunner(*this, system, {}).run();  // until leases of earlier leaders have expired
+    if (!bounds_.start_without_change) commit_change(system);
+    system.election_count = 0;
+    return system;
   }
-  static void commit_change(World& w) {
-    w.log.push_back({consensus::Step::propose, 0, "k", 0, "p", {}});
-    w.log.push_back({consensus::Step::commit, 1, {}, 0, {}, {}});
+  static void commit_change(SystemState& system) {
+    system.log.push_back({consensus::Step::propose, 0, "k", 0, "p", {}});
+    system.log.push_back({consensus::Step::commit, 1, {}, 0, {}, {}});
   }
 
-  /// A round as it goes by that plan.
-  class Course {
+  /// Runs a round with the given faults.
+  class RoundRunner {
    public:
-    Course(const AgreedModel& model, World& world, const Plan& plan)
-        : model_(model), w_(world), plan_(plan) {}
+    RoundRunner(const ConsensusModel& model, SystemState& system, const RoundFaults& faults)
+        : model_(model), system_(system), faults_(faults) {}
 
     void run() {
       for (std::size_t i = 0; i < kNodes; ++i) {
-        const int rate = model_.broken_.drift_beyond ? (i == 0 ? 6 : 2) : model_.bounds_.rates[i];
-        w_.nodes[i].clock += Time{rate};
+        const int rate = model_.injected_.excessive_drift ? (i == 0 ? 6 : 2) : model_.bounds_.clock_rates[i];
+        system_.nodes[i].clock += Time{rate};
       }
-      // The log spreads among those who hear each other.
+      // The log is replicated to the connected members.
       commit();
       for (std::size_t i = 0; i < kNodes; ++i) {
-        if (hears(i)) apply(i);
+        if (is_connected(i)) apply(i);
       }
-      if (!model_.bounds_.crash_anywhere) inputs_ = 0;
+      if (!model_.bounds_.crash_at_any_input) input_count_ = 0;
       for (std::size_t i = 0; i < kNodes; ++i) {
-        if (!(plan_.still && plan_.cut == i)) feed(i, consensus::TimerExpired{});
+        if (!(faults_.is_paused && faults_.isolated == i)) feed(i, consensus::TimerExpired{});
       }
-      crashes_in_ = inputs_;
-      pass_letters();
+      start_input_count_ = input_count_;
+      deliver_messages();
       commit();
-      if (hears(w_.leader)) apply(w_.leader);
-      pass_letters();
-      // One that leads no more hears so from voters of a later term.
+      if (is_connected(system_.leader)) apply(system_.leader);
+      deliver_messages();
+      // A deposed leader learns of a later term from its voters.
       for (std::size_t i = 0; i < kNodes; ++i) {
-        if (i != w_.leader && hears(i) && hears(w_.leader) && w_.nodes[i].state.lease_manager()) {
-          w_.nodes[i].term = w_.newest;
-          feed(i, consensus::BecameFollower{name(w_.leader), w_.nodes[i].voter});
+        if (i != system_.leader && is_connected(i) && is_connected(system_.leader) &&
+            system_.nodes[i].state.lease_manager()) {
+          system_.nodes[i].term = system_.newest_term;
+          feed(i, consensus::BecameFollower{name(system_.leader), system_.nodes[i].is_voter});
         }
       }
     }
-    /// Inputs and messages there were.
-    [[nodiscard]] std::size_t inputs() const { return model_.bounds_.crash_anywhere ? inputs_ : crashes_in_; }
-    [[nodiscard]] std::size_t messages() const { return messages_; }
-    [[nodiscard]] const std::string& story() const { return story_; }
+    /// The number of inputs before which a member may crash.
+    [[nodiscard]] std::size_t crashable_inputs() const {
+      return model_.bounds_.crash_at_any_input ? input_count_ : start_input_count_;
+    }
+    [[nodiscard]] std::size_t message_count() const { return message_count_; }
+    [[nodiscard]] const std::string& description() const { return description_; }
 
-    void elect(std::size_t i, std::size_t with, bool keep_limbo) {
-      if (keep_limbo) w_.log.insert(w_.log.end(), w_.limbo.begin(), w_.limbo.end());
-      w_.limbo.clear();
-      const consensus::Term term = std::max(w_.nodes[i].term, w_.nodes[with].term) + 1;
-      w_.nodes[i].term = w_.nodes[with].term = term;
-      w_.newest = std::max(w_.newest, term);
-      w_.leader = i;
+    void elect(std::size_t i, std::size_t supporter, bool keep_uncommitted) {
+      if (keep_uncommitted)
+        system_.log.insert(system_.log.end(), system_.uncommitted.begin(), system_.uncommitted.end());
+      system_.uncommitted.clear();
+      const consensus::Term term = std::max(system_.nodes[i].term, system_.nodes[supporter].term) + 1;
+      system_.nodes[i].term = system_.nodes[supporter].term = term;
+      system_.newest_term = std::max(system_.newest_term, term);
+      system_.leader = i;
       apply(i);
       std::set<std::string> voters;
       for (std::size_t v = 0; v < kNodes; ++v) voters.insert(name(v));
       feed(i, consensus::BecameLeader{term, voters});
-      feed(with, consensus::BecameFollower{name(i), true});
-      letters_.clear();
+      feed(supporter, consensus::BecameFollower{name(i), true});
+      in_transit_.clear();
     }
     void apply(std::size_t i) {
-      while (w_.nodes[i].applied < w_.log.size()) {
-        const std::size_t at = w_.nodes[i].applied++;
-        feed(i, consensus::EntryApplied{at + 1, w_.log[at]});
+      while (system_.nodes[i].applied < system_.log.size()) {
+        const std::size_t at = system_.nodes[i].applied++;
+        feed(i, consensus::EntryApplied{at + 1, system_.log[at]});
       }
     }
-    void deliver(const Letter& letter) {
-      Node& node = w_.nodes[letter.to];
-      consensus::Message message = letter.message;
-      if (auto* yielded = std::get_if<consensus::LeaseRevocationAck>(&message);
-          yielded != nullptr && model_.broken_.any_term_yields && node.state.lease_manager())
-        yielded->term = node.state.lease_manager()->term();
-      feed(letter.to, consensus::MessageReceived{name(letter.from), message});
-      if (model_.broken_.no_wait_for_leases && node.state.lease_manager()) {
+    void deliver(const Envelope& envelope) {
+      Node& node = system_.nodes[envelope.to];
+      consensus::Message message = envelope.message;
+      if (auto* ack = std::get_if<consensus::LeaseRevocationAck>(&message);
+          ack != nullptr && model_.injected_.accepts_acks_of_any_term && node.state.lease_manager())
+        ack->term = node.state.lease_manager()->term();
+      feed(envelope.to, consensus::MessageReceived{name(envelope.from), message});
+      if (model_.injected_.no_wait_for_leases && node.state.lease_manager()) {
         for (std::size_t i = 0; i < kNodes; ++i)
-          feed(letter.to, consensus::MessageReceived{
-                              name(i), consensus::LeaseRevocationAck{node.state.lease_manager()->term(), 0}});
+          feed(envelope.to, consensus::MessageReceived{name(i), consensus::LeaseRevocationAck{
+                                                                    node.state.lease_manager()->term(), 0}});
       }
     }
-    void pass_letters() {
-      for (int turns = 0; turns < 200 && !letters_.empty(); ++turns) {
-        const Letter letter = letters_.front();
-        letters_.pop_front();
-        if (!hears(letter.from) || !hears(letter.to)) continue;
-        const bool counts =
-            model_.bounds_.late_kind == kNever || letter.message.index() == model_.bounds_.late_kind;
-        if (counts && messages_++ == plan_.late_at) {
-          w_.late.push_back(letter);
-          story_ += ", message " + std::to_string(letter.message.index()) + " from " + name(letter.from) +
-                    " to " + name(letter.to) + (plan_.doubled ? " is to come again" : " is late");
-          if (!plan_.doubled) continue;
+    void deliver_messages() {
+      for (int deliveries = 0; deliveries < 200 && !in_transit_.empty(); ++deliveries) {
+        const Envelope envelope = in_transit_.front();
+        in_transit_.pop_front();
+        if (!is_connected(envelope.from) || !is_connected(envelope.to)) continue;
+        const bool may_be_late = model_.bounds_.late_message_kind == kNever ||
+                                 envelope.message.index() == model_.bounds_.late_message_kind;
+        if (may_be_late && message_count_++ == faults_.late_message) {
+          system_.late_messages.push_back(envelope);
+          description_ += ", message " + std::to_string(envelope.message.index()) + " from " +
+                          name(envelope.from) + " to " + name(envelope.to) +
+                          (faults_.is_duplicated ? " is delivered twice" : " is late");
+          if (!faults_.is_duplicated) continue;
         }
-        deliver(letter);
+        deliver(envelope);
       }
     }
 
    private:
-    [[nodiscard]] bool hears(std::size_t i) const { return i != plan_.cut; }
+    [[nodiscard]] bool is_connected(std::size_t i) const { return i != faults_.isolated; }
 
-    /// What the leader appended, once one more voter that has not voted for a later term has it.
+    /// Commits the leader's entries once another voter, which has not voted in a later term, stores them.
     void commit() {
-      const Node& leader = w_.nodes[w_.leader];
-      if (w_.limbo.empty() || leader.term != w_.newest || !leader.state.lease_manager()) return;
+      const Node& leader = system_.nodes[system_.leader];
+      if (system_.uncommitted.empty() || leader.term != system_.newest_term || !leader.state.lease_manager())
+        return;
       for (std::size_t i = 0; i < kNodes; ++i) {
-        if (i == w_.leader || !hears(i) || !hears(w_.leader) || !w_.nodes[i].voter) continue;
-        if (w_.nodes[i].term > leader.term) continue;
-        w_.nodes[i].term = leader.term;
-        w_.log.insert(w_.log.end(), w_.limbo.begin(), w_.limbo.end());
-        w_.limbo.clear();
+        if (i == system_.leader || !is_connected(i) || !is_connected(system_.leader) ||
+            !system_.nodes[i].is_voter)
+          continue;
+        if (system_.nodes[i].term > leader.term) continue;
+        system_.nodes[i].term = leader.term;
+        system_.log.insert(system_.log.end(), system_.uncommitted.begin(), system_.uncommitted.end());
+        system_.uncommitted.clear();
         return;
       }
     }
 
     void feed(std::size_t i, const consensus::Input& input) {
-      if (inputs_++ == plan_.crash_at) {
-        story_ += ", " + name(i) + (plan_.empty_disk ? " starts with an empty disk" : " crashes and starts");
+      if (input_count_++ == faults_.crash_input) {
+        description_ +=
+            ", " + name(i) + (faults_.empty_disk ? " restarts with an empty disk" : " crashes and restarts");
         restart(i);
         return;
       }
-      Node& node = w_.nodes[i];
+      Node& node = system_.nodes[i];
       for (consensus::Effect& effect : node.state.handle(node.clock, input)) {
         if (auto* send = std::get_if<consensus::SendMessage>(&effect)) {
-          post(i, number(send->to), std::move(send->message));
+          enqueue(i, index_of(send->to), std::move(send->message));
         } else if (auto* append = std::get_if<consensus::AppendEntry>(&effect)) {
-          // Of a deposed leader: no majority takes it.
-          if (w_.newest == node.term && w_.leader == i) w_.limbo.push_back(append->entry);
-        } else if (auto* asked = std::get_if<consensus::CheckTerm>(&effect)) {
-          const bool good = node.voter && node.term <= asked->check.term;
-          if (!good && !model_.broken_.unconfirmed_grants) continue;
-          const consensus::LeadershipCheckReply yes{asked->check.term, asked->check.round};
-          if (number(asked->from) == i) {
-            feed(i, consensus::MessageReceived{name(i), yes});
+          // An entry of a deposed leader is dropped: no majority accepts it.
+          if (system_.newest_term == node.term && system_.leader == i)
+            system_.uncommitted.push_back(append->entry);
+        } else if (auto* request = std::get_if<consensus::CheckTerm>(&effect)) {
+          const bool confirms = node.is_voter && node.term <= request->check.term;
+          if (!confirms && !model_.injected_.unconfirmed_grants) continue;
+          const consensus::LeadershipCheckReply reply{request->check.term, request->check.round};
+          if (index_of(request->from) == i) {
+            feed(i, consensus::MessageReceived{name(i), reply});
           } else {
-            post(i, number(asked->from), yes);
+            enqueue(i, index_of(request->from), reply);
           }
         }
       }
     }
-    void post(std::size_t from, std::size_t to, consensus::Message message) {
-      if (model_.broken_.unconfirmed_grants && std::holds_alternative<consensus::LeadershipCheck>(message)) {
-        // Nobody is asked: the leader takes it for confirmed.
-        const auto& c = std::get<consensus::LeadershipCheck>(message);
-        feed(from, consensus::MessageReceived{name(to), consensus::LeadershipCheckReply{c.term, c.round}});
+    void enqueue(std::size_t from, std::size_t to, consensus::Message message) {
+      if (model_.injected_.unconfirmed_grants &&
+          std::holds_alternative<consensus::LeadershipCheck>(message)) {
+        // With this fault the voters are not asked, and the check counts as confirmed.
+        const auto& check = std::get<consensus::LeadershipCheck>(message);
+        feed(from,
+             consensus::MessageReceived{name(to), consensus::LeadershipCheckReply{check.term, check.round}});
         return;
       }
-      // The log spreads by itself here.
+      // The model replicates the log itself and needs neither catch-up nor prepare replies.
       if (std::holds_alternative<consensus::CatchUpRequest>(message) ||
           std::holds_alternative<consensus::PrepareReply>(message))
         return;
-      letters_.push_back({from, to, std::move(message)});
+      in_transit_.push_back({from, to, std::move(message)});
     }
     void restart(std::size_t i) {
-      Node& node = w_.nodes[i];
-      ++node.life;
+      Node& node = system_.nodes[i];
+      ++node.process_number;
       const consensus::Snapshot kept = node.state.policy_state().snapshot();
       const std::map<std::string, bool> members = node.state.members();
       const std::uint64_t used = node.state.lease().newest_request();
-      node.state = model_.fresh(i, node.life, node.clock);
-      if (model_.broken_.numbers_start_anew)
-        node.state = consensus::State(model_.settings(i), used - kNumbersAgain, i, node.clock);
-      if (plan_.empty_disk) {
-        if (w_.leader == i) w_.limbo.clear();
+      node.state = model_.initial_state(i, node.process_number, node.clock);
+      if (model_.injected_.reused_request_numbers)
+        node.state = consensus::State(model_.settings(i), used - kReusedRequestNumbers, i, node.clock);
+      if (faults_.empty_disk) {
+        if (system_.leader == i) system_.uncommitted.clear();
         node.applied = 0;
         node.term = 0;
-        node.voter = model_.broken_.amnesiac_votes;
+        node.is_voter = model_.injected_.erased_voter_votes;
       } else {
-        if (model_.broken_.vote_before_write && node.term > 0 && w_.leader != i) --node.term;
+        if (model_.injected_.vote_before_write && node.term > 0 && system_.leader != i) --node.term;
         node.applied = kept.index;
         feed(i, consensus::SnapshotRestored{kept});
-        feed(i, consensus::BecameFollower{"", node.voter});
+        feed(i, consensus::BecameFollower{"", node.is_voter});
       }
       feed(i, consensus::MembersChanged{members});
     }
 
-    const AgreedModel& model_;
-    World& w_;
-    Plan plan_;
-    std::deque<Letter> letters_;
-    std::size_t inputs_ = 0, messages_ = 0, crashes_in_ = 0;
-    std::string story_;
+    const ConsensusModel& model_;
+    SystemState& system_;
+    RoundFaults faults_;
+    std::deque<Envelope> in_transit_;
+    std::size_t input_count_ = 0, message_count_ = 0, start_input_count_ = 0;
+    std::string description_;
   };
 
-  void moves(const World& w, const Made& made) const {
-    std::vector<std::size_t> cuts = bounds_.cut;
-    cuts.push_back(kNodes);
-    for (const std::size_t cut : cuts) {
-      for (const bool still : {false, true}) {
-        if (still && (cut == kNodes || !bounds_.stills)) continue;
-        Plan plan;
-        plan.cut = cut;
-        plan.still = still;
-        const std::string what = cut == kNodes ? "a round"
-                                 : still       ? "a round in which " + name(cut) + " stands still"
-                                               : "a round in which " + name(cut) + " is cut off";
-        const auto play = [&](const Plan& p) {
-          World next = w;
-          Course course(*this, next, p);
-          course.run();
-          next.lost_disks += p.crash_at != kNever && p.empty_disk ? 1 : 0;
-          next.crashes += p.crash_at != kNever && !p.empty_disk ? 1 : 0;
-          next.lates += p.late_at != kNever ? 1 : 0;
-          const std::pair<std::size_t, std::size_t> counts{course.inputs(), course.messages()};
-          made(what + course.story(), std::move(next), 1);
+  void moves(const SystemState& system, const OnMove& on_move) const {
+    std::vector<std::size_t> isolated_choices = bounds_.isolatable;
+    isolated_choices.push_back(kNodes);
+    for (const std::size_t isolated : isolated_choices) {
+      for (const bool paused : {false, true}) {
+        if (paused && (isolated == kNodes || !bounds_.may_pause)) continue;
+        RoundFaults faults;
+        faults.isolated = isolated;
+        faults.is_paused = paused;
+        const std::string move = isolated == kNodes ? "a round"
+                                 : paused           ? "a round in which " + name(isolated) + " is paused"
+                                                    : "a round in which " + name(isolated) + " is isolated";
+        const auto run_round = [&](const RoundFaults& round_faults) {
+          SystemState next = system;
+          RoundRunner runner(*this, next, round_faults);
+          runner.run();
+          next.lost_disk_count += round_faults.crash_input != kNever && round_faults.empty_disk ? 1 : 0;
+          next.crash_count += round_faults.crash_input != kNever && !round_faults.empty_disk ? 1 : 0;
+          next.late_message_count += round_faults.late_message != kNever ? 1 : 0;
+          const std::pair<std::size_t, std::size_t> counts{runner.crashable_inputs(), runner.message_count()};
+          on_move(move + runner.description(), std::move(next), 1);
           return counts;
         };
-        const auto [inputs, messages] = play(plan);
+        const auto [inputs, messages] = run_round(faults);
         for (const bool empty : {false, true}) {
-          if (empty ? w.lost_disks >= bounds_.lost_disks : w.crashes >= bounds_.crashes) continue;
+          if (empty ? system.lost_disk_count >= bounds_.max_lost_disks
+                    : system.crash_count >= bounds_.max_crashes)
+            continue;
           for (std::size_t at = 0; at < inputs; ++at) {
-            Plan crash = plan;
-            crash.crash_at = at;
+            RoundFaults crash = faults;
+            crash.crash_input = at;
             crash.empty_disk = empty;
-            play(crash);
+            run_round(crash);
           }
         }
-        if (w.lates >= bounds_.late) continue;
-        for (const bool doubled : {false, true}) {
+        if (system.late_message_count >= bounds_.max_late_messages) continue;
+        for (const bool duplicated : {false, true}) {
           for (std::size_t at = 0; at < messages; ++at) {
-            Plan late = plan;
-            late.late_at = at;
-            late.doubled = doubled;
-            play(late);
+            RoundFaults late = faults;
+            late.late_message = at;
+            late.is_duplicated = duplicated;
+            run_round(late);
           }
         }
       }
     }
-    if (w.log.empty()) {
-      World next = w;
+    if (system.log.empty()) {
+      SystemState next = system;
       commit_change(next);
-      made("a change is committed", std::move(next), 0);
+      on_move("a change is committed", std::move(next), 0);
     }
-    for (std::size_t at = 0; at < w.late.size(); ++at) {
-      World next = w;
-      next.late.erase(next.late.begin() + static_cast<std::ptrdiff_t>(at));
-      Course course(*this, next, {});
-      course.deliver(w.late[at]);
-      course.pass_letters();
-      made("message " + std::to_string(w.late[at].message.index()) + " from " + name(w.late[at].from) +
-               " to " + name(w.late[at].to) + " comes late",
-           std::move(next), 0);
+    for (std::size_t at = 0; at < system.late_messages.size(); ++at) {
+      SystemState next = system;
+      next.late_messages.erase(next.late_messages.begin() + static_cast<std::ptrdiff_t>(at));
+      RoundRunner runner(*this, next, {});
+      runner.deliver(system.late_messages[at]);
+      runner.deliver_messages();
+      on_move("message " + std::to_string(system.late_messages[at].message.index()) + " from " +
+                  name(system.late_messages[at].from) + " to " + name(system.late_messages[at].to) +
+                  " is delivered late",
+              std::move(next), 0);
     }
-    if (w.elections >= bounds_.elections) return;
+    if (system.election_count >= bounds_.max_elections) return;
     for (std::size_t i = 0; i < kNodes; ++i) {
-      for (std::size_t with = 0; with < kNodes; ++with) {
-        if (with == i || !w.nodes[i].voter || !w.nodes[with].voter) continue;
-        for (const bool keep : {true, false}) {
-          if (!keep && w.limbo.empty()) continue;
-          World next = w;
-          ++next.elections;
-          Course(*this, next, {}).elect(i, with, keep);
-          made(name(i) + " leads by the vote of " + name(with) +
-                   (w.limbo.empty() ? ""
-                    : keep          ? ", keeps what was appended"
-                                    : ", drops what was appended"),
-               std::move(next), 0);
+      for (std::size_t supporter = 0; supporter < kNodes; ++supporter) {
+        if (supporter == i || !system.nodes[i].is_voter || !system.nodes[supporter].is_voter) continue;
+        for (const bool keep_uncommitted : {true, false}) {
+          if (!keep_uncommitted && system.uncommitted.empty()) continue;
+          SystemState next = system;
+          ++next.election_count;
+          RoundRunner(*this, next, {}).elect(i, supporter, keep_uncommitted);
+          on_move(name(i) + " is elected with the vote of " + name(supporter) +
+                      (system.uncommitted.empty() ? ""
+                       : keep_uncommitted         ? ", keeps uncommitted entries"
+                                                  : ", drops uncommitted entries"),
+                  std::move(next), 0);
         }
       }
     }
   }
 
-  /// Whether the change ends once faults have ended: all run, a leader is there, nothing is lost.
-  bool ends(World w) const {
-    std::size_t a = kNodes, b = kNodes;
+  /// Whether the change becomes active without further faults: all members run, a leader is elected and no
+  /// message is lost.
+  bool change_finishes(SystemState system) const {
+    std::size_t first = kNodes, second = kNodes;
     for (std::size_t i = 0; i < kNodes; ++i) {
-      if (w.nodes[i].voter) (a == kNodes ? a : b) = i;
+      if (system.nodes[i].is_voter) (first == kNodes ? first : second) = i;
     }
-    if (b == kNodes) return true;  // a majority is gone: an operator's matter
-    if (w.log.empty()) commit_change(w);
-    Course(*this, w, {}).elect(a, b, true);
+    if (second == kNodes) return true;  // the majority is lost, and an operator has to intervene
+    if (system.log.empty()) commit_change(system);
+    RoundRunner(*this, system, {}).elect(first, second, true);
     for (int round = 0; round < 40; ++round) {
-      Course(*this, w, {}).run();
+      RoundRunner(*this, system, {}).run();
       bool done = true;
-      for (const Node& node : w.nodes)
+      for (const Node& node : system.nodes)
         done = done && node.state.policy_state().epoch() == 1 && node.state.decision_epoch(node.clock) == 1;
       if (done) return true;
     }
     return false;
   }
 
-  void add(World&& world, std::uint32_t from, const std::string& move, int round, Result& result,
-           std::deque<std::uint32_t>& open) {
-    if (!result.what.empty() || !keys_.insert(key_of(world)).second) return;
+  void add(SystemState&& system, std::uint32_t predecessor, const std::string& move, int round,
+           Result& result, std::deque<std::uint32_t>& open) {
+    if (!result.violation.empty() || !keys_.insert(state_key(system)).second) return;
     std::optional<consensus::Epoch> epoch;
-    for (const Node& node : world.nodes) {
-      const auto decides = node.state.decision_epoch(node.clock);
-      if (!decides) continue;
-      if (epoch && *epoch != *decides)
-        result.what = "epochs " + std::to_string(std::min(*epoch, *decides)) + " and " +
-                      std::to_string(std::max(*epoch, *decides)) + " at once";
-      epoch = decides;
+    for (const Node& node : system.nodes) {
+      const auto decision_epoch = node.state.decision_epoch(node.clock);
+      if (!decision_epoch) continue;
+      if (epoch && *epoch != *decision_epoch)
+        result.violation = "epochs " + std::to_string(std::min(*epoch, *decision_epoch)) + " and " +
+                           std::to_string(std::max(*epoch, *decision_epoch)) + " at once";
+      epoch = decision_epoch;
     }
-    seen_.push_back({std::make_unique<World>(std::move(world)), from, round, move});
-    open.push_back(static_cast<std::uint32_t>(seen_.size() - 1));
-    if (result.what.empty()) return;
-    for (std::uint32_t at = open.back(); seen_[at].from != kNone; at = seen_[at].from)
-      result.counterexample.insert(result.counterexample.begin(), seen_[at].move);
+    visited_.push_back({std::make_unique<SystemState>(std::move(system)), predecessor, round, move});
+    open.push_back(static_cast<std::uint32_t>(visited_.size() - 1));
+    if (result.violation.empty()) return;
+    for (std::uint32_t visited = open.back(); visited_[visited].predecessor != kNone;
+         visited = visited_[visited].predecessor)
+      result.counterexample.insert(result.counterexample.begin(), visited_[visited].move);
   }
-  /// Alike for states that differ only in the members' names, where the clocks go alike.
-  std::size_t key_of(const World& w) const {
-    std::map<std::string, std::uint64_t> newest;
-    for (std::size_t i = 0; i < kNodes; ++i) newest[name(i)] = w.nodes[i].state.lease().newest_request();
+  /// The hash of a state. Where the members' clock rates are equal, states that differ only in the names of
+  /// the members have the same hash.
+  std::size_t state_key(const SystemState& system) const {
+    std::map<std::string, std::uint64_t> newest_requests;
+    for (std::size_t i = 0; i < kNodes; ++i)
+      newest_requests[name(i)] = system.nodes[i].state.lease().newest_request();
     std::array<std::size_t, kNodes> order{0, 1, 2};
-    std::size_t least = ~std::size_t{0};
+    std::size_t smallest_hash = ~std::size_t{0};
     do {
-      bool fits = !broken_.short_lease_leader && !broken_.drift_beyond;
-      for (std::size_t i = 0; i < kNodes; ++i) fits = fits && bounds_.rates[order[i]] == bounds_.rates[i];
-      if (!fits && !std::is_sorted(order.begin(), order.end())) continue;
+      bool is_symmetric = !injected_.short_lease_leader && !injected_.excessive_drift;
+      for (std::size_t i = 0; i < kNodes; ++i)
+        is_symmetric = is_symmetric && bounds_.clock_rates[order[i]] == bounds_.clock_rates[i];
+      if (!is_symmetric && !std::is_sorted(order.begin(), order.end())) continue;
       std::array<char, kNodes> renamed{};
       for (std::size_t i = 0; i < kNodes; ++i) renamed[order[i]] = static_cast<char>('x' + i);
       std::string text;
       for (std::size_t i = 0; i < kNodes; ++i) {
-        const Node& n = w.nodes[order[i]];
-        text += n.state.debug_state(newest) + " T" + std::to_string(n.term) + " A" +
-                std::to_string(n.applied) + (n.voter ? "v" : "") + "\n";
+        const Node& node = system.nodes[order[i]];
+        text += node.state.debug_state(newest_requests) + " T" + std::to_string(node.term) + " A" +
+                std::to_string(node.applied) + (node.is_voter ? "v" : "") + "\n";
       }
-      for (const consensus::Entry& e : w.limbo) text += "l" + std::to_string(static_cast<int>(e.step));
-      text += std::to_string(w.log.size()) + name(w.leader) + std::to_string(w.newest);
-      for (const Letter& l : w.late) text += " " + name(l.from) + name(l.to) + print(l, newest);
-      text += " " + std::to_string(w.elections) + std::to_string(w.crashes) + std::to_string(w.lost_disks) +
-              std::to_string(w.lates);
-      for (char& c : text) {
-        if (c >= 'x' && c <= 'z') c = renamed[static_cast<std::size_t>(c - 'x')];
+      for (const consensus::Entry& entry : system.uncommitted)
+        text += "l" + std::to_string(static_cast<int>(entry.step));
+      text += std::to_string(system.log.size()) + name(system.leader) + std::to_string(system.newest_term);
+      for (const Envelope& envelope : system.late_messages)
+        text += " " + name(envelope.from) + name(envelope.to) + message_key(envelope, newest_requests);
+      text += " " + std::to_string(system.election_count) + std::to_string(system.crash_count) +
+              std::to_string(system.lost_disk_count) + std::to_string(system.late_message_count);
+      for (char& letter : text) {
+        if (letter >= 'x' && letter <= 'z') letter = renamed[static_cast<std::size_t>(letter - 'x')];
       }
-      least = std::min(least, std::hash<std::string>{}(text));
+      smallest_hash = std::min(smallest_hash, std::hash<std::string>{}(text));
     } while (std::next_permutation(order.begin(), order.end()));
-    return least;
+    return smallest_hash;
   }
-  static std::string print(const Letter& letter, const std::map<std::string, std::uint64_t>& newest) {
-    std::string text = std::to_string(letter.message.index()) + ",";
-    if (const auto* m = std::get_if<consensus::LeaseRequest>(&letter.message))
-      text += std::to_string(newest.at(name(letter.from)) - m->number);
-    if (const auto* m = std::get_if<consensus::LeaseGrant>(&letter.message))
-      text += std::to_string(newest.at(name(letter.to)) - m->request_number) + "," + std::to_string(m->epoch);
-    if (const auto* m = std::get_if<consensus::LeadershipCheck>(&letter.message))
-      text += std::to_string(m->term) + "," + std::to_string(m->round);
-    if (const auto* m = std::get_if<consensus::LeadershipCheckReply>(&letter.message))
-      text += std::to_string(m->term) + "," + std::to_string(m->round);
-    if (const auto* m = std::get_if<consensus::LeaseRevocation>(&letter.message))
-      text += std::to_string(m->term);
-    if (const auto* m = std::get_if<consensus::LeaseRevocationAck>(&letter.message))
-      text += std::to_string(m->term);
+  static std::string message_key(const Envelope& envelope,
+                                 const std::map<std::string, std::uint64_t>& newest_requests) {
+    std::string text = std::to_string(envelope.message.index()) + ",";
+    if (const auto* message = std::get_if<consensus::LeaseRequest>(&envelope.message))
+      text += std::to_string(newest_requests.at(name(envelope.from)) - message->number);
+    if (const auto* message = std::get_if<consensus::LeaseGrant>(&envelope.message))
+      text += std::to_string(newest_requests.at(name(envelope.to)) - message->request_number) + "," +
+              std::to_string(message->epoch);
+    if (const auto* message = std::get_if<consensus::LeadershipCheck>(&envelope.message))
+      text += std::to_string(message->term) + "," + std::to_string(message->round);
+    if (const auto* message = std::get_if<consensus::LeadershipCheckReply>(&envelope.message))
+      text += std::to_string(message->term) + "," + std::to_string(message->round);
+    if (const auto* message = std::get_if<consensus::LeaseRevocation>(&envelope.message))
+      text += std::to_string(message->term);
+    if (const auto* message = std::get_if<consensus::LeaseRevocationAck>(&envelope.message))
+      text += std::to_string(message->term);
     return text;
   }
 
   Bounds bounds_;
-  Broken broken_;
-  std::vector<Seen> seen_;
+  InjectedFaults injected_;
+  std::vector<VisitedState> visited_;
   std::unordered_set<std::size_t> keys_;
 };
 
--- a/tests/support/faulty_folder.h
+++ b/tests/support/faulty_folder.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// A folder in memory that fails as disks do: short and failed writes, a full disk, a sync that fails once
-/// and says yes the next time though the pages are lost, what was not synced lost or torn at a crash, flipped
-/// bits.
+/// A folder in memory with the faults of real disks: short and failed writes, a full disk, flipped bits,
+/// unsynced data that is lost or torn at a crash, and a sync that fails once and succeeds the next time
+/// although the pages are lost.
 #pragma once
 
 #include <algorithm>
@@ -19,40 +19,40 @@
  public:
   explicit FaultyFolder(std::uint64_t seed = 1) : random_(seed) {}
 
-  std::size_t room = std::numeric_limits<std::size_t>::max();  ///< bytes left on the disk
+  std::size_t free_bytes = std::numeric_limits<std::size_t>::max();  ///< free space on the disk
   bool short_writes = false;
-  int fail_syncs = 0;  ///< as many of the next ones fail
-  int fail_write = 0;  ///< errno of the next write
-  std::size_t syncs = 0;
+  int fail_syncs = 0;        ///< this many of the next syncs fail
+  int next_write_error = 0;  ///< errno that the next write fails with; 0: none
+  std::size_t sync_count = 0;
 
-  /// The machine stops: of what was not synced, a beginning is kept, maybe with garbage at its end; names
-  /// that the folder was not synced for are the old ones or the new ones.
+  /// The machine crashes. Of unsynced data a prefix is kept, possibly with garbage at its end. Names that
+  /// were not synced are either all old or all new.
   void crash() {
     for (auto& [name, inode] : names_) {
-      const std::size_t kept = std::min(inode->durable.size(), inode->text.size());
-      std::string after = inode->durable;
-      if (inode->text.size() > kept) {
-        const std::size_t more = random_() % (inode->text.size() - kept + 1);
-        after += inode->text.substr(kept, more);
-        for (std::size_t i = kept; i < after.size(); ++i) {
-          if (i + 64 > after.size() && random_() % 3 == 0) after[i] = static_cast<char>(random_());
+      const std::size_t synced_size = std::min(inode->synced.size(), inode->text.size());
+      std::string kept_text = inode->synced;
+      if (inode->text.size() > synced_size) {
+        const std::size_t unsynced_size = random_() % (inode->text.size() - synced_size + 1);
+        kept_text += inode->text.substr(synced_size, unsynced_size);
+        for (std::size_t i = synced_size; i < kept_text.size(); ++i) {
+          if (i + 64 > kept_text.size() && random_() % 3 == 0) kept_text[i] = static_cast<char>(random_());
         }
       }
-      inode->text = inode->durable = after;
+      inode->text = inode->synced = kept_text;
     }
-    if (random_() % 2 == 0) names_ = durable_names_;
-    durable_names_ = names_;
+    if (random_() % 2 == 0) names_ = synced_names_;
+    synced_names_ = names_;
   }
-  void flip(const std::string& name, std::size_t byte, unsigned bit) {
+  void flip_bit(const std::string& name, std::size_t byte, unsigned bit) {
     Inode& inode = *names_.at(name);
     inode.text[byte] = static_cast<char>(inode.text[byte] ^ (1U << bit));
-    inode.durable = inode.text;
+    inode.synced = inode.text;
   }
   [[nodiscard]] std::size_t size(const std::string& name) const {
     const auto found = names_.find(name);
     return found == names_.end() ? 0 : found->second->text.size();
   }
-  void empty() { names_.clear(), durable_names_.clear(); }
+  void erase() { names_.clear(), synced_names_.clear(); }
 
   int read(const std::string& name, std::optional<std::string>& text) override {
     text.reset();
@@ -61,15 +61,15 @@
   }
   int create(const std::string& name, std::unique_ptr<storage::File>& file) override {
     names_[name] = std::make_shared<Inode>();
-    file = std::make_unique<Open>(*this, names_[name]);
+    file = std::make_unique<OpenFile>(*this, names_[name]);
     return 0;
   }
   int extend(const std::string& name, std::size_t size, std::unique_ptr<storage::File>& file) override {
     const auto found = names_.find(name);
     if (found == names_.end()) return ENOENT;
     found->second->text.resize(size);
-    if (found->second->durable.size() > size) found->second->durable.resize(size);
-    file = std::make_unique<Open>(*this, found->second);
+    if (found->second->synced.size() > size) found->second->synced.resize(size);
+    file = std::make_unique<OpenFile>(*this, found->second);
     return 0;
   }
   int rename(const std::string& from, const std::string& to) override {
@@ -79,35 +79,36 @@
   }
   int sync() override {
     if (fail_syncs > 0) return --fail_syncs, EIO;
-    durable_names_ = names_;
+    synced_names_ = names_;
     return 0;
   }
 
  private:
   struct Inode {
-    std::string text, durable;
+    std::string text, synced;
   };
-  class Open : public storage::File {
+  class OpenFile : public storage::File {
    public:
-    Open(FaultyFolder& folder, std::shared_ptr<Inode> inode) : folder_(folder), inode_(std::move(inode)) {}
+    OpenFile(FaultyFolder& folder, std::shared_ptr<Inode> inode)
+        : folder_(folder), inode_(std::move(inode)) {}
     int write(std::string_view bytes, std::size_t& written) override {
       written = 0;
-      if (folder_.fail_write != 0) return std::exchange(folder_.fail_write, 0);
-      if (folder_.room == 0) return ENOSPC;
-      written = std::min(bytes.size(), folder_.room);
+      if (folder_.next_write_error != 0) return std::exchange(folder_.next_write_error, 0);
+      if (folder_.free_bytes == 0) return ENOSPC;
+      written = std::min(bytes.size(), folder_.free_bytes);
       if (folder_.short_writes && written > 1) written = 1 + folder_.random_() % (written - 1);
-      folder_.room -= written;
+      folder_.free_bytes -= written;
       inode_->text.append(bytes.substr(0, written));
       return 0;
     }
     int sync() override {
-      ++folder_.syncs;
+      ++folder_.sync_count;
       if (folder_.fail_syncs > 0) {
         --folder_.fail_syncs;
-        inode_->text = inode_->durable;  // the system has dropped the pages
+        inode_->text = inode_->synced;  // the kernel has dropped the pages
         return EIO;
       }
-      inode_->durable = inode_->text;
+      inode_->synced = inode_->text;
       return 0;
     }
 
@@ -117,7 +118,7 @@
   };
 
   std::mt19937_64 random_;
-  std::map<std::string, std::shared_ptr<Inode>> names_, durable_names_;
+  std::map<std::string, std::shared_ptr<Inode>> names_, synced_names_;
 };
 
 }  // namespace edge_proxy::test
