--- a/src/membership/reducer.cpp
+++ b/src/membership/reducer.cpp
@@ -61,7 +61,8 @@
   std::vector<std::string> reachable;
   for (MemberUpdate update : stored) {
     if (update.name == context_.settings.name || QuotaAdapter::is_holder_only(update)) continue;
-    // The stored reachability is outdated: suspect and dead members are taken as alive until probed.
+    // The stored reachability is outdated, the registration is not: suspect and dead members are taken as
+    // alive until they are probed.
     if (update.status == MemberStatus::suspect || update.status == MemberStatus::dead) {
       update.status = MemberStatus::alive;
     }
