--- a/src/consensus/reducer.cpp
+++ b/src/consensus/reducer.cpp
@@ -376,7 +376,7 @@
 AdminReply State::request_abort(const AbortCall& input) {
   const auto& change = state_machine_.change();
   if (!change) return {input.call, kNotFound, "no change is under way"};
-  if (change->committed) return {input.call, kConflict, "the change is already committed"};
+  if (change->committed) return {input.call, kConflict, "it is committed"};
   const std::string to = leader_or_next_voter();
   if (to.empty()) return {input.call, kUnavailable, "no leader is known"};
   send(to, AbortRequest{change->id});
