--- a/src/proxy/admin/admin_call.cpp
+++ b/src/proxy/admin/admin_call.cpp
@@ -49,16 +49,16 @@
 }  // namespace
 
 AdminCall read_admin_call(const codec::HttpCall& call) {
-  AdminCall read;
+  AdminCall admin_call;
   for (const AdminRoute& route : kAdminRoutes) {
     const auto target = match_path(call.path, route.path);
     if (!target) continue;
-    read.target = *target;
-    read.operation = call.method == route.method ? route.operation : AdminOperation::wrong_method;
-    if (read.operation != AdminOperation::wrong_method) break;
+    admin_call.target = *target;
+    admin_call.operation = call.method == route.method ? route.operation : AdminOperation::wrong_method;
+    if (admin_call.operation != AdminOperation::wrong_method) break;
   }
-  if (read.operation == AdminOperation::put_policy) read.body = call.body;
-  return read;
+  if (admin_call.operation == AdminOperation::put_policy) admin_call.body = call.body;
+  return admin_call;
 }
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/admin/admin_connections.cpp
+++ b/src/proxy/admin/admin_connections.cpp
@@ -8,32 +8,32 @@
 
 namespace edge_proxy::proxy {
 
-void Admin::on_accepted(ConnectionId connection) {
+void AdminConnections::on_accepted(ConnectionId connection) {
   ++context_.open_connections;
   if (is_full()) end(connection_to_evict(), CloseReason::too_many, true);
   connections_[connection].opened_at = context_.now;
 }
 
-bool Admin::is_full() const {
+bool AdminConnections::is_full() const {
   return connections_.size() >= static_cast<std::size_t>(context_.limits.admin_connections);
 }
 
 /// The oldest that has no answer yet, or else the oldest: ids rise with time.
-ConnectionId Admin::connection_to_evict() const {
+ConnectionId AdminConnections::connection_to_evict() const {
   const auto unanswered = std::find_if(connections_.begin(), connections_.end(),
-                                       [](const auto& item) { return !item.second.answered_at; });
+                                       [](const auto& entry) { return !entry.second.answered_at; });
   return unanswered != connections_.end() ? unanswered->first : connections_.begin()->first;
 }
 
-std::optional<AdminCall> Admin::on_bytes(ConnectionId connection, std::string_view bytes) {
-  AdminConnection& from = connections_.at(connection);
-  from.reader.feed(bytes);
-  if (const auto call = from.reader.next()) return read_admin_call(*call);
-  if (from.reader.is_broken() && !from.answered_at) reply(connection, kHttpBadRequest, "unreadable\n");
+std::optional<AdminCall> AdminConnections::on_bytes(ConnectionId connection, std::string_view bytes) {
+  AdminConnection& sender = connections_.at(connection);
+  sender.reader.feed(bytes);
+  if (const auto call = sender.reader.next()) return read_admin_call(*call);
+  if (sender.reader.is_broken() && !sender.answered_at) reply(connection, kHttpBadRequest, "unreadable\n");
   return std::nullopt;
 }
 
-void Admin::reply(ConnectionId connection, int status, std::string_view body) {
+void AdminConnections::reply(ConnectionId connection, int status, std::string_view body) {
   AdminConnection& caller = connections_.at(connection);
   ++caller.call_count;
   caller.answered_at = context_.now;
@@ -41,15 +41,16 @@
   context_.shutdown_write(connection);
 }
 
-void Admin::end(ConnectionId connection, CloseReason reason, bool close_it) {
+void AdminConnections::end(ConnectionId connection, CloseReason reason, bool close_connection) {
   const auto found = connections_.find(connection);
   if (found == connections_.end()) return;
-  const AdminConnection& ended = found->second;
-  context_.log_closed({"admin", connection, ended.opened_at, ended.call_count, {}}, reason, close_it);
+  const AdminConnection& closing = found->second;
+  context_.log_closed({"admin", connection, closing.opened_at, closing.call_count, {}}, reason,
+                      close_connection);
   connections_.erase(found);
 }
 
-void Admin::sweep() {
+void AdminConnections::sweep() {
   struct Expired {
     ConnectionId id = 0;
     CloseReason reason = CloseReason::idle;
@@ -62,7 +63,7 @@
 }
 
 /// Why the connection is to be closed, where it is.
-std::optional<CloseReason> Admin::expiry_of(const AdminConnection& connection) const {
+std::optional<CloseReason> AdminConnections::expiry_of(const AdminConnection& connection) const {
   if (connection.answered_at) {
     if (context_.now - *connection.answered_at < kDrainTimeout) return std::nullopt;
     return CloseReason::idle;
@@ -71,7 +72,7 @@
   return CloseReason::no_message;
 }
 
-void Admin::stop() {
+void AdminConnections::stop() {
   while (!connections_.empty()) end(connections_.begin()->first, CloseReason::stopping, true);
 }
 
--- a/src/proxy/admin/admin_connections.h
+++ b/src/proxy/admin/admin_connections.h
@@ -16,9 +16,9 @@
 namespace edge_proxy::proxy {
 
 /// Reads calls from the admin connections and writes the answers.
-class Admin {
+class AdminConnections {
  public:
-  explicit Admin(Context& context) : context_(context) {}
+  explicit AdminConnections(Context& context) : context_(context) {}
 
   /// Guards the descriptors against callers that connect and send nothing: the oldest connection makes room
   /// for a new one.
@@ -28,8 +28,8 @@
   std::optional<AdminCall> on_bytes(ConnectionId connection, std::string_view bytes);
   /// Writes the answer; the connection ends once the other side has read it.
   void reply(ConnectionId connection, int status, std::string_view body);
-  /// The connection ends; `close_it`: this side closes it.
-  void end(ConnectionId connection, CloseReason reason, bool close_it);
+  /// The connection ends; `close_connection`: this side closes it.
+  void end(ConnectionId connection, CloseReason reason, bool close_connection);
   /// Closes connections whose call did not come in kAdminCallTimeout, or whose answer was not taken in
   /// kDrainTimeout.
   void sweep();
--- a/src/proxy/admin/admin_handler.cpp
+++ b/src/proxy/admin/admin_handler.cpp
@@ -9,8 +9,8 @@
 namespace edge_proxy::proxy {
 namespace {
 
-void append(std::vector<Metric>& metrics, std::vector<Metric> more) {
-  for (Metric& metric : more) metrics.push_back(std::move(metric));
+void append_metrics(std::vector<Metric>& metrics, std::vector<Metric> added) {
+  for (Metric& metric : added) metrics.push_back(std::move(metric));
 }
 
 }  // namespace
@@ -31,14 +31,15 @@
 
 void AdminHandler::reply(ConnectionId connection, const AdminCall& call, bool ready) {
   if (const auto reply = reply_to(call, ready)) {
-    dependencies_.admin.reply(connection, reply->status, reply->body);
+    dependencies_.admin_connections.reply(connection, reply->status, reply->body);
   } else {
     change_policy(connection, call);
   }
 }
 
-AdminHandler::Reply AdminHandler::report_reply(std::optional<std::string> report, std::string missing) {
-  if (!report) return {kHttpNotFound, std::move(missing)};
+AdminHandler::Reply AdminHandler::report_reply(std::optional<std::string> report,
+                                               std::string not_found_body) {
+  if (!report) return {kHttpNotFound, std::move(not_found_body)};
   return {kHttpOk, *std::move(report)};
 }
 
@@ -97,8 +98,8 @@
 std::string AdminHandler::metrics() const {
   std::vector<Metric> metrics =
       collect_request_metrics(dependencies_.pending_requests, dependencies_.upstream, dependencies_.router);
-  append(metrics, dependencies_.membership.metrics());
-  append(metrics, dependencies_.policy.metrics());
+  append_metrics(metrics, dependencies_.membership.metrics());
+  append_metrics(metrics, dependencies_.policy.metrics());
   return format_metrics(metrics);
 }
 
--- a/src/proxy/admin/admin_handler.h
+++ b/src/proxy/admin/admin_handler.h
@@ -23,7 +23,7 @@
   /// What it reads its answers from, or acts on.
   struct Dependencies {
     Context& context;
-    Admin& admin;
+    AdminConnections& admin_connections;
     PendingRequests& pending_requests;
     UpstreamPool& upstream;
     Router& router;
@@ -49,8 +49,8 @@
 
   /// The answer to a call that is answered at once; none to one that waits for the policy's log.
   [[nodiscard]] std::optional<Reply> reply_to(const AdminCall& call, bool ready);
-  /// `missing`: the body where there is no such report.
-  [[nodiscard]] static Reply report_reply(std::optional<std::string> report, std::string missing);
+  /// `not_found_body`: the body where there is no such report.
+  [[nodiscard]] static Reply report_reply(std::optional<std::string> report, std::string not_found_body);
   [[nodiscard]] Reply forget_member(const std::string& name);
   [[nodiscard]] std::string metrics() const;
   void change_policy(ConnectionId connection, const AdminCall& call);
--- a/src/proxy/admin/metrics.cpp
+++ b/src/proxy/admin/metrics.cpp
@@ -25,13 +25,13 @@
 std::vector<Metric> collect_request_metrics(const PendingRequests& requests, const UpstreamPool& upstream,
                                             const Router& router) {
   std::vector<Metric> metrics;
-  std::uint64_t written = 0;
-  for (std::size_t i = 0; i < requests.answer_counts().size(); ++i) {
-    add_class_metrics(metrics, requests, i);
-    written += upstream.written_by_class()[i];
+  std::uint64_t written_requests = 0;
+  for (std::size_t request_class = 0; request_class < requests.answer_counts().size(); ++request_class) {
+    add_class_metrics(metrics, requests, request_class);
+    written_requests += upstream.written_by_class()[request_class];
   }
   const std::size_t unavailable = upstream.not_running_count() + router.stats().ejected;
-  metrics.push_back({"backend_calls", written, MetricKind::counter});
+  metrics.push_back({"backend_calls", written_requests, MetricKind::counter});
   metrics.push_back({"inflight", requests.open_count(), MetricKind::gauge});
   metrics.push_back({"hosts_listed", upstream.endpoint_count(), MetricKind::gauge});
   metrics.push_back({"hosts_down", unavailable, MetricKind::gauge});
--- a/src/proxy/client/client_connections.cpp
+++ b/src/proxy/client/client_connections.cpp
@@ -6,7 +6,7 @@
 namespace edge_proxy::proxy {
 namespace {
 
-// Ranks of connections for which others make room; see sparing_rank().
+// Ranks of connections for which others make room; see eviction_rank().
 constexpr int kNeverUsedRank = 1;
 constexpr int kIdleRank = 2;
 constexpr int kNewRank = 3;
@@ -21,11 +21,11 @@
   client.opened_at = client.active_at = context_.now;
   client.message_started_at = context_.now;
   // Guards the descriptors that the connections to the caches need.
-  const bool full =
+  const bool is_full =
       connections_.size() - draining_.size() >= static_cast<std::size_t>(context_.limits.client_connections);
-  const std::optional<ConnectionId> other = full ? idlest_connection() : std::nullopt;
+  const std::optional<ConnectionId> evicted = is_full ? connection_to_evict() : std::nullopt;
   connections_.emplace(id, std::move(client));
-  if (full) drain(other.value_or(id), CloseReason::too_many);
+  if (is_full) drain(evicted.value_or(id), CloseReason::too_many);
   const auto max_connections =
       static_cast<std::size_t>(context_.limits.client_connections + context_.limits.draining_connections);
   while (connections_.size() > max_connections) close_oldest_draining();
@@ -34,20 +34,20 @@
 /// Guards the clients that send requests against those that open connections by the hundred and say nothing:
 /// who has sent nothing for a while goes first, then the longest idle, which can ask again on a new one. A
 /// connection that has only just come up goes late: its first request may be on the way.
-int ClientConnections::sparing_rank(const ClientConnection& client) const {
+int ClientConnections::eviction_rank(const ClientConnection& client) const {
   if (client.draining_for || !is_idle(client)) return kBusyRank;
   if (client.has_sent_message) return kIdleRank;
   return context_.now - client.opened_at >= kFirstByteTimeout ? kNeverUsedRank : kNewRank;
 }
 
-std::optional<ConnectionId> ClientConnections::idlest_connection() const {
-  const auto spared_before = [this](const auto& one, const auto& other) {
-    return std::pair(sparing_rank(one.second), one.second.active_at) <
-           std::pair(sparing_rank(other.second), other.second.active_at);
+std::optional<ConnectionId> ClientConnections::connection_to_evict() const {
+  const auto is_evicted_before = [this](const auto& one, const auto& other) {
+    return std::pair(eviction_rank(one.second), one.second.active_at) <
+           std::pair(eviction_rank(other.second), other.second.active_at);
   };
-  const auto idlest = std::min_element(connections_.begin(), connections_.end(), spared_before);
-  if (idlest == connections_.end() || sparing_rank(idlest->second) == kBusyRank) return std::nullopt;
-  return idlest->first;
+  const auto candidate = std::min_element(connections_.begin(), connections_.end(), is_evicted_before);
+  if (candidate == connections_.end() || eviction_rank(candidate->second) == kBusyRank) return std::nullopt;
+  return candidate->first;
 }
 
 void ClientConnections::close_oldest_draining() {
@@ -58,8 +58,8 @@
 void ClientConnections::free_descriptor() {
   if (!draining_.empty()) {
     close_oldest_draining();
-  } else if (const auto other = idlest_connection()) {
-    close(*other, CloseReason::too_many, ClosedBy::proxy);
+  } else if (const auto evicted = connection_to_evict()) {
+    close(*evicted, CloseReason::too_many, ClosedBy::proxy);
   }
 }
 
@@ -131,9 +131,9 @@
   client.draining_for = reason;
   draining_.push_back(id);
   client.active_at = context_.now;
-  std::vector<std::string> open;
-  for (const auto& [call, request] : std::exchange(client.open_calls, {})) open.push_back(request);
-  return open;
+  std::vector<std::string> open_requests;
+  for (const auto& [call, request] : std::exchange(client.open_calls, {})) open_requests.push_back(request);
+  return open_requests;
 }
 
 void ClientConnections::add_open_call(ConnectionId id, CallId call, const std::string& request) {
@@ -157,14 +157,14 @@
   const auto found = connections_.find(id);
   if (found == connections_.end()) return {};
   const ClientConnection& client = found->second;
-  std::vector<std::string> open;
-  for (const auto& [call, request] : client.open_calls) open.push_back(request);
+  std::vector<std::string> open_requests;
+  for (const auto& [call, request] : client.open_calls) open_requests.push_back(request);
   unsent_bytes_ -= client.unsent_bytes;
   if (client.draining_for) std::erase(draining_, id);
   context_.log_closed({"front", id, client.opened_at, client.request_count, {}},
                       client.draining_for.value_or(reason), closed_by);
   connections_.erase(found);
-  return open;
+  return open_requests;
 }
 
 std::vector<std::string> ClientConnections::close_expired() {
@@ -173,8 +173,8 @@
   for (const auto& [id, client] : connections_) {
     const std::optional<Expiry> expiry = expiry_of(client);
     if (!expiry) continue;
-    auto& due = expiry->ending == Ending::drain ? to_drain : to_close;
-    due.emplace_back(id, expiry->reason);
+    auto& expired = expiry->mode == CloseMode::drain ? to_drain : to_close;
+    expired.emplace_back(id, expiry->reason);
   }
   if (to_close.empty() && unsent_bytes_ > context_.limits.unsent_bytes) {
     to_close.emplace_back(connection_with_most_unsent(), CloseReason::backlog);
@@ -193,20 +193,20 @@
   const Time inactive = context_.now - client.active_at;
   if (client.draining_for) {
     if (inactive < kDrainTimeout) return std::nullopt;
-    return Expiry{*client.draining_for, Ending::close};
+    return Expiry{*client.draining_for, CloseMode::close};
   }
-  if (has_unread_replies(client, inactive)) return Expiry{CloseReason::backlog, Ending::close};
+  if (exceeds_unread_limits(client, inactive)) return Expiry{CloseReason::backlog, CloseMode::close};
   // Guards the descriptors against clients that send nothing, or half a message, and stay.
   const bool awaits_message = client.message_started_at.count() != 0 && client.open_calls.empty();
   if (awaits_message && context_.now - client.message_started_at >= kMessageTimeout) {
-    return Expiry{CloseReason::no_message, Ending::drain};
+    return Expiry{CloseReason::no_message, CloseMode::drain};
   }
-  if (is_idle(client) && inactive >= kClientIdleTimeout) return Expiry{CloseReason::idle, Ending::drain};
+  if (is_idle(client) && inactive >= kClientIdleTimeout) return Expiry{CloseReason::idle, CloseMode::drain};
   return std::nullopt;
 }
 
 /// Guards the memory and the descriptors against clients that ask and never read.
-bool ClientConnections::has_unread_replies(const ClientConnection& client, Time inactive) const {
+bool ClientConnections::exceeds_unread_limits(const ClientConnection& client, Time inactive) const {
   if (client.unsent_bytes > context_.limits.disconnect_unsent_bytes) return true;
   return client.is_writing && client.open_calls.empty() && inactive >= context_.limits.unread_timeout;
 }
@@ -228,11 +228,11 @@
 }
 
 void ClientConnections::disconnect_idle() {
-  std::vector<ConnectionId> due;
+  std::vector<ConnectionId> without_open_calls;
   for (const auto& [id, client] : connections_) {
-    if (client.open_calls.empty()) due.push_back(id);
+    if (client.open_calls.empty()) without_open_calls.push_back(id);
   }
-  for (const ConnectionId id : due) close(id, CloseReason::stopping, ClosedBy::proxy);
+  for (const ConnectionId id : without_open_calls) close(id, CloseReason::stopping, ClosedBy::proxy);
 }
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/client/client_connections.h
+++ b/src/proxy/client/client_connections.h
@@ -76,18 +76,18 @@
     return client.open_calls.empty() && !client.is_writing;
   }
   /// Why and how a connection should end by now.
-  enum class Ending : std::uint8_t { drain, close };
+  enum class CloseMode : std::uint8_t { drain, close };
   struct Expiry {
     CloseReason reason;
-    Ending ending;
+    CloseMode mode;
   };
   [[nodiscard]] std::optional<Expiry> expiry_of(const ClientConnection& client) const;
-  [[nodiscard]] bool has_unread_replies(const ClientConnection& client, Time inactive) const;
+  [[nodiscard]] bool exceeds_unread_limits(const ClientConnection& client, Time inactive) const;
   [[nodiscard]] ConnectionId connection_with_most_unsent() const;
   /// How well a connection can be spared for a new one: the lowest goes first.
-  [[nodiscard]] int sparing_rank(const ClientConnection& client) const;
+  [[nodiscard]] int eviction_rank(const ClientConnection& client) const;
   /// The one that makes room for another, if there is one.
-  [[nodiscard]] std::optional<ConnectionId> idlest_connection() const;
+  [[nodiscard]] std::optional<ConnectionId> connection_to_evict() const;
   void close_oldest_draining();
 
   Context& context_;
--- a/src/proxy/client/client_protocol.h
+++ b/src/proxy/client/client_protocol.h
@@ -55,9 +55,9 @@
   /// A message has begun that is not complete yet.
   [[nodiscard]] virtual bool has_partial_message() const = 0;
 
-  virtual std::string served(CallId call, std::string_view body, const ClientFields& fields) = 0;
-  virtual std::string rejected(CallId call, const ClientFields& fields) = 0;
-  virtual std::string failed(CallId call) = 0;
+  virtual std::string served_reply(CallId call, std::string_view body, const ClientFields& fields) = 0;
+  virtual std::string rejected_reply(CallId call, const ClientFields& fields) = 0;
+  virtual std::string failed_reply(CallId call) = 0;
   virtual std::string readiness_reply(CallId call, bool is_ready) = 0;
   /// The last reply on a malformed stream.
   virtual std::string malformed_stream_reply() = 0;
--- a/src/proxy/client/pending_requests.cpp
+++ b/src/proxy/client/pending_requests.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 
 // The client's limit runs from when it sent the request, and the answer has to travel as well.
-constexpr Time kTravelTime = 10ms;
+constexpr Time kReplyTransitTime = 10ms;
 constexpr std::size_t kMaxTextBytes = 128;  // of a key or an entity tag
 constexpr std::size_t kMaxBodyBytes = 48'000;
 constexpr std::uint64_t kMaxPart = 1'000'000;
@@ -19,14 +19,14 @@
 constexpr int kMaxDeadlines = 4;
 constexpr double kMaxSizeWithoutTransferRateKb = 1e9;
 constexpr std::size_t kIdDigits = 16;
-constexpr char kDelete = 0x7f;  // ASCII; the first character behind the printable ones
+constexpr char kAsciiDelete = 0x7f;  // ASCII; the first character behind the printable ones
 
 /// Whether a client's text can stand in a line to a cache as it is. Guards against a request whose fields
 /// would read there as other fields, or as a command of their own.
 bool is_plain_text(std::string_view text) {
   return !text.empty() && text.size() <= kMaxTextBytes &&
          std::all_of(text.begin(), text.end(), [](char character) {
-           return character > ' ' && character < kDelete && character != ',' && character != '=';
+           return character > ' ' && character < kAsciiDelete && character != ',' && character != '=';
          });
 }
 
@@ -37,10 +37,10 @@
 }
 
 template <typename Number>
-std::optional<Number> number_of(std::string_view text) {
+std::optional<Number> parse_number(std::string_view text) {
   Number value{};
-  const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (problem != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
   return value;
 }
 
@@ -75,10 +75,10 @@
 
 /// None where one is malformed, or out of the bounds that hold for all classes.
 std::optional<RequestNumbers> read_numbers(const FieldReader& fields) {
-  const auto limit = number_of<std::int64_t>(fields.text("limit"));
-  const auto part = number_of<std::uint64_t>(fields.text_or_zero("piece"));
-  const auto group = number_of<std::int64_t>(fields.text_or_zero("lot"));
-  const auto size_kb = number_of<double>(fields.text_or_zero("ram"));
+  const auto limit = parse_number<std::int64_t>(fields.text("limit"));
+  const auto part = parse_number<std::uint64_t>(fields.text_or_zero("piece"));
+  const auto group = parse_number<std::int64_t>(fields.text_or_zero("lot"));
+  const auto size_kb = parse_number<double>(fields.text_or_zero("ram"));
   if (!limit || !part || !group || !size_kb) return std::nullopt;
   const bool is_within_bounds =
       *limit > 0 && *part <= kMaxPart && *group >= 0 && *group <= kMaxGroup && *size_kb >= 0;
@@ -101,8 +101,8 @@
 /// Guards the router's estimates against sizes that no object has.
 double PendingRequests::max_size_kb(const RequestClass& request_class) const {
   if (settings_.transfer_kb_per_s <= 0) return kMaxSizeWithoutTransferRateKb;
-  const double longest_s = kMaxDeadlines * std::chrono::duration<double>(request_class.deadline).count();
-  return longest_s * settings_.transfer_kb_per_s;
+  const double max_transfer_s = kMaxDeadlines * std::chrono::duration<double>(request_class.deadline).count();
+  return max_transfer_s * settings_.transfer_kb_per_s;
 }
 
 /// Whether its texts are well-formed, and its size is one that an object of the class can have.
@@ -115,7 +115,7 @@
 }
 
 std::optional<PendingRequest> PendingRequests::read(ConnectionId client, ObjectRequest& call,
-                                                    std::optional<Time> answer_by) const {
+                                                    std::optional<Time> answer_deadline) const {
   const FieldReader fields(call.fields);
   const std::size_t class_index = class_of(fields.text("verb"));
   const std::optional<RequestNumbers> numbers = read_numbers(fields);
@@ -135,8 +135,8 @@
 
   std::from_chars(pending.item.data(), pending.item.data() + pending.item.size(), request.object, 16);
   const Time limit = numbers->limit;
-  request.expires = context_.now + std::max(limit - kTravelTime, limit / 2);
-  if (answer_by) request.expires = std::min(request.expires, *answer_by);
+  request.expires = context_.now + std::max(limit - kReplyTransitTime, limit / 2);
+  if (answer_deadline) request.expires = std::min(request.expires, *answer_deadline);
   request.write = request_class.uncacheable;
   request.client_retry = fields.text("second") == "1";
   pending.client = client;
@@ -192,19 +192,19 @@
     ClientFields fields;
     if (response.not_modified) fields.emplace_back("unchanged", "1");
     if (response.entity_tag) fields.emplace_back("ver", *response.entity_tag);
-    return protocol.served(call, response.body, fields);
+    return protocol.served_reply(call, response.body, fields);
   });
 }
 
 void PendingRequests::rejected(const std::string& request, Time retry_after) {
   finish(request, FinalAnswer::rejected, [this, retry_after](ClientProtocol& protocol, CallId call) {
-    return protocol.rejected(call, retry_after_fields(retry_after));
+    return protocol.rejected_reply(call, retry_after_fields(retry_after));
   });
 }
 
 void PendingRequests::failed(const std::string& request) {
   finish(request, FinalAnswer::failed,
-         [](ClientProtocol& protocol, CallId call) { return protocol.failed(call); });
+         [](ClientProtocol& protocol, CallId call) { return protocol.failed_reply(call); });
 }
 
 std::size_t PendingRequests::class_of(const ObjectRequest& call) const {
@@ -213,18 +213,18 @@
 
 void PendingRequests::reject_unaccepted(ConnectionId client, const ObjectRequest& call) {
   count(class_of(call), FinalAnswer::rejected);
-  clients_.reply(client,
-                 clients_.protocol(client)->rejected(call.id, retry_after_fields(settings_.max_retry_after)));
+  clients_.reply(client, clients_.protocol(client)->rejected_reply(
+                             call.id, retry_after_fields(settings_.max_retry_after)));
 }
 
 void PendingRequests::fail_unaccepted(ConnectionId client, const ObjectRequest& call) {
   count(class_of(call), FinalAnswer::failed);
-  clients_.reply(client, clients_.protocol(client)->failed(call.id));
+  clients_.reply(client, clients_.protocol(client)->failed_reply(call.id));
 }
 
-ClientFields PendingRequests::retry_after_fields(Time span) const {
+ClientFields PendingRequests::retry_after_fields(Time delay) const {
   const auto ms =
-      std::chrono::floor<std::chrono::milliseconds>(std::min(span, settings_.max_retry_after)).count();
+      std::chrono::floor<std::chrono::milliseconds>(std::min(delay, settings_.max_retry_after)).count();
   if (ms <= 0) return {};
   return {{"later", std::to_string(ms)}};
 }
@@ -232,7 +232,7 @@
 std::size_t PendingRequests::class_of(std::string_view name) const {
   const auto& classes = settings_.classes;
   const auto found = std::find_if(classes.begin(), classes.end(),
-                                  [name](const RequestClass& one) { return one.name == name; });
+                                  [name](const RequestClass& candidate) { return candidate.name == name; });
   return static_cast<std::size_t>(found - classes.begin());
 }
 
--- a/src/proxy/client/pending_requests.h
+++ b/src/proxy/client/pending_requests.h
@@ -52,10 +52,10 @@
       : context_(context), clients_(clients), settings_(settings), answer_counts_(settings.classes.size()) {}
 
   /// The request that a call asks for; none where a field is missing, malformed or out of bounds. Moves the
-  /// call's body out on success. `answer_by`: when it has to be answered at the latest, where anything but
-  /// the client's own limit sets that.
+  /// call's body out on success. `answer_deadline`: when it has to be answered at the latest, where anything
+  /// but the client's own limit sets that.
   std::optional<PendingRequest> read(ConnectionId client, ObjectRequest& call,
-                                     std::optional<Time> answer_by) const;
+                                     std::optional<Time> answer_deadline) const;
   /// Whether the memory for bodies has room for its body.
   [[nodiscard]] bool has_room_for(const PendingRequest& request) const {
     return body_bytes_ + request.body.size() <= context_.limits.body_bytes;
@@ -92,7 +92,7 @@
   [[nodiscard]] std::size_t class_of(std::string_view name) const;
   [[nodiscard]] double max_size_kb(const RequestClass& request_class) const;
   [[nodiscard]] bool is_valid(const PendingRequest& pending, const RequestClass& request_class) const;
-  [[nodiscard]] ClientFields retry_after_fields(Time span) const;
+  [[nodiscard]] ClientFields retry_after_fields(Time delay) const;
   void count(std::size_t request_class, FinalAnswer answer);
   void release(std::map<std::string, PendingRequest>::iterator pending);
   template <typename MakeReply>
--- a/src/proxy/client/thrift_protocol.cpp
+++ b/src/proxy/client/thrift_protocol.cpp
@@ -31,13 +31,15 @@
   [[nodiscard]] bool is_broken() const override { return is_broken_; }
   [[nodiscard]] bool has_partial_message() const override { return frames_.has_partial_frame(); }
 
-  std::string served(CallId call, std::string_view body, const ClientFields& fields) override {
+  std::string served_reply(CallId call, std::string_view body, const ClientFields& fields) override {
     return codec::write_reply(call, "process", body, fields, true);
   }
-  std::string rejected(CallId call, const ClientFields& fields) override {
+  std::string rejected_reply(CallId call, const ClientFields& fields) override {
     return codec::write_declared_exception(call, kTryLater, fields);
   }
-  std::string failed(CallId call) override { return codec::write_declared_exception(call, kAborted, {}); }
+  std::string failed_reply(CallId call) override {
+    return codec::write_declared_exception(call, kAborted, {});
+  }
   std::string readiness_reply(CallId call, bool is_ready) override {
     return codec::write_reply(call, "probe", "", {}, is_ready);
   }
--- a/src/proxy/cluster/membership_adapter.cpp
+++ b/src/proxy/cluster/membership_adapter.cpp
@@ -27,20 +27,20 @@
 void MembershipAdapter::handle(const membership::Input& input) {
   if (!state_) return;
   is_quota_outdated_ = true;
-  const membership::PartitionStatus before = state_->view().partition_status();
+  const membership::PartitionStatus previous = state_->view().partition_status();
   for (membership::Effect& effect : state_->handle(context_.now, input)) {
     std::visit([this](auto& typed) { forward(typed); }, effect);
   }
-  if (state_->view().partition_status() != before) log_partition_status(before);
+  if (state_->view().partition_status() != previous) log_partition_status(previous);
   if (std::exchange(must_persist_, false)) {
     context_.effects.emplace_back(PersistMembership{state_->self(), state_->persistent_state()});
   }
 }
 
-void MembershipAdapter::log_partition_status(membership::PartitionStatus before) {
+void MembershipAdapter::log_partition_status(membership::PartitionStatus previous) {
   const membership::View& view = state_->view();
   context_.log("peers stands=" + std::string(name_of(view.partition_status())) +
-               " before=" + std::string(name_of(before)) + " reached=" + std::to_string(view.reachable()) +
+               " before=" + std::string(name_of(previous)) + " reached=" + std::to_string(view.reachable()) +
                " registered=" + std::to_string(view.registered()));
 }
 
@@ -66,11 +66,12 @@
 std::optional<QuotaChanged> MembershipAdapter::take_changed_quota(int cluster_size, int zone_size) {
   if (!settings_ || (!is_quota_outdated_ && context_.now < quota_share_.expires_at)) return std::nullopt;
   is_quota_outdated_ = false;
-  const admission::QuotaLeases::QuotaShare before = quota_share_;
+  const admission::QuotaLeases::QuotaShare previous = quota_share_;
   const admission::QuotaLeases::QuotaShare no_share{0, 0, false, Time::max()};
   quota_share_ = state_ ? state_->quota().share(context_.now) : no_share;
-  const bool is_same = quota_share_.of_cluster == before.of_cluster && quota_share_.of_zone == before.of_zone;
-  if (is_same && is_quota_announced_) return std::nullopt;
+  const bool is_unchanged =
+      quota_share_.of_cluster == previous.of_cluster && quota_share_.of_zone == previous.of_zone;
+  if (is_unchanged && is_quota_announced_) return std::nullopt;
   is_quota_announced_ = true;
   if (state_) {
     context_.log("peers share held=" + std::string(quota_share_.has_lease ? "1" : "0") +
--- a/src/proxy/cluster/membership_adapter.h
+++ b/src/proxy/cluster/membership_adapter.h
@@ -75,7 +75,7 @@
   void add_effect(E effect) {
     context_.effects.emplace_back(MembershipEffect{std::move(effect)});
   }
-  void log_partition_status(membership::PartitionStatus before);
+  void log_partition_status(membership::PartitionStatus previous);
 
   Context& context_;
   std::optional<membership::Settings> settings_;
--- a/src/proxy/cluster/policy_controller.cpp
+++ b/src/proxy/cluster/policy_controller.cpp
@@ -44,8 +44,8 @@
   settings_->check_policy = [this](const std::string& policy) -> std::optional<std::string> {
     try {
       read_policy_terms(policy, startup_settings_);
-    } catch (const FieldError& problem) {
-      return problem.what();
+    } catch (const FieldError& error) {
+      return error.what();
     }
     return std::nullopt;
   };
@@ -84,10 +84,10 @@
 
 void PolicyController::on_user_message(const membership::UserMessageReceived& received) {
   if (!state_) return;
-  bool has_other_lease_settings = false;
-  auto decoded = consensus::decode(received.payload, settings_->lease, &has_other_lease_settings);
+  bool lease_settings_differ = false;
+  auto decoded = consensus::decode(received.payload, settings_->lease, &lease_settings_differ);
   if (!decoded) {
-    log_undecodable_message(received.from, has_other_lease_settings);
+    log_undecodable_message(received.from, lease_settings_differ);
     return;
   }
   if (auto* message = std::get_if<consensus::Message>(&*decoded)) {
@@ -100,11 +100,11 @@
 }
 
 /// Guards the log against a member that sends such messages again and again.
-void PolicyController::log_undecodable_message(const std::string& from, bool has_other_lease_settings) {
+void PolicyController::log_undecodable_message(const std::string& from, bool lease_settings_differ) {
   if (undecodable_messages_++ % kUndecodableLogInterval != 0) return;
   context_.log("policy refused from=" + from +
-               (has_other_lease_settings ? " its leases are other than here: peers of a cluster need the same"
-                                         : " malformed"));
+               (lease_settings_differ ? " its leases are other than here: peers of a cluster need the same"
+                                      : " malformed"));
 }
 
 /// Guards the request path against work that grows with the number of members.
@@ -140,8 +140,8 @@
   try {
     changed_terms_ = read_policy_terms(change.policy, startup_settings_);
     applied_epoch_ = change.epoch;
-  } catch (const FieldError& problem) {
-    context_.log("policy unusable here, nothing is decided: " + std::string(problem.what()));
+  } catch (const FieldError& error) {
+    context_.log("policy unusable here, nothing is decided: " + std::string(error.what()));
     epochs_.clear_current();
   }
 }
@@ -170,8 +170,8 @@
   }
   try {
     handle(read_proposal(connection, body));
-  } catch (const FieldError& problem) {
-    reply(connection, kHttpBadRequest, std::string(problem.what()) + "\n");
+  } catch (const FieldError& error) {
+    reply(connection, kHttpBadRequest, std::string(error.what()) + "\n");
   }
 }
 
--- a/src/proxy/cluster/policy_controller.h
+++ b/src/proxy/cluster/policy_controller.h
@@ -87,7 +87,7 @@
   }
   void reply_not_configured(ConnectionId connection);
   void apply_terms(const consensus::EpochChanged& change);
-  void log_undecodable_message(const std::string& from, bool has_other_lease_settings);
+  void log_undecodable_message(const std::string& from, bool lease_settings_differ);
   [[nodiscard]] Time lease_expires_at() const { return state_ ? state_->lease().expires_at() : Time{0}; }
 
   Context& context_;
--- a/src/proxy/cluster/policy_terms.cpp
+++ b/src/proxy/cluster/policy_terms.cpp
@@ -46,8 +46,8 @@
   const std::vector<RequestClass>& classes = terms.settings.classes;
   for (const auto& member : object->GetObject()) {
     const std::string name(member.name.GetString(), member.name.GetStringLength());
-    const auto has_name = [&name](const RequestClass& candidate) { return candidate.name == name; };
-    const auto found = std::find_if(classes.begin(), classes.end(), has_name);
+    const auto is_named = [&name](const RequestClass& candidate) { return candidate.name == name; };
+    const auto found = std::find_if(classes.begin(), classes.end(), is_named);
     if (found == classes.end()) fields.fail(name, "is no class of this proxy's");
     read_class(member.value, fields.object(name.c_str()), static_cast<std::size_t>(found - classes.begin()),
                terms);
--- a/src/proxy/graceful_shutdown.h
+++ b/src/proxy/graceful_shutdown.h
@@ -29,7 +29,7 @@
     ClientConnections& clients;
     const PendingRequests& pending_requests;
     UpstreamPool& upstream;
-    Admin& admin;
+    AdminConnections& admin;
     DiscoveryClient& discovery;
     MembershipAdapter& membership;
   };
--- a/src/proxy/reducer.cpp
+++ b/src/proxy/reducer.cpp
@@ -338,7 +338,7 @@
   const Settings& settings_;
   Router router_;
   Context context_;
-  Admin admin_connections_;
+  AdminConnections admin_connections_;
   ClientConnections client_connections_;
   PendingRequests pending_requests_;
   EndpointDirectory endpoint_directory_;
