--- a/src/app/edge_proxy_main.cpp
+++ b/src/app/edge_proxy_main.cpp
@@ -32,8 +32,8 @@
     const auto load_config = [&environment] { return edge_proxy::config::load(environment); };
     edge_proxy::event_loop::Server server(load_config(), load_config);
     server.run();
-  } catch (const std::exception& problem) {
-    std::fprintf(stderr, "edge-proxy: %s\n", problem.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "edge-proxy: %s\n", error.what());
     return 1;
   }
   return 0;
--- a/src/app/simulator_adapter_main.cpp
+++ b/src/app/simulator_adapter_main.cpp
@@ -9,8 +9,8 @@
   std::ios::sync_with_stdio(false);
   try {
     edge_proxy::simulator::serve(std::cin, std::cout);
-  } catch (const std::exception& problem) {
-    std::cerr << "simulator-adapter: " << problem.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "simulator-adapter: " << error.what() << '\n';
     return 1;
   }
   return 0;
--- a/src/consensus/raft_storage.h
+++ b/src/consensus/raft_storage.h
@@ -59,7 +59,7 @@
   bool store_learned(Snapshot learned);
 
   /// Records of which one of two copies was damaged when the journal was opened.
-  [[nodiscard]] std::size_t repaired_records() const { return journal_.was_repaired(); }
+  [[nodiscard]] std::size_t repaired_records() const { return journal_.repaired_record_count(); }
   /// Whether Raft has ever written here.
   [[nodiscard]] bool has_log() const { return term_ != 0 || !entries_.empty() || !snapshot_.empty(); }
   /// Drawn once for each disk, never 0 after open().
--- a/src/event_loop/address.h
+++ b/src/event_loop/address.h
@@ -11,7 +11,7 @@
 namespace edge_proxy::event_loop {
 
 /// Of `host:port`; none where the host is no address.
-inline ObjectPtr<GSocketAddress> address_of(const std::string& text) {
+inline ObjectPtr<GSocketAddress> parse_address(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   const std::string host = text.substr(0, colon);
   const auto port = static_cast<guint>(std::strtoul(text.c_str() + colon + 1, nullptr, 10));
--- a/src/event_loop/connection.cpp
+++ b/src/event_loop/connection.cpp
@@ -24,7 +24,7 @@
 Connection::ServiceOrder Connection::service_order(std::uint32_t ready_events) const {
   if (priority_ == Priority::high) return ServiceOrder::high_priority;
   const bool has_ended = (ready_events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
-  return is_accepted() && has_ended ? ServiceOrder::client_gone : ServiceOrder::normal;
+  return is_accepted() && has_ended ? ServiceOrder::client_disconnected : ServiceOrder::normal;
 }
 
 std::uint32_t Connection::wanted_events() const {
--- a/src/event_loop/connection.h
+++ b/src/event_loop/connection.h
@@ -25,7 +25,7 @@
   };
   enum class Priority { normal, high };
   /// The order in which connections that are ready are served.
-  enum class ServiceOrder { high_priority, client_gone, normal };
+  enum class ServiceOrder { high_priority, client_disconnected, normal };
 
   enum class ReadStatus { data, would_block, end_of_stream, failed };
   struct ReadResult {
--- a/src/event_loop/glib_ptr.h
+++ b/src/event_loop/glib_ptr.h
@@ -11,19 +11,19 @@
 namespace edge_proxy::event_loop {
 
 /// Drops one reference to a GObject.
-struct Unref {
+struct ObjectUnref {
   void operator()(gpointer object) const { g_object_unref(object); }
 };
 /// Owns one reference to a GObject.
 template <typename T>
-using ObjectPtr = std::unique_ptr<T, Unref>;
+using ObjectPtr = std::unique_ptr<T, ObjectUnref>;
 
 /// Drops one reference to a main loop.
-struct LoopUnref {
+struct MainLoopUnref {
   void operator()(GMainLoop* loop) const { g_main_loop_unref(loop); }
 };
 /// Owns one reference to a main loop.
-using LoopPtr = std::unique_ptr<GMainLoop, LoopUnref>;
+using MainLoopPtr = std::unique_ptr<GMainLoop, MainLoopUnref>;
 
 /// Drops one reference to a GBytes.
 struct BytesUnref {
--- a/src/event_loop/listener.cpp
+++ b/src/event_loop/listener.cpp
@@ -16,12 +16,13 @@
 /// Binds so that the next process of this edge proxy can listen at the same address while this one still
 /// serves. g_socket_bind would take that option back.
 bool bind_shared(GSocket* socket, GSocketAddress* address) {
-  sockaddr_storage native{};
+  sockaddr_storage native_address{};
   const gssize size = g_socket_address_get_native_size(address);
-  if (size < 0 || !g_socket_address_to_native(address, &native, sizeof native, nullptr)) return false;
+  if (size < 0 || !g_socket_address_to_native(address, &native_address, sizeof native_address, nullptr))
+    return false;
   g_socket_set_option(socket, SOL_SOCKET, SO_REUSEADDR, 1, nullptr);
   g_socket_set_option(socket, SOL_SOCKET, SO_REUSEPORT, 1, nullptr);
-  return bind(g_socket_get_fd(socket), reinterpret_cast<const sockaddr*>(&native),
+  return bind(g_socket_get_fd(socket), reinterpret_cast<const sockaddr*>(&native_address),
               static_cast<socklen_t>(size)) == 0;
 }
 
@@ -35,7 +36,7 @@
 }
 
 Listener::Listener(const std::string& key, const std::string& address) {
-  const auto parsed = address_of(address);
+  const auto parsed = parse_address(address);
   const std::string field = "field '" + key + "': ";
   if (!parsed) throw std::runtime_error(field + "'" + address + "' is no address and port");
   Error error;
--- a/src/event_loop/membership_sockets.cpp
+++ b/src/event_loop/membership_sockets.cpp
@@ -99,7 +99,7 @@
 /// A non-blocking socket bound to the configured address; none, with `error`, where that fails.
 ObjectPtr<GSocket> MembershipSockets::open_socket(GSocketType type, GSocketProtocol protocol,
                                                   Error& error) const {
-  const auto address = address_of(config_.listen_address);
+  const auto address = parse_address(config_.listen_address);
   if (!address) return nullptr;
   ObjectPtr<GSocket> socket(
       g_socket_new(g_socket_address_get_family(address.get()), type, protocol, error.out_ptr()));
@@ -153,7 +153,7 @@
 }
 
 void MembershipSockets::perform(const membership::SendDatagram& send) {
-  const auto address = address_of(send.address);
+  const auto address = parse_address(send.address);
   if (!datagram_socket_ || !address) return;
   const std::string bytes = membership::encode(send.message, config_.settings.cluster);
   // One that the system does not take is as good as lost on the way.
@@ -184,7 +184,7 @@
 }
 
 void MembershipSockets::perform(const membership::SendFullSync& sync) {
-  const auto address = address_of(sync.address);
+  const auto address = parse_address(sync.address);
   if (!datagram_socket_ || !address || !has_stream_capacity()) return;
   ObjectPtr<GSocket> socket(
       g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, nullptr));
--- a/src/event_loop/overrides_file.cpp
+++ b/src/event_loop/overrides_file.cpp
@@ -16,10 +16,10 @@
 }  // namespace
 
 std::optional<OverridesFile::FileVersion> OverridesFile::current_version() const {
-  struct stat found {};
-  if (path_.empty() || ::stat(path_.c_str(), &found) != 0 || !S_ISREG(found.st_mode)) return std::nullopt;
-  return FileVersion{found.st_ino, found.st_size,
-                     std::int64_t{found.st_mtim.tv_sec} * kNanosecondsPerSecond + found.st_mtim.tv_nsec};
+  struct stat status {};
+  if (path_.empty() || ::stat(path_.c_str(), &status) != 0 || !S_ISREG(status.st_mode)) return std::nullopt;
+  return FileVersion{status.st_ino, status.st_size,
+                     std::int64_t{status.st_mtim.tv_sec} * kNanosecondsPerSecond + status.st_mtim.tv_nsec};
 }
 
 OverridesFile::OverridesFile(const std::string& path, std::function<void(const char*)> on_failure)
--- a/src/event_loop/server.cpp
+++ b/src/event_loop/server.cpp
@@ -69,9 +69,9 @@
 /// False where nothing is pending.
 bool Server::handle_next_pending() {
   if (!pending_inputs_.empty()) {
-    const proxy::Input next = std::move(pending_inputs_.front());
+    const proxy::Input pending = std::move(pending_inputs_.front());
     pending_inputs_.pop_front();
-    dispatch(next);
+    dispatch(pending);
     return true;
   }
   if (!connections_to_drain_.empty()) {
@@ -81,9 +81,9 @@
     return true;
   }
   if (!pending_connects_.empty()) {
-    const proxy::Connect next = std::move(pending_connects_.front());
+    const proxy::Connect pending = std::move(pending_connects_.front());
     pending_connects_.pop_front();
-    connect(next, OnExhaustion::fail);
+    connect(pending, OnDescriptorExhaustion::fail);
     return true;
   }
   return false;
@@ -110,8 +110,8 @@
   proxy::Input input;
   try {
     input = proxy::Reloaded{reload_()};
-  } catch (const std::exception& problem) {
-    input = proxy::ReloadFailed{problem.what()};
+  } catch (const std::exception& error) {
+    input = proxy::ReloadFailed{error.what()};
   }
   handle(input);
 }
@@ -142,13 +142,13 @@
   connections_[id] = std::move(connection);
 }
 
-void Server::connect(const proxy::Connect& request, OnExhaustion on_exhaustion) {
-  const auto address = address_of(request.address);
+void Server::connect(const proxy::Connect& request, OnDescriptorExhaustion on_descriptor_exhaustion) {
+  const auto address = parse_address(request.address);
   Error error;
   ObjectPtr<GSocket> socket = address ? new_tcp_socket(address.get(), error) : nullptr;
   // Guards the connections to caches and discovery against clients that have taken the last descriptors: one
   // of them makes room, and the connect is tried once more.
-  if (!socket && on_exhaustion == OnExhaustion::retry_later &&
+  if (!socket && on_descriptor_exhaustion == OnDescriptorExhaustion::retry_later &&
       error.matches(G_IO_ERROR_TOO_MANY_OPEN_FILES)) {
     pending_inputs_.emplace_back(proxy::DescriptorsExhausted{});
     pending_connects_.push_back(request);
@@ -171,11 +171,12 @@
   // Discovery and operators first, then the clients that have gone: guards the rules on invalidations and
   // drains, when much has come at once, against sending before reading what they bind, and caches against
   // work that nobody waits for.
-  for (const auto order : {ServiceOrder::high_priority, ServiceOrder::client_gone, ServiceOrder::normal}) {
+  for (const auto order :
+       {ServiceOrder::high_priority, ServiceOrder::client_disconnected, ServiceOrder::normal}) {
     for (const epoll_event& event : events) {
       Connection* connection = find_connection(event.data.u64);  // an earlier event may have ended it
       if (connection == nullptr || connection->service_order(event.events) != order) continue;
-      if (order == ServiceOrder::client_gone) {
+      if (order == ServiceOrder::client_disconnected) {
         remove_client(*connection);
       } else {
         serve(*connection, event.events);
@@ -268,7 +269,7 @@
   if (connection->append(write.bytes)) flush(*connection);
 }
 
-void Server::perform(const proxy::Connect& request) { connect(request, OnExhaustion::retry_later); }
+void Server::perform(const proxy::Connect& request) { connect(request, OnDescriptorExhaustion::retry_later); }
 
 void Server::perform(const proxy::ShutdownWrite& shutdown) {
   if (Connection* connection = find_connection(shutdown.connection)) connection->shutdown_write();
@@ -305,12 +306,12 @@
 void Server::perform(const proxy::LogLine& log) {
   constexpr int kMicrosecondsPerSecond = 1'000'000;
   constexpr int kMicrosecondsPerMillisecond = 1000;
-  constexpr std::size_t kMaxStampBytes = 48;
+  constexpr std::size_t kMaxTimestampBytes = 48;
   const auto now = static_cast<long long>(clock_.now().count());
-  std::array<char, kMaxStampBytes> stamp{};
-  std::snprintf(stamp.data(), stamp.size(), "%lld.%03lld ", now / kMicrosecondsPerSecond,
+  std::array<char, kMaxTimestampBytes> timestamp{};
+  std::snprintf(timestamp.data(), timestamp.size(), "%lld.%03lld ", now / kMicrosecondsPerSecond,
                 now / kMicrosecondsPerMillisecond % 1000);
-  log_.write_line(stamp.data() + log.line);
+  log_.write_line(timestamp.data() + log.line);
 }
 
 void Server::perform(const proxy::StopAccepting&) { acceptor_.prefer_next_process(); }
--- a/src/event_loop/server.h
+++ b/src/event_loop/server.h
@@ -40,7 +40,7 @@
 
  private:
   /// What becomes of a connect effect where the system gives no descriptor.
-  enum class OnExhaustion { retry_later, fail };
+  enum class OnDescriptorExhaustion { retry_later, fail };
 
   // Inputs
   void handle(const proxy::Input& input);
@@ -57,7 +57,7 @@
   void on_accepted(AcceptedSocket accepted);
   void add_connection(proxy::ConnectionId id, ObjectPtr<GSocket> socket, Connection::Origin origin,
                       Connection::Priority priority);
-  void connect(const proxy::Connect& request, OnExhaustion on_exhaustion);
+  void connect(const proxy::Connect& request, OnDescriptorExhaustion on_descriptor_exhaustion);
   void poll();
   void serve(Connection& connection, std::uint32_t ready_events);
   void finish_connecting(Connection& connection);
@@ -87,7 +87,7 @@
   Clock clock_;
   std::function<config::Config()> reload_;
   proxy::State state_;
-  LoopPtr loop_;
+  MainLoopPtr loop_;
   Poller poller_;
   OverridesFile overrides_file_;
   Acceptor acceptor_;
--- a/src/storage/file_descriptor.h
+++ b/src/storage/file_descriptor.h
@@ -19,27 +19,27 @@
  public:
   FileDescriptor() = default;
   /// Takes over what open() has returned, an error (-1) too.
-  explicit FileDescriptor(int number) : number_(number) {}
+  explicit FileDescriptor(int fd) : fd_(fd) {}
   FileDescriptor(const FileDescriptor&) = delete;
   FileDescriptor& operator=(const FileDescriptor&) = delete;
-  FileDescriptor(FileDescriptor&& other) noexcept : number_(std::exchange(other.number_, kClosed)) {}
+  FileDescriptor(FileDescriptor&& other) noexcept : fd_(std::exchange(other.fd_, kClosed)) {}
   FileDescriptor& operator=(FileDescriptor&& other) noexcept {
-    std::swap(number_, other.number_);
+    std::swap(fd_, other.fd_);
     return *this;
   }
   ~FileDescriptor() {
     if (!is_open()) return;
     const int saved_errno = errno;
-    close(number_);
+    close(fd_);
     errno = saved_errno;
   }
 
-  [[nodiscard]] bool is_open() const { return number_ >= 0; }
-  [[nodiscard]] int get() const { return number_; }
+  [[nodiscard]] bool is_open() const { return fd_ >= 0; }
+  [[nodiscard]] int get() const { return fd_; }
 
  private:
   static constexpr int kClosed = -1;
-  int number_ = kClosed;
+  int fd_ = kClosed;
 };
 
 }  // namespace edge_proxy::storage
--- a/src/storage/folder.cpp
+++ b/src/storage/folder.cpp
@@ -63,16 +63,16 @@
   return 0;
 }
 
-int SystemFolder::extend(const std::string& name, std::size_t size, std::unique_ptr<File>& file) {
+int SystemFolder::open_for_append(const std::string& name, std::size_t size, std::unique_ptr<File>& file) {
   FileDescriptor descriptor(::open(path_of(name).c_str(), O_WRONLY | O_APPEND | O_CLOEXEC));
   if (!descriptor.is_open()) return errno;
-  const int number = descriptor.get();
+  const int fd = descriptor.get();
   file = std::make_unique<SystemFile>(std::move(descriptor));
-  return ftruncate(number, static_cast<off_t>(size)) == 0 ? 0 : errno;
+  return ftruncate(fd, static_cast<off_t>(size)) == 0 ? 0 : errno;
 }
 
-int SystemFolder::rename(const std::string& from, const std::string& to) {
-  return std::rename(path_of(from).c_str(), path_of(to).c_str()) == 0 ? 0 : errno;
+int SystemFolder::rename(const std::string& old_name, const std::string& new_name) {
+  return std::rename(path_of(old_name).c_str(), path_of(new_name).c_str()) == 0 ? 0 : errno;
 }
 
 int SystemFolder::sync() {
--- a/src/storage/folder.h
+++ b/src/storage/folder.h
@@ -34,9 +34,9 @@
   /// Creates an empty file, in place of any of that name.
   virtual int create(const std::string& name, std::unique_ptr<File>& file) = 0;
   /// Opens an existing file, truncated to `size` bytes, to append to it.
-  virtual int extend(const std::string& name, std::size_t size, std::unique_ptr<File>& file) = 0;
+  virtual int open_for_append(const std::string& name, std::size_t size, std::unique_ptr<File>& file) = 0;
   /// Renames atomically, in place of any file of the new name.
-  virtual int rename(const std::string& from, const std::string& to) = 0;
+  virtual int rename(const std::string& old_name, const std::string& new_name) = 0;
   /// Brings names that were created or changed to the disk.
   virtual int sync() = 0;
 };
@@ -53,8 +53,8 @@
   int lock();
   int read(const std::string& name, std::optional<std::string>& content) override;
   int create(const std::string& name, std::unique_ptr<File>& file) override;
-  int extend(const std::string& name, std::size_t size, std::unique_ptr<File>& file) override;
-  int rename(const std::string& from, const std::string& to) override;
+  int open_for_append(const std::string& name, std::size_t size, std::unique_ptr<File>& file) override;
+  int rename(const std::string& old_name, const std::string& new_name) override;
   int sync() override;
 
  private:
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -21,11 +21,11 @@
 constexpr std::uint64_t kMaxSequenceGap = std::uint64_t{1} << 20U;
 constexpr unsigned kBitsPerByte = 8;
 
-void append_number(std::string& bytes, std::uint64_t value, std::size_t width) {
+void append_little_endian(std::string& bytes, std::uint64_t value, std::size_t width) {
   for (std::size_t i = 0; i < width; ++i) bytes.push_back(static_cast<char>(value >> (kBitsPerByte * i)));
 }
 
-std::uint64_t read_number(std::string_view bytes, std::size_t offset, std::size_t width) {
+std::uint64_t read_little_endian(std::string_view bytes, std::size_t offset, std::size_t width) {
   std::uint64_t value = 0;
   for (std::size_t i = width; i > 0; --i)
     value = value << kBitsPerByte | static_cast<unsigned char>(bytes[offset + i - 1]);
@@ -39,9 +39,9 @@
 
 std::string encode_copy(std::string_view record, std::uint64_t sequence) {
   std::string bytes;
-  append_number(bytes, record.size(), kLengthBytes);
-  append_number(bytes, sequence, kSequenceBytes);
-  append_number(bytes, checksum_of(bytes, record), kChecksumBytes);
+  append_little_endian(bytes, record.size(), kLengthBytes);
+  append_little_endian(bytes, sequence, kSequenceBytes);
+  append_little_endian(bytes, checksum_of(bytes, record), kChecksumBytes);
   return bytes.append(record);
 }
 
@@ -57,18 +57,18 @@
   [[nodiscard]] std::optional<std::string_view> copy_at(std::size_t offset, std::uint64_t sequence) const {
     if (offset > file_.size() || file_.size() - offset < kHeaderBytes) return std::nullopt;
     const std::string_view copy = file_.substr(offset);
-    const std::size_t length = read_number(copy, 0, kLengthBytes);
+    const std::size_t length = read_little_endian(copy, 0, kLengthBytes);
     if (length > max_record_bytes_ || copy.size() - kHeaderBytes < length) return std::nullopt;
-    if (read_number(copy, kSequenceOffset, kSequenceBytes) != sequence) return std::nullopt;
+    if (read_little_endian(copy, kSequenceOffset, kSequenceBytes) != sequence) return std::nullopt;
     const std::string_view record = copy.substr(kHeaderBytes, length);
     const std::uint64_t checksum = checksum_of(copy.substr(0, kChecksumOffset), record);
-    if (read_number(copy, kChecksumOffset, kChecksumBytes) != checksum) return std::nullopt;
+    if (read_little_endian(copy, kChecksumOffset, kChecksumBytes) != checksum) return std::nullopt;
     return record;
   }
 
   /// The record of which the first copy at `offset` is damaged, by its second copy. That one tells by itself
   /// where it begins: as far behind the first as that is long.
-  [[nodiscard]] std::optional<std::string_view> intact_copy_behind(std::size_t offset,
+  [[nodiscard]] std::optional<std::string_view> intact_second_copy(std::size_t offset,
                                                                    std::uint64_t sequence) const {
     for (std::size_t length = 0;
          length <= max_record_bytes_ && offset + 2 * (kHeaderBytes + length) <= file_.size(); ++length) {
@@ -80,9 +80,9 @@
 
   /// Whether an intact copy of a later record begins anywhere from `offset` on.
   [[nodiscard]] bool has_later_record(std::size_t offset, std::uint64_t sequence) const {
-    for (std::size_t at = offset; at + kHeaderBytes <= file_.size(); ++at) {
-      const std::uint64_t found = read_number(file_, at + kSequenceOffset, kSequenceBytes);
-      if (found > sequence && found < sequence + kMaxSequenceGap && copy_at(at, found)) return true;
+    for (std::size_t position = offset; position + kHeaderBytes <= file_.size(); ++position) {
+      const std::uint64_t found = read_little_endian(file_, position + kSequenceOffset, kSequenceBytes);
+      if (found > sequence && found < sequence + kMaxSequenceGap && copy_at(position, found)) return true;
     }
     return false;
   }
@@ -94,7 +94,7 @@
 
 struct RecoveredRecord {
   std::string_view record;
-  bool one_copy_damaged = false;
+  bool has_damaged_copy = false;
 };
 
 /// The record at `offset` by whichever copy is intact; none where neither is.
@@ -104,7 +104,7 @@
     const auto second = reader.copy_at(offset + kHeaderBytes + first->size(), sequence);
     return RecoveredRecord{*first, !second.has_value()};
   }
-  if (const auto second = reader.intact_copy_behind(offset, sequence)) return RecoveredRecord{*second, true};
+  if (const auto second = reader.intact_second_copy(offset, sequence)) return RecoveredRecord{*second, true};
   return std::nullopt;
 }
 
@@ -125,10 +125,10 @@
 }
 
 /// Always false. `error`: an errno, 0 for none.
-bool Journal::fail(const std::string& what, int error) {
+bool Journal::fail(const std::string& reason, int error) {
   failed_ = true;
   file_.reset();
-  error_ = name_ + ": " + what + (error == 0 ? "" : std::string(": ") + std::strerror(error));
+  error_ = name_ + ": " + reason + (error == 0 ? "" : std::string(": ") + std::strerror(error));
   return false;
 }
 
@@ -148,14 +148,14 @@
       return fail("record " + std::to_string(next_sequence_) + " at byte " + std::to_string(offset) +
                   " is damaged in both copies");
     }
-    if (recovered->one_copy_damaged) ++repaired_records_;
+    if (recovered->has_damaged_copy) ++repaired_records_;
     records.emplace_back(recovered->record);
     ++next_sequence_;
     offset = std::min(reader.file_size(), offset + 2 * (kHeaderBytes + recovered->record.size()));
   }
   // Rewritten as a whole: guards against damage to the other copy as well.
   if (repaired_records_ > 0) return replace(records);
-  if (const int error = folder_.extend(name_, offset, file_)) return fail("can't be opened", error);
+  if (const int error = folder_.open_for_append(name_, offset, file_)) return fail("can't be opened", error);
   return true;
 }
 
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -37,12 +37,12 @@
   /// Why it failed; empty before.
   [[nodiscard]] const std::string& error() const { return error_; }
   /// Number of records of which open() found one of the two copies damaged.
-  [[nodiscard]] std::size_t was_repaired() const { return repaired_records_; }
+  [[nodiscard]] std::size_t repaired_record_count() const { return repaired_records_; }
 
  private:
   std::optional<std::string> encode(const std::vector<std::string>& records);
   bool write_and_sync(File& file, std::string_view bytes);
-  bool fail(const std::string& what, int error = 0);
+  bool fail(const std::string& reason, int error = 0);
 
   Folder& folder_;
   std::string name_;
--- a/tests/golden/stored_files_golden_test.cpp
+++ b/tests/golden/stored_files_golden_test.cpp
@@ -289,7 +289,7 @@
     const bool opened = journal.open(records);
     std::string line =
         name + " opened=" + (opened ? "yes" : "no") + " error=" + golden::quoted(journal.error()) +
-        " mended=" + number(journal.was_repaired()) + " bytes_after=" + number(folder.size("log"));
+        " mended=" + number(journal.repaired_record_count()) + " bytes_after=" + number(folder.size("log"));
     for (const std::string& each : records) line += " record=" + golden::quoted(each.substr(0, 20));
     record.add(line);
     return records;
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -23,7 +23,7 @@
   const bool opened = journal.open(records);
   if (good != nullptr) *good = opened;
   if (why != nullptr) *why = journal.error();
-  if (mended != nullptr) *mended = journal.was_repaired();
+  if (mended != nullptr) *mended = journal.repaired_record_count();
   EXPECT_TRUE(opened || good != nullptr) << journal.error();
   return records;
 }
--- a/tests/support/faulty_folder.h
+++ b/tests/support/faulty_folder.h
@@ -64,7 +64,8 @@
     file = std::make_unique<Open>(*this, names_[name]);
     return 0;
   }
-  int extend(const std::string& name, std::size_t size, std::unique_ptr<storage::File>& file) override {
+  int open_for_append(const std::string& name, std::size_t size,
+                      std::unique_ptr<storage::File>& file) override {
     const auto found = names_.find(name);
     if (found == names_.end()) return ENOENT;
     found->second->text.resize(size);
