--- a/src/app/edge_proxy_main.cpp
+++ b/src/app/edge_proxy_main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The edge proxy: configuration, reducer and event loop wired together.
+// The edge proxy: loads the configuration and runs the server.
 #include <csignal>
 #include <cstdio>
 #include <exception>
@@ -25,7 +25,7 @@
 }  // namespace
 
 int main() {
-  // A peer that leaves while it is written to ends its connection, not the program.
+  // A write to a connection closed by the peer must not terminate the process.
   std::signal(SIGPIPE, SIG_IGN);
   try {
     const std::map<std::string, std::string> environment = read_environment();
--- a/src/app/simulator_adapter_main.cpp
+++ b/src/app/simulator_adapter_main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// simulator-adapter: the decision module on the simulator's wire.
+// simulator-adapter: connects the router to the simulator's protocol over standard input and output.
 #include <exception>
 #include <iostream>
 
--- a/src/event_loop/acceptor.cpp
+++ b/src/event_loop/acceptor.cpp
@@ -20,7 +20,7 @@
   client_source_ = watch_socket<&Acceptor::accept_clients>(client_listener_->socket(), G_IO_IN, this);
 }
 
-/// Guards operators against waiting behind clients: their calls come first at each turn.
+/// Operators' calls have a higher priority than clients, so that they don't wait behind client traffic.
 void Acceptor::watch_admin() {
   admin_source_ =
       watch_socket<&Acceptor::accept_admin>(admin_listener_->socket(), G_IO_IN, this, G_PRIORITY_HIGH);
@@ -28,7 +28,7 @@
 
 void Acceptor::accept_clients() {
   callbacks_.poll_connections();
-  // The bound guards all others against a flood.
+  // The bound keeps a flood of new connections from starving the open ones.
   for (int i = 0; i < proxy::kAcceptsPerTurn && client_listener_; ++i) {
     if (!accept_one(*client_listener_, proxy::kListener)) return;
   }
@@ -40,7 +40,7 @@
   }
 }
 
-/// False: none is to be accepted for now.
+/// Returns false if no further connection can be accepted in this iteration.
 bool Acceptor::accept_one(const Listener& listener, proxy::ConnectionId listener_id) {
   Error error;
   ObjectPtr<GSocket> socket = listener.accept(error);
@@ -50,14 +50,14 @@
   return true;
 }
 
-/// True: to be tried again at once.
+/// Returns true if the accept should be retried immediately.
 bool Acceptor::on_accept_error(const Listener& listener, const Error& error) {
   if (error.matches(G_IO_ERROR_WOULD_BLOCK)) return false;
-  // Guards the clients against making room for nobody: the system looks for a descriptor first, and says
-  // that there is none also where no connection waits.
+  // The kernel allocates the descriptor before it looks for a connection, so accept() reports that
+  // descriptors are exhausted even if no connection is waiting. No client is closed in that case.
   if (!listener.has_waiting_connection()) return false;
-  // The first time another client makes room, and the one that waits is tried again. Guards those that have
-  // only just connected: what they ask is read first, so that they are not taken for idle.
+  // On the first such error another connection is closed and the accept is retried. Pending input is read
+  // first, so that clients that have just connected are not mistaken for idle ones.
   if (error.matches(G_IO_ERROR_TOO_MANY_OPEN_FILES) && !std::exchange(descriptors_exhausted_, true)) {
     callbacks_.poll_connections();
     callbacks_.on_descriptors_exhausted();
@@ -84,14 +84,14 @@
 
 void Acceptor::prefer_next_process() const {
   if (client_listener_ && !client_listener_->prefer_next_process())
-    callbacks_.log("yield failed: the system takes no filter");
+    callbacks_.log("directing new clients to the next process failed: the kernel rejected the socket filter");
 }
 
 void Acceptor::close_client_listener(const std::function<void(AcceptedSocket)>& on_accepted) {
   client_source_.reset();
   resume_source_.reset();
   if (!client_listener_) return;
-  // Guards those that have connected and were not accepted yet against a reset.
+  // Closing the socket would reset connections that are established but not accepted yet.
   Error error;
   while (ObjectPtr<GSocket> socket = client_listener_->accept(error))
     on_accepted({next_id(), std::move(socket), proxy::kListener});
--- a/src/event_loop/acceptor.h
+++ b/src/event_loop/acceptor.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Accepts connections of clients and of operators, and bounds how many per iteration of the loop.
+/// Accepts connections from clients and operators, with a bound on the number per loop iteration.
 #pragma once
 
 #include <functional>
@@ -15,35 +15,37 @@
 
 namespace edge_proxy::event_loop {
 
-/// A connection that was accepted, and its new id.
+/// An accepted connection and the id that was assigned to it.
 struct AcceptedSocket {
   proxy::ConnectionId id = 0;
   ObjectPtr<GSocket> socket;
   proxy::ConnectionId listener = proxy::kListener;  ///< or proxy::kAdminListener
 };
 
-/// Owns the listeners of clients and operators. Where the system gives no descriptor it asks for one
-/// connection to be closed, once; then accepting pauses for proxy::kAcceptRetryDelay. Guards the loop and the
-/// log against a connection that can't be accepted: its listener stays readable.
+/// Owns the listeners for clients and operators. If the process is out of file descriptors, the acceptor asks
+/// once for a connection to be closed; if that doesn't help, it stops accepting for proxy::kAcceptRetryDelay.
+/// Without the pause, a connection that can't be accepted keeps its listener readable, and the loop would
+/// spin and fill the log.
 class Acceptor {
  public:
   struct Callbacks {
-    /// Reads what has arrived on open connections: it goes before new clients.
+    /// Reads pending input of open connections, which is handled before new clients.
     std::function<void()> poll_connections;
     std::function<void(AcceptedSocket)> on_accepted;
     std::function<void()> on_descriptors_exhausted;
     std::function<void(const std::string&)> log;
   };
 
-  /// Listens at once. Throws std::runtime_error where it can't.
+  /// Starts to listen. Throws std::runtime_error if an address can't be listened on.
   Acceptor(const config::Config& config, Callbacks callbacks);
   Acceptor(const Acceptor&) = delete;
   Acceptor& operator=(const Acceptor&) = delete;
 
   [[nodiscard]] bool is_listening_for_clients() const { return client_listener_.has_value(); }
-  /// Directs new clients to the next process that listens at the same address, where there is one.
+  /// Directs new clients to the next process that listens on the same address, if there is one.
   void prefer_next_process() const;
-  /// Stops listening for clients. `on_accepted` gets those that have connected and were not accepted yet.
+  /// Stops listening for clients. Connections that are established but not accepted yet are accepted first
+  /// and passed to `on_accepted`.
   void close_client_listener(const std::function<void(AcceptedSocket)>& on_accepted);
   /// Stops listening for operators.
   void close_admin_listener();
@@ -65,7 +67,8 @@
   Source client_source_;
   Source admin_source_;
   Source resume_source_;
-  bool descriptors_exhausted_ = false;  ///< since the last connection that was accepted
+  /// Whether an accept has failed for lack of descriptors since the last success.
+  bool descriptors_exhausted_ = false;
   proxy::ConnectionId last_id_ = proxy::kBeforeFirstAccepted;
 };
 
--- a/src/event_loop/address.h
+++ b/src/event_loop/address.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Addresses as configuration writes them.
+/// Parses socket addresses in the format of the configuration.
 #pragma once
 
 #include <cstdlib>
@@ -10,7 +10,7 @@
 
 namespace edge_proxy::event_loop {
 
-/// Of `host:port`; none where the host is no address.
+/// Parses `host:port`; returns null if the host is not an IP address.
 inline ObjectPtr<GSocketAddress> parse_address(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   const std::string host = text.substr(0, colon);
--- a/src/event_loop/clock.h
+++ b/src/event_loop/clock.h
@@ -9,7 +9,7 @@
 
 namespace edge_proxy::event_loop {
 
-/// Unix time that never runs backwards: the system clock is read once, then the steady clock carries it on.
+/// Monotonic Unix time: the system clock is read once, and the steady clock measures the time since then.
 class Clock {
  public:
   /// Microseconds since the Unix epoch.
--- a/src/event_loop/connection.cpp
+++ b/src/event_loop/connection.cpp
@@ -28,13 +28,13 @@
 }
 
 std::uint32_t Connection::wanted_events() const {
-  // What a client sends is read though it takes no answers: it may be a cancel. The bounds on what waits for
-  // it are the reducer's.
+  // Input is read even if the client doesn't read its answers, because it may contain a cancel. The reducer
+  // bounds the output that is pending for a client.
   std::uint32_t events = 0;
   if (!is_connecting_) events |= EPOLLIN;
   if (is_connecting_ || written_ < output_.size()) events |= EPOLLOUT;
-  // Guards caches against work for a client that has gone: its end is noticed at once, whatever it sent
-  // before.
+  // A client's disconnect is detected at once, even behind unread input, so that caches do no work for a
+  // client that is gone.
   if (is_accepted() && priority_ == Priority::normal) events |= EPOLLRDHUP;
   return events;
 }
@@ -89,20 +89,21 @@
       discard_written();
       return FlushResult::blocked;
     }
-    // The peer has gone. Guards its last answers, which may still wait to be read, against being lost with
-    // what could not be written: the end is reported when they have been read.
+    // The peer has closed the connection. Its last answers may still be unread; closing now would lose them,
+    // so the end of the connection is reported only after they have been read.
     write_closed_ = true;
     clear_output();
     return FlushResult::peer_closed;
   }
   clear_output();
   if (output_.capacity() > proxy::kRetainedWriteBufferBytes)
-    std::string().swap(output_);  // guards the memory, over many clients
+    std::string().swap(output_);  // bounds the memory held by idle buffers of many clients
   if (shutdown_requested_) g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
   return FlushResult::drained;
 }
 
-/// Written bytes are not kept; a large rest is moved only now and then.
+/// Erases written bytes once they make up more than half of the buffer, so that a large remainder is not
+/// moved after each write.
 void Connection::discard_written() {
   if (written_ > output_.size() / 2) output_.erase(0, std::exchange(written_, 0));
 }
--- a/src/event_loop/connection.h
+++ b/src/event_loop/connection.h
@@ -15,53 +15,53 @@
 
 namespace edge_proxy::event_loop {
 
-/// A non-blocking connection: reads into a buffer of the caller's, buffers what the socket does not take yet.
-/// It knows nothing of the reducer; the server turns its results into inputs.
+/// A non-blocking connection. Reads into the caller's buffer; buffers output that the socket doesn't accept
+/// yet. It is independent of the reducer: the server turns its results into inputs.
 class Connection {
  public:
   enum class Origin {
-    accepted,    ///< of a client or an operator
-    connecting,  ///< begun here
+    accepted,    ///< opened by a client or an operator
+    connecting,  ///< opened by this process
   };
   enum class Priority { normal, high };
-  /// The order in which connections that are ready are served.
+  /// The order in which ready connections are served.
   enum class ServiceOrder { high_priority, client_disconnected, normal };
 
   enum class ReadStatus { data, would_block, end_of_stream, failed };
   struct ReadResult {
     ReadStatus status = ReadStatus::would_block;
-    std::string_view bytes;  ///< in the caller's buffer; not empty for `data` alone
+    std::string_view bytes;  ///< view into the caller's buffer; empty unless the status is `data`
   };
   enum class FlushResult {
-    drained,      ///< all is with the system
-    blocked,      ///< the rest waits for the socket
-    peer_closed,  ///< the peer takes no more bytes; what it sent before can still be read
+    drained,      ///< all output was passed to the kernel
+    blocked,      ///< output remains until the socket is writable
+    peer_closed,  ///< the peer accepts no more bytes; its earlier output can still be read
   };
 
   Connection(proxy::ConnectionId id, ObjectPtr<GSocket> socket, Origin origin, Priority priority);
 
   [[nodiscard]] proxy::ConnectionId id() const { return id_; }
-  /// Whether the connection was accepted here: it is a client's or an operator's.
+  /// Whether a client or an operator opened the connection.
   [[nodiscard]] bool is_accepted() const { return origin_ == Origin::accepted; }
   [[nodiscard]] bool is_operator() const { return is_accepted() && priority_ == Priority::high; }
   [[nodiscard]] bool is_connecting() const { return is_connecting_; }
   [[nodiscard]] ServiceOrder service_order(std::uint32_t ready_events) const;
 
-  /// Brings what `poller` watches in line with what the connection waits for.
+  /// Registers the events that the connection waits for with `poller`.
   void update_watch(const Poller& poller);
-  /// Ends the connecting state. False: the connection failed.
+  /// Leaves the connecting state; returns false if the connection failed.
   [[nodiscard]] bool finish_connecting();
-  /// Reads once, without waiting.
+  /// Reads once without blocking.
   [[nodiscard]] ReadResult read(std::span<char> buffer) const;
-  /// Reads and discards proxy::kMaxDiscardedBytes at most; the result is that of the last read.
+  /// Reads and discards at most proxy::kMaxDiscardedBytes; returns the status of the last read.
   [[nodiscard]] ReadStatus discard_input() const;
-  /// Whether the peer still takes bytes.
+  /// Whether the peer still accepts bytes.
   [[nodiscard]] bool is_writable() const { return !write_closed_; }
-  /// Appends to the write buffer. True: it was empty and flush() is to be called.
+  /// Appends to the write buffer. Returns true if it was empty; the caller must then call flush().
   [[nodiscard]] bool append(std::string_view bytes);
-  /// Writes as much as the socket takes.
+  /// Writes as much as the socket accepts.
   FlushResult flush();
-  /// Ends this side's half once all is written.
+  /// Shuts down the sending direction once the write buffer is empty.
   void shutdown_write();
 
  private:
@@ -73,12 +73,12 @@
   ObjectPtr<GSocket> socket_;
   Origin origin_;
   Priority priority_;
-  std::optional<std::uint32_t> watched_events_;  ///< none before the first watch
+  std::optional<std::uint32_t> watched_events_;  ///< empty until first registered with the poller
   bool is_connecting_;
   bool shutdown_requested_ = false;
   bool write_closed_ = false;
   std::string output_;
-  std::size_t written_ = 0;  ///< bytes of output_ that the system has taken
+  std::size_t written_ = 0;  ///< bytes of output_ already passed to the kernel
 };
 
 }  // namespace edge_proxy::event_loop
--- a/src/event_loop/glib_source.h
+++ b/src/event_loop/glib_source.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Event sources of the GLib main loop with typed callbacks. All casts between GLib's callback types are
-/// here.
+/// Event sources of the GLib main loop with typed callbacks. All casts between GLib's callback types are in
+/// this header.
 ///
 /// A callback is a template argument: a member function of the owner, or a captureless lambda that takes an
-/// `Owner*`. It returns nothing (the source stays) or a SourceAction. The owner must outlive the Source.
+/// `Owner*`. It returns void (the source is kept) or a SourceAction. The owner must outlive the Source.
 #pragma once
 
 #include <gio/gio.h>
@@ -18,7 +18,7 @@
 
 namespace edge_proxy::event_loop {
 
-/// Owns an attached source, which is taken off its loop on destruction.
+/// Owns an attached source; removes it from its main loop on destruction.
 class Source {
  public:
   Source() = default;
@@ -44,7 +44,7 @@
   GSource* source_ = nullptr;
 };
 
-/// What becomes of a source after its callback.
+/// Whether a source is kept after its callback.
 enum class SourceAction : gboolean { keep = G_SOURCE_CONTINUE, remove = G_SOURCE_REMOVE };
 
 namespace glib_detail {
@@ -60,7 +60,7 @@
   }
 }
 
-/// GLib declares one callback type for all sources; a source casts it back to the type that it calls.
+/// GLib declares one callback type for all sources; each source casts it back to its own callback type.
 template <typename Function>
 GSourceFunc as_source_func(Function* function) {
   return reinterpret_cast<GSourceFunc>(reinterpret_cast<void (*)()>(function));
@@ -77,7 +77,7 @@
 
 }  // namespace glib_detail
 
-/// Calls back while the socket meets `condition`.
+/// Invokes the callback while the socket meets `condition`.
 template <auto Callback, typename Owner>
 [[nodiscard]] Source watch_socket(GSocket* socket, GIOCondition condition, Owner* owner,
                                   int priority = G_PRIORITY_DEFAULT) {
@@ -88,7 +88,7 @@
                              glib_detail::as_source_func(dispatch), owner, priority);
 }
 
-/// Calls back while the descriptor is readable.
+/// Invokes the callback while the descriptor is readable.
 template <auto Callback, typename Owner>
 [[nodiscard]] Source watch_readable(int descriptor, Owner* owner) {
   const GUnixFDSourceFunc dispatch = [](gint, GIOCondition, gpointer data) {
@@ -98,21 +98,21 @@
                              owner);
 }
 
-/// Calls back on each signal of that number.
+/// Invokes the callback on each delivery of the signal.
 template <auto Callback, typename Owner>
 [[nodiscard]] Source watch_signal(int signal_number, Owner* owner) {
   return glib_detail::attach(g_unix_signal_source_new(signal_number), glib_detail::invoke<Callback, Owner>,
                              owner);
 }
 
-/// Calls back every `interval`, until the callback removes the source.
+/// Invokes the callback every `interval` until it returns SourceAction::remove.
 template <auto Callback, typename Owner>
 [[nodiscard]] Source call_every(std::chrono::milliseconds interval, Owner* owner) {
   return glib_detail::attach(g_timeout_source_new(static_cast<guint>(interval.count())),
                              glib_detail::invoke<Callback, Owner>, owner);
 }
 
-/// A timer that expires once each time it is armed.
+/// A one-shot timer that can be armed repeatedly.
 class Timer {
  public:
   template <auto Callback, typename Owner>
@@ -122,7 +122,7 @@
                                         glib_detail::invoke<Callback, Owner>, owner);
     return timer;
   }
-  /// Expires after `wait`, in place of the time at which it was armed before.
+  /// Sets the expiry to `wait` from now; replaces an earlier expiry.
   void arm(std::chrono::microseconds wait) const {
     g_source_set_ready_time(source_.get(), g_get_monotonic_time() + wait.count());
   }
@@ -144,8 +144,8 @@
   Source source_;
 };
 
-/// Runs `task` once on the main loop; callable from any thread. Always through a source:
-/// g_main_context_invoke would run the task on the calling thread as long as the main loop has not begun.
+/// Runs `task` once on the main loop; callable from any thread. It always uses a source, because
+/// g_main_context_invoke runs the task on the calling thread if the main loop has not started yet.
 template <typename Task>
 void post_to_main_loop(Task task) {
   GSource* source = g_idle_source_new();
--- a/src/event_loop/listener.cpp
+++ b/src/event_loop/listener.cpp
@@ -13,8 +13,8 @@
 namespace edge_proxy::event_loop {
 namespace {
 
-/// Binds so that the next process of this edge proxy can listen at the same address while this one still
-/// serves. g_socket_bind would take that option back.
+/// Binds with SO_REUSEPORT, so that the next process of this edge proxy can listen on the same address while
+/// this one still serves. g_socket_bind would reset the option.
 bool bind_shared(GSocket* socket, GSocketAddress* address) {
   sockaddr_storage native_address{};
   const gssize size = g_socket_address_get_native_size(address);
@@ -38,7 +38,7 @@
 Listener::Listener(const std::string& key, const std::string& address) {
   const auto parsed = parse_address(address);
   const std::string field = "field '" + key + "': ";
-  if (!parsed) throw std::runtime_error(field + "'" + address + "' is no address and port");
+  if (!parsed) throw std::runtime_error(field + "'" + address + "' is not an IP address and port");
   Error error;
   socket_ = new_tcp_socket(parsed.get(), error);
   if (!socket_ || !bind_shared(socket_.get(), parsed.get()))
@@ -57,10 +57,10 @@
 }
 
 bool Listener::prefer_next_process() const {
-  // The system distributes the connections at one address over its listening sockets; a filter on them all
-  // selects the second one. This process was there first, so that is the one started after it; where there is
-  // none, the filter selects nothing and all stays as it is. Guards clients against a connection that waits
-  // here unaccepted when this listening socket closes: it would be reset.
+  // The kernel distributes new connections over all sockets that listen on the address. The filter applies to
+  // all of them and selects the second one (index 1), which belongs to the process started after this one. If
+  // there is no second socket, the filter selects none and the distribution is unchanged. Without the filter,
+  // connections still waiting in this socket's accept queue would be reset when the socket is closed.
   sock_filter select_second{BPF_RET | BPF_K, 0, 0, 1};
   const sock_fprog filter{1, &select_second};
   return setsockopt(g_socket_get_fd(socket_.get()), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &filter,
--- a/src/event_loop/log_writer.cpp
+++ b/src/event_loop/log_writer.cpp
@@ -26,7 +26,7 @@
 void LogWriter::flush() {
   std::size_t written = 0;
   while (written < buffer_.size()) {
-    // A pipe that is ready takes PIPE_BUF bytes at least without waiting.
+    // A write of at most PIPE_BUF bytes to a writable pipe doesn't block.
     pollfd output{STDOUT_FILENO, POLLOUT, 0};
     if (::poll(&output, 1, 0) <= 0 || (output.revents & POLLOUT) == 0) break;
     const std::size_t chunk = std::min<std::size_t>(buffer_.size() - written, PIPE_BUF);
--- a/src/event_loop/log_writer.h
+++ b/src/event_loop/log_writer.h
@@ -8,11 +8,11 @@
 
 namespace edge_proxy::event_loop {
 
-/// Writes log lines to standard output without ever waiting. Guards the program against a reader that stalls:
-/// up to kMaxBufferedLogBytes are buffered meanwhile, later lines are dropped and their number is logged.
+/// Writes log lines to standard output without blocking, so that a stalled reader doesn't stall the program.
+/// Up to kMaxBufferedLogBytes are buffered; further lines are dropped, and their number is logged.
 class LogWriter {
  public:
-  /// Writes `text` and a newline, or buffers or drops them.
+  /// Writes, buffers or drops `text` and a newline.
   void write_line(const std::string& text);
 
  private:
--- a/src/event_loop/overrides_file.cpp
+++ b/src/event_loop/overrides_file.cpp
@@ -31,7 +31,7 @@
 OverridesFile::~OverridesFile() { *owner_ = nullptr; }
 
 std::optional<std::string> OverridesFile::read_if_new() {
-  // Guards overrides that were received last and are not written yet against what the file still holds.
+  // The file may still hold an older state than the overrides that are being written.
   if (write_in_progress_) return std::nullopt;
   const auto version = current_version();
   if (!version || version == seen_version_) return std::nullopt;
@@ -51,7 +51,7 @@
   write_in_progress_ = true;
   const BytesPtr bytes(g_bytes_new(queued_text_->data(), queued_text_->size()));
   queued_text_.reset();
-  // Replaced atomically: guards concurrent readers against half a file.
+  // GIO replaces the file atomically, so that concurrent readers never see a partial file.
   g_file_replace_contents_bytes_async(
       file_.get(), bytes.get(), nullptr, FALSE, G_FILE_CREATE_REPLACE_DESTINATION, nullptr,
       [](GObject*, GAsyncResult* result, gpointer data) {
--- a/src/event_loop/overrides_file.h
+++ b/src/event_loop/overrides_file.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Admin overrides on disk.
+/// Stores admin overrides on disk.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,24 @@
 
 namespace edge_proxy::event_loop {
 
-/// A small file that survives the process and that another process may write as well. GIO writes it on a
-/// worker thread: guards the main loop against waiting for a disk.
+/// A small file that outlives the process and may also be written by another process. GIO writes it on a
+/// worker thread, so that the main loop doesn't block on disk I/O.
 class OverridesFile {
  public:
-  /// `on_failure` gets the reason of each write that failed. An empty `path` disables the file.
+  /// `on_failure` receives the reason of each failed write. An empty `path` disables the file.
   OverridesFile(const std::string& path, std::function<void(const char*)> on_failure);
   ~OverridesFile();
   OverridesFile(const OverridesFile&) = delete;
   OverridesFile& operator=(const OverridesFile&) = delete;
 
-  /// The content, if another process has written it since it was last read or written here.
+  /// Returns the content if another process has changed the file since this one last read or wrote it.
   std::optional<std::string> read_if_new();
-  /// Replaces the content in the background; the latest call counts.
+  /// Replaces the content in the background; only the text of the latest call is guaranteed to be written.
   void write(std::string text);
   [[nodiscard]] bool is_enabled() const { return !path_.empty(); }
 
  private:
-  /// Tells one content of the file from another.
+  /// Metadata that identifies one version of the file's content.
   struct FileVersion {
     std::uint64_t inode = 0;
     std::int64_t size_bytes = 0;
@@ -45,9 +45,9 @@
   std::function<void(const char*)> on_failure_;
   ObjectPtr<GFile> file_;
   std::optional<FileVersion> seen_version_;
-  std::optional<std::string> queued_text_;  ///< to be written next
+  std::optional<std::string> queued_text_;  ///< written when the write in progress completes
   bool write_in_progress_ = false;
-  /// Null once this object has gone: guards it against a write that completes later.
+  /// Set to null on destruction, so that a write that completes later doesn't access this object.
   std::shared_ptr<OverridesFile*> owner_;
 };
 
--- a/src/event_loop/poller.cpp
+++ b/src/event_loop/poller.cpp
@@ -8,7 +8,7 @@
 namespace edge_proxy::event_loop {
 
 Poller::Poller() : descriptor_(epoll_create1(EPOLL_CLOEXEC)) {
-  if (descriptor_ < 0) throw std::runtime_error("the system gives no descriptor to watch sockets with");
+  if (descriptor_ < 0) throw std::runtime_error("can't create an epoll descriptor");
 }
 
 Poller::~Poller() { close(descriptor_); }
--- a/src/event_loop/poller.h
+++ b/src/event_loop/poller.h
@@ -14,27 +14,27 @@
 
 namespace edge_proxy::event_loop {
 
-/// Watches sockets through one descriptor that the main loop polls. GLib polls each socket source at every
-/// iteration: with several hundred sockets, most of them idle, that took most of the time.
+/// Watches all sockets through one epoll descriptor that the main loop polls. GLib polls each socket source
+/// on every iteration, which dominates the run time with several hundred mostly idle sockets.
 class Poller {
  public:
-  /// Whether the socket is watched already (its events change) or not (it is added).
+  /// Whether the socket is added, or the events of a watched socket are modified.
   enum class Registration { add, modify };
-  /// Memory for the events of one poll.
+  /// Buffer for the events of one poll.
   using EventBuffer = std::array<epoll_event, proxy::kMaxReadyEvents>;
 
-  /// Throws std::runtime_error where the system gives no descriptor.
+  /// Throws std::runtime_error if no descriptor is available.
   Poller();
   ~Poller();
   Poller(const Poller&) = delete;
   Poller& operator=(const Poller&) = delete;
 
-  /// Watches `socket` for `events` (EPOLLIN and so on), which are reported with `id`. A socket that is closed
-  /// is no longer watched.
+  /// Watches `socket` for `events` (EPOLLIN and so on), which are reported with `id`. Closing the socket ends
+  /// the watch.
   void watch(int socket, std::uint32_t events, Registration registration, proxy::ConnectionId id) const;
-  /// The events that are ready now, without waiting; `data.u64` of each is the connection's id.
+  /// Returns the ready events without blocking; `data.u64` of each event is the connection's id.
   [[nodiscard]] std::span<const epoll_event> ready_events(EventBuffer& buffer) const;
-  /// Readable while any socket has an event.
+  /// The epoll descriptor, which is readable while any socket has an event.
   [[nodiscard]] int descriptor() const { return descriptor_; }
 
  private:
--- a/src/event_loop/server.cpp
+++ b/src/event_loop/server.cpp
@@ -16,9 +16,10 @@
     : reload_(std::move(reload)),
       state_(config, clock_.now()),
       loop_(g_main_loop_new(nullptr, FALSE)),
-      overrides_file_(
-          config.overrides_path,
-          [this](const char* reason) { perform(proxy::LogLine{std::string("keep failed: ") + reason}); }),
+      overrides_file_(config.overrides_path,
+                      [this](const char* reason) {
+                        perform(proxy::LogLine{std::string("writing the overrides file failed: ") + reason});
+                      }),
       acceptor_(config, {.poll_connections = [this] { poll(); },
                          .on_accepted = [this](AcceptedSocket accepted) { on_accepted(std::move(accepted)); },
                          .on_descriptors_exhausted = [this] { handle(proxy::DescriptorsExhausted{}); },
@@ -52,7 +53,7 @@
 
 void Server::run() {
   load_overrides();
-  handle(proxy::LoopTimerExpired{});  // performs the effects of the start itself
+  handle(proxy::LoopTimerExpired{});  // performs the effects of the startup
   perform(proxy::LogLine{"listening"});
   g_main_loop_run(loop_.get());
 }
@@ -66,7 +67,7 @@
   quit_if_idle();
 }
 
-/// False where nothing is pending.
+/// Returns false if nothing is pending.
 bool Server::handle_next_pending() {
   if (!pending_inputs_.empty()) {
     const proxy::Input pending = std::move(pending_inputs_.front());
@@ -100,7 +101,7 @@
 }
 
 void Server::on_timer() {
-  poll();  // input that has arrived goes before timers that are due
+  poll();  // input that has arrived is handled before due timers
   handle(proxy::LoopTimerExpired{});
 }
 
@@ -116,7 +117,7 @@
   handle(input);
 }
 
-/// Admin overrides that another process of this edge proxy has written hold here too.
+/// Applies admin overrides that another process of this edge proxy has written.
 void Server::load_overrides() {
   if (const auto text = overrides_file_.read_if_new()) handle(proxy::OverridesLoaded{*text});
 }
@@ -146,8 +147,8 @@
   const auto address = parse_address(request.address);
   Error error;
   ObjectPtr<GSocket> socket = address ? new_tcp_socket(address.get(), error) : nullptr;
-  // Guards the connections to caches and discovery against clients that have taken the last descriptors: one
-  // of them makes room, and the connect is tried once more.
+  // Clients may hold all descriptors. One of their connections is closed and the connect is retried once, so
+  // that connections to caches and discovery can still be opened.
   if (!socket && on_descriptor_exhaustion == OnDescriptorExhaustion::retry_later &&
       error.matches(G_IO_ERROR_TOO_MANY_OPEN_FILES)) {
     pending_inputs_.emplace_back(proxy::DescriptorsExhausted{});
@@ -168,13 +169,12 @@
   using ServiceOrder = Connection::ServiceOrder;
   Poller::EventBuffer buffer;
   const std::span<const epoll_event> events = poller_.ready_events(buffer);
-  // Discovery and operators first, then the clients that have gone: guards the rules on invalidations and
-  // drains, when much has come at once, against sending before reading what they bind, and caches against
-  // work that nobody waits for.
+  // Discovery and operators are served first, so that invalidations and drains that have arrived are applied
+  // before requests are sent. Disconnected clients follow, so that caches do no work for them.
   for (const auto order :
        {ServiceOrder::high_priority, ServiceOrder::client_disconnected, ServiceOrder::normal}) {
     for (const epoll_event& event : events) {
-      Connection* connection = find_connection(event.data.u64);  // an earlier event may have ended it
+      Connection* connection = find_connection(event.data.u64);  // an earlier event may have closed it
       if (connection == nullptr || connection->service_order(event.events) != order) continue;
       if (order == ServiceOrder::client_disconnected) {
         remove_client(*connection);
@@ -185,8 +185,9 @@
   }
 }
 
-/// A client that has ended its half, or all of its connection, has gone: what it sent before is not served.
-/// Guards what was written to it, which it may still read, against a reset over bytes that were not read.
+/// A client that has shut down its sending direction or closed its connection counts as disconnected: its
+/// unread input is not served. The input is discarded before the close, because closing a socket with unread
+/// input sends a reset, and the client would lose answers that it has not read yet.
 void Server::remove_client(Connection& connection) {
   const proxy::ConnectionId id = connection.id();
   const bool was_reset = connection.discard_input() == Connection::ReadStatus::failed;
@@ -224,7 +225,8 @@
   for (int i = 0; i < proxy::kReadsPerTurn; ++i) {
     Connection* connection = find_connection(id);
     if (connection == nullptr) return;
-    // Guards all others against a client that sends at full speed: it has little of a turn.
+    // Accepted connections are read in small amounts per iteration, so that a fast sender doesn't starve
+    // others.
     const bool is_accepted = connection->is_accepted();
     const std::size_t limit = is_accepted ? proxy::kClientReadBytes : buffer.size();
     const auto result = connection->read(std::span(buffer).first(limit));
@@ -234,14 +236,14 @@
       handle(proxy::ConnectionClosed{id, result.status == ReadStatus::failed});
       return;
     }
-    // The other process may have received more overrides than this operator's.
+    // Another process may have received overrides before this operator's call.
     if (connection->is_operator()) load_overrides();
     handle(proxy::BytesArrived{id, result.bytes});
     if (is_accepted || result.bytes.size() < limit) return;
   }
 }
 
-/// Feeds what has come on the connection so far, then its end.
+/// Feeds the input that has arrived on the connection, then its close.
 void Server::drain_and_close(proxy::ConnectionId id) {
   std::array<char, proxy::kReadChunkBytes> buffer;
   for (std::size_t bytes = 0; bytes < proxy::kMaxDrainBytes; bytes += buffer.size()) {
@@ -265,7 +267,7 @@
 void Server::perform(const proxy::Write& write) {
   Connection* connection = find_connection(write.connection);
   if (connection == nullptr || !connection->is_writable()) return;
-  // Bytes behind others are written when the socket takes more.
+  // If the buffer was not empty, the bytes are written when the socket becomes writable.
   if (connection->append(write.bytes)) flush(*connection);
 }
 
--- a/src/event_loop/server.h
+++ b/src/event_loop/server.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The coordinator of the event loop: feeds inputs to the reducer and performs its effects.
+/// Coordinates the event loop: feeds inputs to the reducer and performs its effects.
 #pragma once
 
 #include <deque>
@@ -28,18 +28,18 @@
 /// performed in order before the next input is fed.
 class Server {
  public:
-  /// `reload` reads the configuration again, for SIGHUP; it throws where that is faulty.
-  /// Throws std::runtime_error where it can't listen.
+  /// `reload` reads the configuration again on SIGHUP; it throws if the configuration is invalid.
+  /// Throws std::runtime_error if an address can't be listened on.
   Server(const config::Config& config, std::function<config::Config()> reload);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  /// Serves until SIGTERM or SIGINT and every accepted request is answered.
+  /// Serves until SIGTERM or SIGINT, then returns once every accepted request is answered.
   void run();
 
  private:
-  /// What becomes of a connect effect where the system gives no descriptor.
+  /// How a connect effect is handled if no descriptor is available.
   enum class OnDescriptorExhaustion { retry_later, fail };
 
   // Inputs
@@ -97,13 +97,13 @@
   Source terminate_source_;
   Source interrupt_source_;
   Source hangup_source_;
-  std::unique_ptr<MembershipSockets> membership_sockets_;  ///< none unless configured
-  std::unique_ptr<ConsensusThread> consensus_;             ///< none unless configured
+  std::unique_ptr<MembershipSockets> membership_sockets_;  ///< null unless configured
+  std::unique_ptr<ConsensusThread> consensus_;             ///< null unless configured
   std::map<proxy::ConnectionId, std::unique_ptr<Connection>> connections_;
-  // Work that effects give rise to, done in this order before the next input from outside.
+  // Work queued by effects; the queues are processed in this order before the next external input.
   std::deque<proxy::Input> pending_inputs_;
   std::deque<proxy::ConnectionId> connections_to_drain_;
-  std::deque<proxy::Connect> pending_connects_;  ///< another connection was asked to make room for them
+  std::deque<proxy::Connect> pending_connects_;  ///< retried after another connection was closed
 };
 
 }  // namespace edge_proxy::event_loop
--- a/src/storage/file_descriptor.h
+++ b/src/storage/file_descriptor.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Ownership of file descriptors.
+/// Owns file descriptors.
 #pragma once
 
 #include <sys/types.h>
@@ -11,14 +11,14 @@
 
 namespace edge_proxy::storage {
 
-/// Of files that are created: the owner writes, all may read.
+/// Mode of created files: writable by the owner, readable by all.
 constexpr mode_t kFileMode = 0644;
 
-/// Owns a file descriptor; errno survives its closing.
+/// Owns a file descriptor; the destructor preserves errno.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
-  /// Takes over what open() has returned, an error (-1) too.
+  /// Takes ownership of the result of open(), which may be -1.
   explicit FileDescriptor(int fd) : fd_(fd) {}
   FileDescriptor(const FileDescriptor&) = delete;
   FileDescriptor& operator=(const FileDescriptor&) = delete;
--- a/src/storage/folder.h
+++ b/src/storage/folder.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The operations of a file system that storage needs, so that tests can put a faulty one in its place.
+/// The file system operations used by storage, as an interface that tests replace to inject faults.
 #pragma once
 
 #include <cstddef>
@@ -14,34 +14,34 @@
 
 namespace edge_proxy::storage {
 
-/// A file that is written at its end. Functions that return an int return an errno, 0 for none.
+/// An append-only file. Functions that return an int return an errno value, 0 for success.
 class File {
  public:
   virtual ~File() = default;
-  /// May write fewer bytes than given: `written` is their number.
+  /// Sets `written` to the number of bytes written, which may be fewer than given.
   virtual int write(std::string_view bytes, std::size_t& written) = 0;
-  /// Brings all that was written to the disk. After an error the file's content is unknown for good: guards
-  /// against a second call that succeeds over pages which the system has dropped after the first.
+  /// Flushes all written bytes to disk. After an error the content of the file is unknown and stays so: a
+  /// second call may succeed although the kernel dropped the dirty pages after the first.
   virtual int sync() = 0;
 };
 
-/// A folder of such files. Functions that return an int return an errno, 0 for none.
+/// A folder of such files. Functions that return an int return an errno value, 0 for success.
 class Folder {
  public:
   virtual ~Folder() = default;
-  /// Reads a whole file; no error and no content where there is none.
+  /// Reads a whole file; a missing file gives no error and no content.
   virtual int read(const std::string& name, std::optional<std::string>& content) = 0;
-  /// Creates an empty file, in place of any of that name.
+  /// Creates an empty file; replaces an existing file of that name.
   virtual int create(const std::string& name, std::unique_ptr<File>& file) = 0;
-  /// Opens an existing file, truncated to `size` bytes, to append to it.
+  /// Truncates an existing file to `size` bytes and opens it for appending.
   virtual int open_for_append(const std::string& name, std::size_t size, std::unique_ptr<File>& file) = 0;
-  /// Renames atomically, in place of any file of the new name.
+  /// Renames atomically; replaces an existing file of the new name.
   virtual int rename(const std::string& old_name, const std::string& new_name) = 0;
-  /// Brings names that were created or changed to the disk.
+  /// Flushes created and renamed directory entries to disk.
   virtual int sync() = 0;
 };
 
-/// A folder of the operating system, locked by one process at a time.
+/// A folder of the file system, which one process at a time can lock.
 class SystemFolder : public Folder {
  public:
   explicit SystemFolder(std::string path) : path_(std::move(path)) {}
@@ -49,7 +49,7 @@
   SystemFolder(const SystemFolder&) = delete;
   SystemFolder& operator=(const SystemFolder&) = delete;
 
-  /// Locks the folder until destruction. EWOULDBLOCK: another process has it.
+  /// Locks the folder until destruction. Returns EWOULDBLOCK if another process holds the lock.
   int lock();
   int read(const std::string& name, std::optional<std::string>& content) override;
   int create(const std::string& name, std::unique_ptr<File>& file) override;
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -9,15 +9,15 @@
 namespace edge_proxy::storage {
 namespace {
 
-// One copy of a record: length, sequence number, checksum of these two and of the bytes, the bytes. Numbers
-// are stored least significant byte first.
+// Format of one copy of a record: length, sequence number, checksum over both and the payload, payload.
+// Numbers are little-endian.
 constexpr std::size_t kLengthBytes = 4;
 constexpr std::size_t kSequenceBytes = 8;
 constexpr std::size_t kChecksumBytes = 8;
 constexpr std::size_t kSequenceOffset = kLengthBytes;
 constexpr std::size_t kChecksumOffset = kSequenceOffset + kSequenceBytes;
 constexpr std::size_t kHeaderBytes = kChecksumOffset + kChecksumBytes;
-/// Sequence numbers this far ahead are taken for those of later records.
+/// Sequence numbers less than this far ahead are accepted as those of later records.
 constexpr std::uint64_t kMaxSequenceGap = std::uint64_t{1} << 20U;
 constexpr unsigned kBitsPerByte = 8;
 
@@ -45,7 +45,7 @@
   return bytes.append(record);
 }
 
-/// Reads copies of records out of the whole file.
+/// Reads copies of records from the content of the file.
 class CopyReader {
  public:
   CopyReader(std::string_view file, std::size_t max_record_bytes)
@@ -53,7 +53,8 @@
 
   [[nodiscard]] std::size_t file_size() const { return file_.size(); }
 
-  /// The record of that sequence number whose copy begins at `offset`; none where there is no intact one.
+  /// The record with the sequence number `sequence` whose copy begins at `offset`; empty if that copy is not
+  /// intact.
   [[nodiscard]] std::optional<std::string_view> copy_at(std::size_t offset, std::uint64_t sequence) const {
     if (offset > file_.size() || file_.size() - offset < kHeaderBytes) return std::nullopt;
     const std::string_view copy = file_.substr(offset);
@@ -66,8 +67,9 @@
     return record;
   }
 
-  /// The record of which the first copy at `offset` is damaged, by its second copy. That one tells by itself
-  /// where it begins: as far behind the first as that is long.
+  /// The second copy of the record whose first copy at `offset` is damaged. The damaged length can't be
+  /// trusted, so every length is tried: both copies have the same length, and the second directly follows the
+  /// first.
   [[nodiscard]] std::optional<std::string_view> intact_second_copy(std::size_t offset,
                                                                    std::uint64_t sequence) const {
     for (std::size_t length = 0;
@@ -78,7 +80,7 @@
     return std::nullopt;
   }
 
-  /// Whether an intact copy of a later record begins anywhere from `offset` on.
+  /// Whether an intact copy of a later record begins at or after `offset`.
   [[nodiscard]] bool has_later_record(std::size_t offset, std::uint64_t sequence) const {
     for (std::size_t position = offset; position + kHeaderBytes <= file_.size(); ++position) {
       const std::uint64_t found = read_little_endian(file_, position + kSequenceOffset, kSequenceBytes);
@@ -97,7 +99,7 @@
   bool has_damaged_copy = false;
 };
 
-/// The record at `offset` by whichever copy is intact; none where neither is.
+/// Reads the record at `offset` from an intact copy; empty if both copies are damaged.
 std::optional<RecoveredRecord> recover_record(const CopyReader& reader, std::size_t offset,
                                               std::uint64_t sequence) {
   if (const auto first = reader.copy_at(offset, sequence)) {
@@ -110,7 +112,7 @@
 
 }  // namespace
 
-/// Both copies of each record, as they go to the disk; none where one is too long.
+/// Encodes both copies of each record; empty if a record is too long.
 std::optional<std::string> Journal::encode(const std::vector<std::string>& records) {
   std::string bytes;
   for (const std::string& record : records) {
@@ -124,7 +126,7 @@
   return bytes;
 }
 
-/// Always false. `error`: an errno, 0 for none.
+/// Marks the journal as failed and returns false. `error` is an errno value, 0 for none.
 bool Journal::fail(const std::string& reason, int error) {
   failed_ = true;
   file_.reset();
@@ -142,8 +144,8 @@
   while (offset < reader.file_size()) {
     const auto recovered = recover_record(reader, offset, next_sequence_);
     if (!recovered) {
-      // It was being written when the process or the machine ended; unless there is more behind it: then it
-      // was durable and has been damaged.
+      // An unreadable record at the end is the result of a write interrupted by a crash. If later records
+      // follow, it was durable and has been damaged.
       if (!reader.has_later_record(offset + 1, next_sequence_)) break;
       return fail("record " + std::to_string(next_sequence_) + " at byte " + std::to_string(offset) +
                   " is damaged in both copies");
@@ -153,7 +155,7 @@
     ++next_sequence_;
     offset = std::min(reader.file_size(), offset + 2 * (kHeaderBytes + recovered->record.size()));
   }
-  // Rewritten as a whole: guards against damage to the other copy as well.
+  // The file is rewritten, so that each record has two intact copies again.
   if (repaired_records_ > 0) return replace(records);
   if (const int error = folder_.open_for_append(name_, offset, file_)) return fail("can't be opened", error);
   return true;
@@ -165,7 +167,7 @@
     if (const int error = file.write(bytes, written)) return fail("can't be written", error);
     bytes.remove_prefix(std::min(written, bytes.size()));
   }
-  if (const int error = file.sync()) return fail("is not on the disk", error);
+  if (const int error = file.sync()) return fail("can't be flushed to disk", error);
   return true;
 }
 
@@ -183,10 +185,10 @@
   if (!bytes) return false;
   const std::string new_name = name_ + ".new";
   std::unique_ptr<File> file;
-  if (const int error = folder_.create(new_name, file)) return fail("can't be made", error);
+  if (const int error = folder_.create(new_name, file)) return fail("can't be created", error);
   if (!write_and_sync(*file, *bytes)) return false;
-  if (const int error = folder_.rename(new_name, name_)) return fail("can't be put in place", error);
-  if (const int error = folder_.sync()) return fail("is not on the disk", error);
+  if (const int error = folder_.rename(new_name, name_)) return fail("can't be renamed into place", error);
+  if (const int error = folder_.sync()) return fail("can't be flushed to disk", error);
   file_ = std::move(file);
   return true;
 }
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// An append-only file of records. Each record is on the disk before its write is reported as done, and
-/// stands there twice with a checksum. docs/consensus.md, "Storage", says which faults it survives and why it
-/// is not a library's.
+/// An append-only file of records. Each record is flushed to disk before its write is reported as done, and
+/// is stored twice with a checksum. docs/consensus.md, "Storage", describes which faults it tolerates and why
+/// no library is used.
 #pragma once
 
 #include <cstdint>
@@ -16,27 +16,28 @@
 
 namespace edge_proxy::storage {
 
-/// One journal; not thread-safe. After a failure nothing more is written: guards against taking a record for
-/// durable after a sync that failed.
+/// One journal; not thread-safe. After a failure nothing more is written, so that no record is reported as
+/// durable after a failed sync.
 class Journal {
  public:
-  /// `name`: of the file in `folder`. `max_record_bytes`: a longer record fails the journal.
+  /// `name` is the file's name in `folder`. A record longer than `max_record_bytes` fails the journal.
   Journal(Folder& folder, std::string name, std::size_t max_record_bytes)
       : folder_(folder), name_(std::move(name)), max_record_bytes_(max_record_bytes) {}
 
-  /// Reads all records, oldest first; none where there is no file yet: then the first write creates it.
-  /// False: error() says what is wrong, and no record may be used. A record at the very end that was being
-  /// written when the process or the machine ended is dropped: its write was never reported as done.
+  /// Reads all records, oldest first. A missing file has no records and is created by the first write.
+  /// Returns false on failure: error() gives the reason, and no record may be used. An incomplete last
+  /// record, left by a crash of the process or the machine during a write, is dropped: its write was never
+  /// reported as done.
   bool open(std::vector<std::string>& records);
-  /// True: the records are durable. False: the journal has failed for good.
+  /// Returns true once the records are durable, false if the journal has failed permanently.
   bool append(const std::vector<std::string>& records);
-  /// Replaces the content atomically. False: the journal has failed for good.
+  /// Replaces the content atomically. Returns false if the journal has failed permanently.
   bool replace(const std::vector<std::string>& records);
 
   [[nodiscard]] bool failed() const { return failed_; }
-  /// Why it failed; empty before.
+  /// The reason of the failure; empty if the journal has not failed.
   [[nodiscard]] const std::string& error() const { return error_; }
-  /// Number of records of which open() found one of the two copies damaged.
+  /// Number of records for which open() found one of the two copies damaged.
   [[nodiscard]] std::size_t repaired_record_count() const { return repaired_records_; }
 
  private:
@@ -49,7 +50,7 @@
   std::string error_;
   std::size_t max_record_bytes_;
   std::unique_ptr<File> file_;
-  std::uint64_t next_sequence_ = 0;  ///< guards against a record that stands in a wrong place
+  std::uint64_t next_sequence_ = 0;  ///< detects records at a wrong position
   std::size_t repaired_records_ = 0;
   bool failed_ = false;
 };
--- a/tests/app/edge_proxy_test.cpp
+++ b/tests/app/edge_proxy_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The started program over loopback, in the scenarios' language (scenario.h).
+// Tests the edge proxy process over loopback with scenarios (scenario.h).
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -9,7 +9,7 @@
 namespace edge_proxy::test {
 namespace {
 
-TEST(Program, ServesOverSocketsAndSaysWhyConnectionsEnd) {
+TEST(EdgeProxyProcess, ServesOverSocketsAndLogsWhyConnectionsEnd) {
   StartedProgram program;
   run_scenario(program, R"(
     anna send probe 1
@@ -30,7 +30,7 @@
   )");
 }
 
-TEST(Program, SurvivesADeadCacheAndAPurge) {
+TEST(EdgeProxyProcess, ServesAfterCacheFailuresAndAnInvalidation) {
   StartedProgram program;
   run_scenario(program, R"(
     bulletin expect get last=1
@@ -53,7 +53,7 @@
   )");
 }
 
-TEST(Program, ALargeAnswerComesWhole) {
+TEST(EdgeProxyProcess, LargeAnswerIsDeliveredWhole) {
   StartedProgram program;
   run_scenario(program, "anna send 1 video\nbox-1 expect serve 1");
   const std::string body(240'000, 'y');
@@ -61,8 +61,8 @@
   run_scenario(program, "anna expect served 1 body=" + body);
 }
 
-TEST(Program, EndsThoughAPeerBreaksOffWhileItIsWrittenTo) {
-  // Guards against a socket that is kept after a failed write: the program would never end.
+TEST(EdgeProxyProcess, ShutsDownAfterAClientResetsDuringAWrite) {
+  // Guards against a socket that is kept open after a failed write: the process would never exit.
   StartedProgram program;
   const std::string body(240'000, 'y');
   for (char id = '1'; id <= '9'; ++id)
@@ -73,7 +73,7 @@
   EXPECT_EQ(program.exit_code(), 0);
 }
 
-TEST(Program, TermFinishesWhatWasTakenAndExitsWithZero) {
+TEST(EdgeProxyProcess, SigtermFinishesAcceptedRequestsAndExitsWithZero) {
   StartedProgram program;
   run_scenario(program, R"(
     anna send 1 pages
@@ -92,8 +92,8 @@
   EXPECT_EQ(program.exit_code(), 0);
 }
 
-TEST(Program, ALogThatNobodyReadsHoldsNothingUp) {
-  // Guards against waiting for whoever reads standard output, with all requests.
+TEST(EdgeProxyProcess, StalledLogReaderDoesNotBlockRequests) {
+  // Guards against requests that block because nothing reads standard output.
   StartedProgram program;
   program.stall_log();
   for (int i = 0; i < 100; ++i) {
@@ -105,7 +105,7 @@
       "anna send 1 pages\nbox-1 expect serve 1\nbox-1 send HIT 1 ver=a b\nanna expect served 1 body=b\n");
 }
 
-TEST(Program, ReadsTheBulletinBeforeTheRequestsThatCameWhileItStoodStill) {
+TEST(EdgeProxyProcess, AppliesInvalidationsBeforeRequestsThatArrivedWhileStopped) {
   StartedProgram program;
   run_scenario(program, R"(
     bulletin expect get last=1
@@ -115,7 +115,7 @@
     box-1 send HIT 1 ver=a b
     anna expect served 1
   )");
-  program.signal_it(SIGSTOP);
+  program.send_signal(SIGSTOP);
   run_scenario(program, R"(
     wait 50
     anna send 2 video
@@ -123,17 +123,18 @@
     bulletin send {"no":2,"recall":{"lot":17,"issued":1}}
     wait 50
   )");
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(
-                      std::chrono::system_clock::now().time_since_epoch())
-                      .count();
-  program.send("bulletin", R"(data: {"no":3,"recall":{"lot":17,"issued":)" + std::to_string(ms) + "}}\n\n");
+  const auto now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
+                          std::chrono::system_clock::now().time_since_epoch())
+                          .count();
+  program.send("bulletin",
+               R"(data: {"no":3,"recall":{"lot":17,"issued":)" + std::to_string(now_ms) + "}}\n\n");
   program.wait(std::chrono::milliseconds(50));
-  program.signal_it(SIGCONT);
+  program.send_signal(SIGCONT);
   run_scenario(program, "box-1 expect serve 2 oldest=*\nbox-1 send HIT 2 ver=a b\nanna expect served 2\n");
 }
 
-TEST(Program, HangupTakesTheNewConfigurationAndKeepsRequestsAndConnections) {
-  // Guards against ending on SIGHUP, which loses all that was taken.
+TEST(EdgeProxyProcess, SighupReloadsTheConfigurationAndKeepsRequestsAndConnections) {
+  // Guards against SIGHUP terminating the process, which loses all accepted requests.
   StartedProgram program;
   run_scenario(program, R"(
     bulletin expect get last=1
@@ -156,9 +157,9 @@
   EXPECT_EQ(program.exit_code(), 0);
 }
 
-TEST(Program, AnUpgradeTurnsNobodyBackAndKeepsWhatWasTakenOutByHand) {
+TEST(EdgeProxyProcess, UpgradeRejectsNoClientAndKeepsAdminOverrides) {
   StartedProgram program({"box-1", "box-2", "up-1", "main"});
-  // Anna connects before there are two that listen, so that her request is the old one's.
+  // Client anna connects before the second process listens, so the old process gets its request.
   run_scenario(program, R"(
     ops send POST /v1/pop-caches/box-2/suspend
     ops expect 200
@@ -172,39 +173,42 @@
     ops-3 send GET /v1/metrics
     ops-3 expect 200 svc.hosts_down:1|g
   )");
-  // Her patience is far longer than all that follows takes on a busy machine: where it ran out first, the
-  // cancel of request 1 came to box-1 in the place of a request of the new clients.
+  // The deadline of request 1 (9 s) exceeds the rest of the test on a busy machine. If it expired first,
+  // box-1 would receive the cancel of request 1 instead of a request of a new client.
   run_scenario(program, "anna send 1 pages limit=9000\nbox-1 expect serve 1\n");
-  program.terminate_old();
-  const auto old_logs = [&program](const char* line) {
-    const auto until = std::chrono::steady_clock::now() + program.expectation_timeout();
-    while (program.old_log().find(line) == std::string::npos && std::chrono::steady_clock::now() < until)
+  program.terminate_old_process();
+  const auto old_process_logs = [&program](const char* line) {
+    const auto deadline = std::chrono::steady_clock::now() + program.expectation_timeout();
+    while (program.old_process_log().find(line) == std::string::npos &&
+           std::chrono::steady_clock::now() < deadline)
       program.wait(std::chrono::milliseconds(5));
-    return program.old_log().find(line) != std::string::npos;
+    return program.old_process_log().find(line) != std::string::npos;
   };
-  ASSERT_TRUE(old_logs("stopping open=1")) << program.old_log();
-  // By turns they would go to both, and be reset when the old one closes its listening socket after 1 s.
-  const auto closed_by = std::chrono::steady_clock::now() + std::chrono::milliseconds(1300);
-  int asked = 0;
-  while (std::chrono::steady_clock::now() < closed_by) {
-    const std::string number = std::to_string(2 + asked++), client = "new-" + number;
+  ASSERT_TRUE(old_process_logs("stopping open=1")) << program.old_process_log();
+  // If new connections were distributed over both processes, some would be reset when the old process closes
+  // its listening socket after 1 s.
+  const auto listener_closed_at = std::chrono::steady_clock::now() + std::chrono::milliseconds(1300);
+  int request_count = 0;
+  while (std::chrono::steady_clock::now() < listener_closed_at) {
+    const std::string number = std::to_string(2 + request_count++), client = "new-" + number;
     run_scenario(program, client + " send " + number + " pages\nbox-1 expect serve " + number +
                               "\nbox-1 send HIT " + number + " ver=a b\n" + client + " expect served " +
                               number + "\nwait 50\n");
-    ASSERT_FALSE(HasFailure()) << program.old_log() << "-- the new one:\n" << program.log();
+    ASSERT_FALSE(HasFailure()) << program.old_process_log() << "-- log of the new process:\n"
+                               << program.log();
   }
   run_scenario(program, "ops-4 send GET /v1/metrics\nops-4 expect 200 svc.calls.pages.success:" +
-                            std::to_string(asked) + "|c");
+                            std::to_string(request_count) + "|c");
   run_scenario(program, "box-1 send HIT 1 ver=a b\nanna expect served 1\nanna expect closed");
-  const auto until = std::chrono::steady_clock::now() + program.expectation_timeout();
-  while (!program.old_stopped() && std::chrono::steady_clock::now() < until)
+  const auto deadline = std::chrono::steady_clock::now() + program.expectation_timeout();
+  while (!program.old_process_stopped() && std::chrono::steady_clock::now() < deadline)
     program.wait(std::chrono::milliseconds(10));
   EXPECT_EQ(program.exit_code(), 0);
   run_scenario(program, "edge send TERM\nedge expect stopped");
   EXPECT_EQ(program.exit_code(), 0);
 }
 
-TEST(Program, AFaultyConfigurationIsNamedAndEndsIt) {
+TEST(EdgeProxyProcess, InvalidConfigurationIsReportedAndExitsWithOne) {
   StartedProgram program({"box-1"}, [](std::string config) {
     const std::string key = R"("max_retry_after":500000)";
     return config.replace(config.find(key), key.size(), R"("max_retry_after":"soon")");
@@ -216,12 +220,12 @@
       << program.log();
 }
 
-TEST(Program, AnAddressInUseIsNamedAndEndsIt) {
+TEST(EdgeProxyProcess, AddressInUseIsReportedAndExitsWithOne) {
   StartedProgram program({"box-1"}, [](std::string config) {
     const std::size_t at = config.find("\"host_port\":\"") + 13;
-    const std::string taken = config.substr(at, config.find('"', at) - at);
+    const std::string address_in_use = config.substr(at, config.find('"', at) - at);
     const std::size_t listen = config.find("\"listen\":\"") + 10;
-    return config.replace(listen, config.find('"', listen) - listen, taken);
+    return config.replace(listen, config.find('"', listen) - listen, address_in_use);
   });
   EXPECT_TRUE(program.has_stopped());
   EXPECT_EQ(program.exit_code(), 1);
--- a/tests/app/readiness_test.cpp
+++ b/tests/app/readiness_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// How soon many processes that start at one moment are ready, while discovery is down or slow.
+// Tests how soon many simultaneously started processes are ready while discovery is down or slow.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <poll.h>
@@ -26,143 +26,157 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-int listening(int& port) {
-  const int fd = bound_socket(port);
+int listen_on(int& port) {
+  const int fd = bind_shared_socket(port);
   fcntl(fd, F_SETFL, O_NONBLOCK);
   EXPECT_EQ(listen(fd, 512), 0);
   return fd;
 }
 
-/// `probe`, as clients ask it; the answer holds `good` as its last field but one byte.
-const std::string kProbe("\0\0\0\x12\x80\1\0\1\0\0\0\5probe\0\0\0\1\0", 22);
-const std::string kGood("\2\0\3\1", 4);
+/// The client call `probe`; in the answer of a ready process, kReadyAnswer precedes the last byte.
+const std::string kProbeRequest("\0\0\0\x12\x80\1\0\1\0\0\0\5probe\0\0\0\1\0", 22);
+const std::string kReadyAnswer("\2\0\3\1", 4);
 
 struct Process {
   int pid = -1, port = 0, socket = -1;
-  bool asked = false, ready = false;
-  Clock::time_point begun{};
-  std::chrono::milliseconds took{0};
+  bool probe_sent = false, ready = false;
+  Clock::time_point started_at{};
+  std::chrono::milliseconds time_to_ready{0};
 };
 
-/// Starts `count` processes at once; the bulletin takes calls from `opens` on and says nothing for `slow`
-/// after a call. Where the list is not in the configuration, they are ready only once it has told them. The
-/// times from exec to `probe` good, shortest first.
-std::vector<std::chrono::milliseconds> start_all(int count, bool listed_at_start,
-                                                 std::chrono::milliseconds opens,
-                                                 std::chrono::milliseconds slow) {
+/// Starts `count` processes at once. Discovery listens after `discovery_start_delay` and answers each call
+/// after `discovery_answer_delay`. Without an endpoint list in the configuration, the processes are ready
+/// only after discovery has sent one. Returns the times from the start to a positive `probe` answer, in
+/// ascending order.
+std::vector<std::chrono::milliseconds> measure_times_to_ready(
+    int count, bool listed_at_start, std::chrono::milliseconds discovery_start_delay,
+    std::chrono::milliseconds discovery_answer_delay) {
   std::signal(SIGPIPE, SIG_IGN);
   const char* deployed = std::getenv("EDGE_PROXY_DEPLOYED");
   const std::string program = deployed != nullptr ? deployed : EDGE_PROXY_PROGRAM;
   std::string folder = "/tmp/edge_proxy-test-XXXXXX";
   EXPECT_NE(mkdtemp(folder.data()), nullptr);
-  int bulletin_port = 0, bulletin = listening(bulletin_port);
-  close(std::exchange(bulletin, -1));
+  int discovery_port = 0, discovery_socket = listen_on(discovery_port);
+  close(std::exchange(discovery_socket, -1));
   const auto address = [](int port) { return "127.0.0.1:" + std::to_string(port); };
-  std::vector<Process> all(static_cast<std::size_t>(count));
-  for (Process& p : all) p.port = free_port();
-  posix_spawn_file_actions_t
-      quiet;  // not fork: the tests' own process is large, and copying it takes longest
-  posix_spawn_file_actions_init(&quiet);
-  posix_spawn_file_actions_addopen(&quiet, 1, "/dev/null", O_WRONLY, 0);
-  const auto begun = Clock::now();
-  for (Process& p : all) {
-    const std::string path = folder + "/" + std::to_string(p.port);
+  std::vector<Process> processes(static_cast<std::size_t>(count));
+  for (Process& process : processes) process.port = reserve_port();
+  posix_spawn_file_actions_t file_actions;  // posix_spawn because fork would copy the large test process,
+                                            // which dominates the start time
+  posix_spawn_file_actions_init(&file_actions);
+  posix_spawn_file_actions_addopen(&file_actions, 1, "/dev/null", O_WRONLY, 0);
+  const auto start_time = Clock::now();
+  for (Process& process : processes) {
+    const std::string path = folder + "/" + std::to_string(process.port);
     std::ofstream(path) << config_text(
         listed_at_start ? std::vector<std::string>{"box-1", "up-1", "main"} : std::vector<std::string>{},
-        {{"edge", address(p.port)}, {"bulletin", address(bulletin_port)}, {"admin", address(p.port)}});
+        {{"edge", address(process.port)},
+         {"bulletin", address(discovery_port)},
+         {"admin", address(process.port)}});
     const std::string config = "GW_CONFIG=" + path,
-                      admin = "GW_ADMIN_ADDR=127.0.0.2:" + std::to_string(p.port);
+                      admin = "GW_ADMIN_ADDR=127.0.0.2:" + std::to_string(process.port);
     std::array<char*, 3> environment{const_cast<char*>(config.c_str()), const_cast<char*>(admin.c_str()),
                                      nullptr};
-    std::array<char*, 2> words{const_cast<char*>(program.c_str()), nullptr};
-    p.begun = Clock::now();
-    EXPECT_EQ(posix_spawn(&p.pid, program.c_str(), &quiet, nullptr, words.data(), environment.data()), 0);
+    std::array<char*, 2> arguments{const_cast<char*>(program.c_str()), nullptr};
+    process.started_at = Clock::now();
+    EXPECT_EQ(posix_spawn(&process.pid, program.c_str(), &file_actions, nullptr, arguments.data(),
+                          environment.data()),
+              0);
   }
-  posix_spawn_file_actions_destroy(&quiet);
+  posix_spawn_file_actions_destroy(&file_actions);
   struct Call {
     int socket;
-    Clock::time_point at;
+    Clock::time_point accepted_at;
     bool answered = false;
   };
   std::vector<Call> calls;
-  const std::string news =
+  const std::string endpoint_list_event =
       "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\ndata: "
       R"({"no":1,"roster":{"revision":1,"complete":true,"members":[)" +
       member_json("box-1", "127.0.0.1:9") + "]}}\n\n";
-  while (Clock::now() - begun < 20s &&
-         !std::all_of(all.begin(), all.end(), [](const Process& p) { return p.ready; })) {
+  while (Clock::now() - start_time < 20s &&
+         !std::all_of(processes.begin(), processes.end(),
+                      [](const Process& process) { return process.ready; })) {
     std::vector<pollfd> polled;
-    if (bulletin < 0 && Clock::now() - begun >= opens) bulletin = listening(bulletin_port);
-    if (bulletin >= 0) polled.push_back({bulletin, POLLIN, 0});
-    for (Process& p : all) {
-      if (p.ready) continue;
-      if (p.socket < 0) {
-        p.socket = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        const sockaddr_in where = loopback(p.port);
-        if (connect(p.socket, reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0) {
-          close(std::exchange(p.socket, -1));
+    if (discovery_socket < 0 && Clock::now() - start_time >= discovery_start_delay)
+      discovery_socket = listen_on(discovery_port);
+    if (discovery_socket >= 0) polled.push_back({discovery_socket, POLLIN, 0});
+    for (Process& process : processes) {
+      if (process.ready) continue;
+      if (process.socket < 0) {
+        process.socket = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+        const sockaddr_in target = loopback_address(process.port);
+        if (connect(process.socket, reinterpret_cast<const sockaddr*>(&target), sizeof target) != 0) {
+          close(std::exchange(process.socket, -1));
           continue;
         }
-        p.asked = false;
+        process.probe_sent = false;
       }
-      if (!std::exchange(p.asked, true)) (void)!send(p.socket, kProbe.data(), kProbe.size(), MSG_NOSIGNAL);
-      polled.push_back({p.socket, POLLIN, 0});
+      if (!std::exchange(process.probe_sent, true))
+        (void)!send(process.socket, kProbeRequest.data(), kProbeRequest.size(), MSG_NOSIGNAL);
+      polled.push_back({process.socket, POLLIN, 0});
     }
     poll(polled.data(), polled.size(), 10);
-    while (bulletin >= 0) {
-      const int call = accept4(bulletin, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
+    while (discovery_socket >= 0) {
+      const int call = accept4(discovery_socket, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
       if (call < 0) break;
       calls.push_back({call, Clock::now()});
     }
     for (Call& call : calls) {
-      if (!call.answered && Clock::now() - call.at >= slow) {
+      if (!call.answered && Clock::now() - call.accepted_at >= discovery_answer_delay) {
         call.answered = true;
-        (void)!send(call.socket, news.data(), news.size(), MSG_NOSIGNAL);
+        (void)!send(call.socket, endpoint_list_event.data(), endpoint_list_event.size(), MSG_NOSIGNAL);
       }
     }
-    for (Process& p : all) {
-      std::string got(256, '\0');
-      const ssize_t size =
-          p.socket < 0 || p.ready ? -1 : recv(p.socket, got.data(), got.size(), MSG_DONTWAIT);
+    for (Process& process : processes) {
+      std::string received(256, '\0');
+      const ssize_t size = process.socket < 0 || process.ready
+                               ? -1
+                               : recv(process.socket, received.data(), received.size(), MSG_DONTWAIT);
       if (size <= 0) continue;
-      p.asked = false;
-      p.ready = got.substr(0, static_cast<std::size_t>(size)).find(kGood) != std::string::npos;
-      p.took = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - p.begun);
+      process.probe_sent = false;
+      process.ready =
+          received.substr(0, static_cast<std::size_t>(size)).find(kReadyAnswer) != std::string::npos;
+      process.time_to_ready =
+          std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - process.started_at);
     }
   }
-  std::vector<std::chrono::milliseconds> took;
-  for (Process& p : all) {
-    took.push_back(p.ready ? p.took : 1h);
-    kill(p.pid, SIGKILL);
-    waitpid(p.pid, nullptr, 0);
-    if (p.socket >= 0) close(p.socket);
+  std::vector<std::chrono::milliseconds> times_to_ready;
+  for (Process& process : processes) {
+    times_to_ready.push_back(process.ready ? process.time_to_ready : 1h);
+    kill(process.pid, SIGKILL);
+    waitpid(process.pid, nullptr, 0);
+    if (process.socket >= 0) close(process.socket);
   }
   for (const Call& call : calls) close(call.socket);
-  if (bulletin >= 0) close(bulletin);
+  if (discovery_socket >= 0) close(discovery_socket);
   std::filesystem::remove_all(folder);
-  std::sort(took.begin(), took.end());
-  return took;
+  std::sort(times_to_ready.begin(), times_to_ready.end());
+  return times_to_ready;
 }
 
-void nine_in_ten_within_ten_seconds(const char* what, const std::vector<std::chrono::milliseconds>& took) {
-  const auto ninth = took[took.size() * 9 / 10];
-  std::cout << what << ": " << took.size() << " processes, median " << took[took.size() / 2].count()
-            << " ms, nine in ten " << ninth.count() << " ms, last " << took.back().count() << " ms\n";
-  EXPECT_LT(ninth, 10s) << what;
+void expect_nine_in_ten_ready_within_10s(const char* scenario,
+                                         const std::vector<std::chrono::milliseconds>& times) {
+  const auto ninth_decile = times[times.size() * 9 / 10];
+  std::cout << scenario << ": " << times.size() << " processes, median " << times[times.size() / 2].count()
+            << " ms, nine in ten " << ninth_decile.count() << " ms, last " << times.back().count() << " ms\n";
+  EXPECT_LT(ninth_decile, 10s) << scenario;
 }
 
-int count_of() {
-  const char* count = std::getenv("EDGE_PROXY_STARTED");  // more, for the figures of docs/fleet.md
+int process_count() {
+  const char* count =
+      std::getenv("EDGE_PROXY_STARTED");  // a larger count is used for the figures of docs/fleet.md
   return count == nullptr ? 40 : std::atoi(count);
 }
 
-TEST(Readiness, ManyThatStartAtOnceWithTheListInTheirConfiguration) {
-  nine_in_ten_within_ten_seconds("discovery down throughout", start_all(count_of(), true, 30s, 0ms));
+TEST(Readiness, ProcessesWithAConfiguredEndpointListAreReadyWithoutDiscovery) {
+  expect_nine_in_ten_ready_within_10s("discovery down throughout",
+                                      measure_times_to_ready(process_count(), true, 30s, 0ms));
 }
 
-TEST(Readiness, ManyThatStartAtOnceWithoutAListWhileDiscoveryIsDownAndThenSlow) {
-  nine_in_ten_within_ten_seconds("no list, discovery down for 3 s, then 0.6 s slow",
-                                 start_all(count_of(), false, 3s, 600ms));
+TEST(Readiness, ProcessesWithoutAnEndpointListAreReadyOnceSlowDiscoveryReturns) {
+  expect_nine_in_ten_ready_within_10s("no list, discovery down for 3 s, then 0.6 s slow",
+                                      measure_times_to_ready(process_count(), false, 3s, 600ms));
 }
 
 }  // namespace
--- a/tests/cluster/cluster.cpp
+++ b/tests/cluster/cluster.cpp
@@ -24,7 +24,7 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-std::string at(int port) { return "127.0.0.1:" + std::to_string(port); }
+std::string local_address(int port) { return "127.0.0.1:" + std::to_string(port); }
 
 }  // namespace
 
@@ -48,14 +48,14 @@
 std::size_t Fleet::add(const std::string& name) {
   Process process;
   process.name = name;
-  const std::string own = root_ + "/" + std::to_string(processes_.size());
-  process.folder = own + "-disk";
-  process.log = own + ".log";
-  process.config = own + ".json";
+  const std::string path_prefix = root_ + "/" + std::to_string(processes_.size());
+  process.folder = path_prefix + "-disk";
+  process.log = path_prefix + ".log";
+  process.config = path_prefix + ".json";
   std::filesystem::create_directory(process.folder);
-  process.port = free_port();
-  process.listen = free_port();
-  process.admin = free_port();
+  process.port = reserve_port();
+  process.listen = reserve_port();
+  process.admin = reserve_port();
   processes_.push_back(std::move(process));
   return processes_.size() - 1;
 }
@@ -68,37 +68,39 @@
     int port = processes_[j].port;
     if (options_.relays) {
       if (process.relays.count(j) == 0) process.relays[j] = relays_.add(port);
-      routes += (routes.empty() ? "\"" : ",\"") + at(port) + "\":\"" + at(process.relays[j]) + "\"";
+      routes += (routes.empty() ? "\"" : ",\"") + local_address(port) + "\":\"" +
+                local_address(process.relays[j]) + "\"";
       port = process.relays[j];
     }
-    if (j < 3) seeds += (seeds.empty() ? "\"" : ",\"") + at(port) + "\"";
+    if (j < 3) seeds += (seeds.empty() ? "\"" : ",\"") + local_address(port) + "\"";
   }
-  // A cluster of its own: guards it against a fleet of another test run beside it that was given a port which
-  // one of this fleet's had before.
+  // The cluster name is unique, so that a fleet of a concurrent test run that reuses a port of this fleet
+  // can't join it.
   const std::string cluster = root_.substr(root_.rfind('-') + 1);
-  std::string text = config_text(
-      {}, {{"edge", at(process.listen)}, {"admin", at(process.admin)}, {"bulletin", at(process.listen)}});
-  text.insert(1, R"("peers":{"cluster":")" + cluster + R"(","listen":")" + at(process.port) +
+  std::string text = config_text({}, {{"edge", local_address(process.listen)},
+                                      {"admin", local_address(process.admin)},
+                                      {"bulletin", local_address(process.listen)}});
+  text.insert(1, R"("peers":{"cluster":")" + cluster + R"(","listen":")" + local_address(process.port) +
                      R"(","folder":")" + process.folder + R"(","seeds":[)" + seeds + R"(],"routes":{)" +
-                     routes + "}" + options_.more + "},");
+                     routes + "}" + options_.extra_peers_config + "},");
   if (options_.voters > 0) {
     std::string voters;
     for (std::size_t v = 0; v < options_.voters; ++v) voters += (v == 0 ? "\"" : ",\"") + name(v) + "\"";
     text.insert(1, R"("policy":{"voters":[)" + voters + R"(],"folder":")" + process.folder +
-                       R"(","trace":true)" + options_.more_policy + "},");
+                       R"(","trace":true)" + options_.extra_policy_config + "},");
   }
-  if (options_.edit) text = options_.edit(i, text);
+  if (options_.edit_config) text = options_.edit_config(i, text);
   std::ofstream(process.config) << text;
 }
 
-void Fleet::note(const std::string& what) {
-  const auto ms = std::chrono::duration_cast<milliseconds>(Clock::now() - began_).count();
-  timeline_ += std::to_string(ms) + " ms: " + what + "\n";
+void Fleet::record_event(const std::string& what) {
+  const auto ms = std::chrono::duration_cast<milliseconds>(Clock::now() - started_at_).count();
+  event_timeline_ += std::to_string(ms) + " ms: " + what + "\n";
 }
 
 void Fleet::start(std::size_t i) {
   Process& process = processes_[i];
-  note("start " + process.name);
+  record_event("start " + process.name);
   process.pid = fork();
   process.stopped = false;
   if (process.pid != 0) return;
@@ -112,79 +114,81 @@
   _exit(127);
 }
 
-void Fleet::reap(std::size_t i, bool in_order) {
+void Fleet::reap(std::size_t i, bool expect_clean_exit) {
   Process& process = processes_[i];
-  const auto until = Clock::now() + std::chrono::seconds(20);
+  const auto deadline = Clock::now() + std::chrono::seconds(20);
   int status = 0;
   while (waitpid(process.pid, &status, WNOHANG) != process.pid) {
-    if (Clock::now() > until) {
-      ADD_FAILURE() << process.name << " did not end\n" << story();
+    if (Clock::now() > deadline) {
+      ADD_FAILURE() << process.name << " did not end\n" << diagnostics();
       return;
     }
-    pass(milliseconds(5));
+    sleep_for(milliseconds(5));
   }
   process.pid = -1;
-  if (!in_order) return;
-  EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << process.name << "\n" << story();
+  if (!expect_clean_exit) return;
+  EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << process.name << "\n" << diagnostics();
 }
 
 void Fleet::kill(std::size_t i) {
-  note("kill " + processes_[i].name);
+  record_event("kill " + processes_[i].name);
   ASSERT_GT(processes_[i].pid, 0);
   ::kill(processes_[i].pid, SIGKILL);
   reap(i, false);
 }
 void Fleet::terminate(std::size_t i) {
-  note("terminate " + processes_[i].name);
+  record_event("terminate " + processes_[i].name);
   ASSERT_GT(processes_[i].pid, 0);
   ::kill(processes_[i].pid, SIGTERM);
   reap(i, true);
 }
 void Fleet::stop(std::size_t i) {
-  note("stop " + processes_[i].name);
+  record_event("stop " + processes_[i].name);
   ASSERT_GT(processes_[i].pid, 0);
   processes_[i].stopped = true;
   ::kill(processes_[i].pid, SIGSTOP);
 }
 void Fleet::resume(std::size_t i) {
-  note("resume " + processes_[i].name);
+  record_event("resume " + processes_[i].name);
   ASSERT_GT(processes_[i].pid, 0);
   processes_[i].stopped = false;
   ::kill(processes_[i].pid, SIGCONT);
 }
-bool Fleet::disk_knows(std::size_t i, std::size_t count) const {
+bool Fleet::disk_lists_members(std::size_t i, std::size_t count) const {
   std::ifstream file(processes_[i].folder + "/peers-" + processes_[i].name, std::ios::binary);
-  const std::string kept(std::istreambuf_iterator<char>(file), {});
+  const std::string stored(std::istreambuf_iterator<char>(file), {});
   for (std::size_t other = 0; other < count; ++other) {
-    if (other != i && kept.find(name(other)) == std::string::npos) return false;
+    if (other != i && stored.find(name(other)) == std::string::npos) return false;
   }
   return true;
 }
 
 void Fleet::empty_disk(std::size_t i) {
-  note("empty the disk of " + processes_[i].name);
+  record_event("empty the disk of " + processes_[i].name);
   std::filesystem::remove_all(processes_[i].folder);
   std::filesystem::create_directory(processes_[i].folder);
 }
 
-std::size_t Fleet::start_double(std::size_t of) {
-  const std::size_t i = add(processes_[of].name);
+std::size_t Fleet::start_duplicate(std::size_t original) {
+  const std::size_t i = add(processes_[original].name);
   write_config(i);
-  note("a double of " + processes_[of].name);
+  record_event("start a duplicate of " + processes_[original].name);
   start(i);
   return i;
 }
 
-void Fleet::set(std::size_t from, std::size_t to, const Fault& fault) {
-  note("from " + std::to_string(from) + " to " + std::to_string(to) + ": cut=" + std::to_string(fault.cut) +
-       " drop=" + std::to_string(fault.drop) + " corrupt=" + std::to_string(fault.corrupt));
+void Fleet::set_fault(std::size_t from, std::size_t to, const Fault& fault) {
+  record_event("from " + std::to_string(from) + " to " + std::to_string(to) +
+               ": cut=" + std::to_string(fault.cut) + " drop=" + std::to_string(fault.drop) +
+               " corrupt=" + std::to_string(fault.corrupt));
   relays_.set(processes_[from].relays.at(to), fault);
 }
-void Fleet::set_all(const Fault& fault) {
+void Fleet::set_fault_on_all(const Fault& fault) {
   for (std::size_t i = 0; i < size(); ++i) {
     for (const auto& [to, port] : processes_[i].relays) relays_.set(port, fault);
   }
-  note("between all: drop=" + std::to_string(fault.drop) + " corrupt=" + std::to_string(fault.corrupt));
+  record_event("between all: drop=" + std::to_string(fault.drop) +
+               " corrupt=" + std::to_string(fault.corrupt));
 }
 void Fleet::split(std::size_t first, bool cut) {
   Fault fault;
@@ -194,44 +198,45 @@
       if ((i < first) != (to < first)) relays_.set(port, fault);
     }
   }
-  note(std::string(cut ? "cut" : "heal") + " those below " + std::to_string(first) + " and the others");
+  record_event(std::string(cut ? "cut" : "heal") + " the processes below " + std::to_string(first) +
+               " and the others");
 }
 
-void Fleet::throw_at(std::size_t i, const std::string& bytes) {
+void Fleet::send_datagram(std::size_t i, const std::string& bytes) {
   const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
-  const sockaddr_in to = loopback(processes_[i].port);
-  sendto(fd, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to);
+  const sockaddr_in address = loopback_address(processes_[i].port);
+  sendto(fd, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&address), sizeof address);
   close(fd);
 }
 
 std::pair<int, std::string> Fleet::call(std::size_t i, const std::string& method, const std::string& path,
-                                        const std::string& body, std::chrono::seconds span) {
+                                        const std::string& body, std::chrono::seconds timeout_seconds) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const sockaddr_in to = loopback(processes_[i].admin);
-  const timeval bound{span.count(), 0};
-  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &bound, sizeof bound);
-  std::string all;
-  if (connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) {
-    const std::string ask = method + " " + path +
-                            " HTTP/1.1\r\nHost: edge\r\nContent-Length: " + std::to_string(body.size()) +
-                            "\r\n\r\n" + body;
-    send(fd, ask.data(), ask.size(), MSG_NOSIGNAL);
+  const sockaddr_in address = loopback_address(processes_[i].admin);
+  const timeval timeout{timeout_seconds.count(), 0};
+  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  std::string response;
+  if (connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0) {
+    const std::string request = method + " " + path +
+                                " HTTP/1.1\r\nHost: edge\r\nContent-Length: " + std::to_string(body.size()) +
+                                "\r\n\r\n" + body;
+    send(fd, request.data(), request.size(), MSG_NOSIGNAL);
     std::array<char, 65536> buffer;
     for (ssize_t size = 0; (size = recv(fd, buffer.data(), buffer.size(), 0)) > 0;)
-      all.append(buffer.data(), static_cast<std::size_t>(size));
+      response.append(buffer.data(), static_cast<std::size_t>(size));
   }
   close(fd);
-  const std::size_t head = all.find("\r\n\r\n");
-  if (head == std::string::npos || all.size() < 12) return {0, ""};
-  return {std::stoi(all.substr(9, 3)), all.substr(head + 4)};
+  const std::size_t header_end = response.find("\r\n\r\n");
+  if (header_end == std::string::npos || response.size() < 12) return {0, ""};
+  return {std::stoi(response.substr(9, 3)), response.substr(header_end + 4)};
 }
 
-std::optional<ToldView> Fleet::view(std::size_t i) {
-  if (!runs(i)) return std::nullopt;
+std::optional<PeersView> Fleet::view(std::size_t i) {
+  if (!is_running(i)) return std::nullopt;
   const auto [status, body] = call(i, "GET", "/v1/peers");
   rapidjson::Document json;
   if (status != 200 || json.Parse(body.c_str()).HasParseError()) return std::nullopt;
-  ToldView view;
+  PeersView view;
   view.stands = json["stands"].GetString();
   view.digest = json["digest"].GetString();
   view.registered = json["registered"].GetUint64();
@@ -239,19 +244,19 @@
   view.differing = json["differing"].GetUint64();
   view.doubt = json["doubt"].GetUint64();
   for (const auto& member : json["members"].GetArray()) {
-    Told& told = view.members[member["name"].GetString()];
-    told.state = member["state"].GetString();
-    told.way = member.HasMember("way") ? member["way"].GetString() : "self";
-    told.disk = member["disk"].GetString();
-    told.incarnation = member["incarnation"].GetUint64();
+    MemberView& member_view = view.members[member["name"].GetString()];
+    member_view.state = member["state"].GetString();
+    member_view.way = member.HasMember("way") ? member["way"].GetString() : "self";
+    member_view.disk = member["disk"].GetString();
+    member_view.incarnation = member["incarnation"].GetUint64();
   }
   return view;
 }
 
-std::uint64_t Fleet::figure(std::size_t i, const std::string& name) {
+std::uint64_t Fleet::peers_metric(std::size_t i, const std::string& name) {
   return metric(i, "svc.peers." + name + ":");
 }
-std::uint64_t Fleet::policy_figure(std::size_t i, const std::string& name) {
+std::uint64_t Fleet::policy_metric(std::size_t i, const std::string& name) {
   return metric(i, "svc.policy." + name + ":");
 }
 
@@ -266,70 +271,70 @@
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
-bool Fleet::tells(std::size_t by, std::size_t of, const std::string& state) {
-  const auto told = view(by);
-  if (!told) return false;
-  const auto found = told->members.find(processes_[of].name);
-  return found != told->members.end() && found->second.state == state;
+bool Fleet::sees_state(std::size_t observer, std::size_t member, const std::string& state) {
+  const auto peers = view(observer);
+  if (!peers) return false;
+  const auto found = peers->members.find(processes_[member].name);
+  return found != peers->members.end() && found->second.state == state;
 }
 
-bool Fleet::all_tell(std::size_t of, const std::string& state) {
+bool Fleet::all_see_state(std::size_t member, const std::string& state) {
   for (std::size_t i = 0; i < size(); ++i) {
-    if (i != of && runs(i) && !tells(i, of, state)) return false;
+    if (i != member && is_running(i) && !sees_state(i, member, state)) return false;
   }
   return true;
 }
 
-bool Fleet::agree() {
+bool Fleet::all_agree() {
   std::size_t running = 0;
-  for (std::size_t i = 0; i < size(); ++i) running += runs(i) ? 1 : 0;
+  for (std::size_t i = 0; i < size(); ++i) running += is_running(i) ? 1 : 0;
   std::string digest;
   for (std::size_t i = 0; i < size(); ++i) {
-    if (!runs(i)) continue;
-    const auto told = view(i);
-    if (!told || told->stands != "whole" || told->reached != running) return false;
-    if (!digest.empty() && told->digest != digest) return false;
-    digest = told->digest;
+    if (!is_running(i)) continue;
+    const auto peers = view(i);
+    if (!peers || peers->stands != "whole" || peers->reached != running) return false;
+    if (!digest.empty() && peers->digest != digest) return false;
+    digest = peers->digest;
   }
   return true;
 }
 
 std::optional<milliseconds> Fleet::expect(const std::string& what, milliseconds bound,
                                           const std::function<bool()>& done) {
-  const auto began = Clock::now();
+  const auto start_time = Clock::now();
   while (true) {
-    const bool good = done();
-    const auto took = std::chrono::duration_cast<milliseconds>(Clock::now() - began);
-    if (good) {
-      note(what + " after " + std::to_string(took.count()) + " ms");
-      return took;
+    const bool is_done = done();
+    const auto elapsed = std::chrono::duration_cast<milliseconds>(Clock::now() - start_time);
+    if (is_done) {
+      record_event(what + " after " + std::to_string(elapsed.count()) + " ms");
+      return elapsed;
     }
-    if (took > bound) break;
-    pass(milliseconds(10));
+    if (elapsed > bound) break;
+    sleep_for(milliseconds(10));
   }
-  ADD_FAILURE() << "not within " << bound.count() << " ms: " << what << "\n" << story();
+  ADD_FAILURE() << "not within " << bound.count() << " ms: " << what << "\n" << diagnostics();
   return std::nullopt;
 }
 
-void Fleet::pass(milliseconds span) { poll(nullptr, 0, static_cast<int>(span.count())); }
+void Fleet::sleep_for(milliseconds duration) { poll(nullptr, 0, static_cast<int>(duration.count())); }
 
-std::string Fleet::story() {
+std::string Fleet::diagnostics() {
   std::ostringstream out;
-  out << timeline_;
+  out << event_timeline_;
   for (std::size_t i = 0; i < size(); ++i) {
-    out << "-- " << i << " " << processes_[i].name << (runs(i) ? "" : " (does not run)") << "\n";
-    if (const auto told = view(i)) {
-      out << "   stands " << told->stands << ", reaches " << told->reached << " of " << told->registered
+    out << "-- " << i << " " << processes_[i].name << (is_running(i) ? "" : " (not running)") << "\n";
+    if (const auto peers = view(i)) {
+      out << "   stands=" << peers->stands << ", reached " << peers->reached << " of " << peers->registered
           << ":";
-      for (const auto& [name, member] : told->members)
+      for (const auto& [name, member] : peers->members)
         out << " " << name << "=" << member.state << "/" << member.way;
       out << "\n";
     }
     std::istringstream lines(log(i));
     for (std::string line; std::getline(lines, line);) {
       if (line.find(" peer") != std::string::npos || line.find(" policy ") != std::string::npos ||
-          line.find("error") != std::string::npos || line.find("stood still") != std::string::npos ||
-          line.find("event loop stalled") != std::string::npos || line.find("field '") != std::string::npos)
+          line.find("error") != std::string::npos || line.find("event loop stalled") != std::string::npos ||
+          line.find("field '") != std::string::npos)
         out << "   " << line << "\n";
     }
   }
--- a/tests/cluster/policy_checker.h
+++ b/tests/cluster/policy_checker.h
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Clients that ask all processes all the while, and the check over what the processes have logged of their
-/// decisions.
+/// A continuous client load on all processes, and a check of the decisions that the processes have logged.
 #pragma once
 
 #include <atomic>
@@ -14,30 +13,30 @@
 
 namespace edge_proxy::test {
 
-/// One request after the other to each process, `every` apart; answers are read and thrown away. Bounded by
-/// its life.
-class Clients {
+/// Sends requests to each process, `interval` apart, and discards the answers, until destruction.
+class ClientLoad {
  public:
-  Clients(Fleet& fleet, std::chrono::milliseconds every);
-  ~Clients();
-  Clients(const Clients&) = delete;
-  Clients& operator=(const Clients&) = delete;
+  ClientLoad(Fleet& fleet, std::chrono::milliseconds interval);
+  ~ClientLoad();
+  ClientLoad(const ClientLoad&) = delete;
+  ClientLoad& operator=(const ClientLoad&) = delete;
 
  private:
-  void run(std::chrono::milliseconds every);
+  void run(std::chrono::milliseconds interval);
 
   std::vector<int> ports_;
-  std::atomic<bool> over_{false};
+  std::atomic<bool> stopping_{false};
   std::thread thread_;
 };
 
-struct Checked {
+/// The result of check_decisions().
+struct DecisionCheck {
   std::size_t decisions = 0;
   std::map<std::uint64_t, std::size_t> by_epoch;
   std::vector<std::string> violations;
 };
-/// Requests taken under an epoch after one was taken anywhere under the next, and attempts that began later
-/// than `bound` after that.
-Checked check_decisions(const std::vector<std::string>& logs, std::chrono::milliseconds bound);
+/// Finds requests that were accepted under an epoch after any process accepted one under a later epoch, and
+/// attempts under the old epoch that began more than `bound` after that.
+DecisionCheck check_decisions(const std::vector<std::string>& logs, std::chrono::milliseconds bound);
 
 }  // namespace edge_proxy::test
--- a/tests/cluster/relay.cpp
+++ b/tests/cluster/relay.cpp
@@ -22,13 +22,13 @@
   return ntohs(address.sin_port);
 }
 
-/// Both sockets of one port.
-std::pair<int, int> both() {
-  for (int tries = 0; tries < 100; ++tries) {
-    const int streams = bound(SOCK_STREAM, 0);
-    const int datagrams = bound(SOCK_DGRAM, port_of(streams));
-    if (datagrams >= 0) return {datagrams, streams};
-    close(streams);
+/// Binds a datagram and a stream socket to the same port.
+std::pair<int, int> bind_stream_and_datagram() {
+  for (int attempt = 0; attempt < 100; ++attempt) {
+    const int stream_socket = bind_exclusive(SOCK_STREAM, 0);
+    const int datagram_socket = bind_exclusive(SOCK_DGRAM, port_of(stream_socket));
+    if (datagram_socket >= 0) return {datagram_socket, stream_socket};
+    close(stream_socket);
   }
   throw std::runtime_error("no port is free for datagrams and streams");
 }
@@ -42,68 +42,68 @@
 Relays::~Relays() {
   stopping_ = true;
   thread_.join();
-  for (const auto& [socket, way] : by_socket_) close(socket);
+  for (const auto& [socket, link] : links_by_socket_) close(socket);
   for (const auto& [end, other] : pairs_) close(end);
   close(epoll_);
 }
 
 int Relays::add(int to_port) {
-  auto way = std::make_unique<Way>();
-  std::tie(way->datagrams, way->streams) = both();
-  way->port = port_of(way->streams);
-  way->to = to_port;
-  listen(way->streams, 16);
+  auto link = std::make_unique<Link>();
+  std::tie(link->datagram_socket, link->stream_socket) = bind_stream_and_datagram();
+  link->port = port_of(link->stream_socket);
+  link->to_port = to_port;
+  listen(link->stream_socket, 16);
   const std::lock_guard lock(mutex_);
-  for (const int socket : {way->datagrams, way->streams}) {
-    by_socket_[socket] = way.get();
+  for (const int socket : {link->datagram_socket, link->stream_socket}) {
+    links_by_socket_[socket] = link.get();
     epoll_event event{};
     event.events = EPOLLIN;
     event.data.fd = socket;
     epoll_ctl(epoll_, EPOLL_CTL_ADD, socket, &event);
   }
-  const int port = way->port;
-  ways_[port] = std::move(way);
+  const int port = link->port;
+  links_[port] = std::move(link);
   return port;
 }
 
 void Relays::set(int relay_port, const Fault& fault) {
   const std::lock_guard lock(mutex_);
-  ways_.at(relay_port)->fault = fault;
+  links_.at(relay_port)->fault = fault;
 }
 
 void Relays::run() {
-  std::array<epoll_event, 64> found;
+  std::array<epoll_event, 64> events;
   while (!stopping_) {
-    const int count = epoll_wait(epoll_, found.data(), static_cast<int>(found.size()), 2);
+    const int count = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), 2);
     const std::lock_guard lock(mutex_);
     for (int i = 0; i < count; ++i) {
-      const int fd = found.at(static_cast<std::size_t>(i)).data.fd;
-      const auto way = by_socket_.find(fd);
-      if (way == by_socket_.end()) {
-        pump(fd);
-      } else if (way->second->datagrams == fd) {
-        carry(*way->second);
+      const int fd = events.at(static_cast<std::size_t>(i)).data.fd;
+      const auto link = links_by_socket_.find(fd);
+      if (link == links_by_socket_.end()) {
+        forward_stream(fd);
+      } else if (link->second->datagram_socket == fd) {
+        receive_datagrams(*link->second);
       } else {
-        accept(*way->second);
+        accept(*link->second);
       }
     }
-    while (!held_.empty() && held_.top().due <= Clock::now()) {
-      const sockaddr_in to = loopback(held_.top().to);
-      sendto(held_.top().socket, held_.top().bytes.data(), held_.top().bytes.size(), 0,
+    while (!queue_.empty() && queue_.top().due <= Clock::now()) {
+      const sockaddr_in to = loopback_address(queue_.top().to_port);
+      sendto(queue_.top().socket, queue_.top().bytes.data(), queue_.top().bytes.size(), 0,
              reinterpret_cast<const sockaddr*>(&to), sizeof to);
-      held_.pop();
-      ++carried_;
+      queue_.pop();
+      ++forwarded_;
     }
   }
 }
 
-void Relays::carry(Way& way) {
+void Relays::receive_datagrams(Link& link) {
   std::array<char, 65536> buffer;
   std::uniform_real_distribution<> draw(0, 1);
   while (true) {
-    const ssize_t size = recv(way.datagrams, buffer.data(), buffer.size(), 0);
+    const ssize_t size = recv(link.datagram_socket, buffer.data(), buffer.size(), 0);
     if (size < 0) return;
-    const Fault& fault = way.fault;
+    const Fault& fault = link.fault;
     if (fault.cut || draw(random_) < fault.drop) continue;
     std::string bytes(buffer.data(), static_cast<std::size_t>(size));
     if (!bytes.empty() && draw(random_) < fault.corrupt) {
@@ -112,16 +112,17 @@
     auto due = Clock::now() + fault.delay;
     if (draw(random_) < fault.reorder) due += std::chrono::milliseconds(20);
     const int copies = draw(random_) < fault.duplicate ? 2 : 1;
-    for (int i = 0; i < copies; ++i) held_.push({due, order_++, way.datagrams, way.to, bytes});
+    for (int i = 0; i < copies; ++i)
+      queue_.push({due, next_order_++, link.datagram_socket, link.to_port, bytes});
   }
 }
 
-void Relays::accept(Way& way) {
-  const int from = accept4(way.streams, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
+void Relays::accept(Link& link) {
+  const int from = accept4(link.stream_socket, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
   if (from < 0) return;
   const int to = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const sockaddr_in address = loopback(way.to);
-  if (way.fault.cut || connect(to, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
+  const sockaddr_in address = loopback_address(link.to_port);
+  if (link.fault.cut || connect(to, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     close(from);
     close(to);
     return;
@@ -136,7 +137,7 @@
   }
 }
 
-void Relays::pump(int from) {
+void Relays::forward_stream(int from) {
   const auto pair = pairs_.find(from);
   if (pair == pairs_.end()) return;
   std::array<char, 65536> buffer;
@@ -144,7 +145,7 @@
   if (size > 0) {
     send(pair->second, buffer.data(), static_cast<std::size_t>(size), MSG_NOSIGNAL);
   } else if (size == 0) {
-    // The end of one direction is handed on; the stream is over once both have ended.
+    // The shutdown of one direction is forwarded; the stream is closed once both directions have ended.
     shutdown(pair->second, SHUT_WR);
     epoll_ctl(epoll_, EPOLL_CTL_DEL, from, nullptr);
     const int other = pair->second;
--- a/tests/cluster/relay.h
+++ b/tests/cluster/relay.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What lies between the processes of a fleet: a relay for each ordered pair, for datagrams and streams
-/// alike, that can drop, delay, duplicate, reorder, corrupt and cut. One thread carries them all.
+/// Relays between the processes of a fleet, one for each ordered pair, for datagrams and streams. A relay can
+/// drop, delay, duplicate, reorder or corrupt datagrams and cut the connection. One thread serves all relays.
 #pragma once
 
 #include <atomic>
@@ -18,10 +18,11 @@
 
 namespace edge_proxy::test {
 
-/// What happens to datagrams of one direction; streams know only `cut`, of either direction.
+/// Faults for the datagrams of one direction. For streams, only `cut` applies, to connections opened in that
+/// direction.
 struct Fault {
   bool cut = false;
-  double drop = 0, duplicate = 0, corrupt = 0, reorder = 0;  // parts, 0 to 1
+  double drop = 0, duplicate = 0, corrupt = 0, reorder = 0;  // probabilities, 0 to 1
   std::chrono::milliseconds delay{0};
 };
 
@@ -32,40 +33,40 @@
   Relays(const Relays&) = delete;
   Relays& operator=(const Relays&) = delete;
 
-  /// A relay to that port; the port to send to instead.
+  /// Adds a relay to `to_port` and returns the port of the relay.
   int add(int to_port);
   void set(int relay_port, const Fault& fault);
-  [[nodiscard]] std::uint64_t carried() const { return carried_; }
+  [[nodiscard]] std::uint64_t forwarded() const { return forwarded_; }
 
  private:
-  struct Way {
-    int port = 0, to = 0, datagrams = -1, streams = -1;
+  struct Link {
+    int port = 0, to_port = 0, datagram_socket = -1, stream_socket = -1;
     Fault fault;
   };
-  struct Held {
+  struct QueuedDatagram {
     std::chrono::steady_clock::time_point due;
     std::uint64_t order = 0;
-    int socket = -1, to = 0;
+    int socket = -1, to_port = 0;
     std::string bytes;
-    bool operator<(const Held& other) const {
+    bool operator<(const QueuedDatagram& other) const {
       return due != other.due ? due > other.due : order > other.order;
     }
   };
 
   void run();
-  void carry(Way& way);
-  void accept(Way& way);
-  void pump(int from);
+  void receive_datagrams(Link& link);
+  void accept(Link& link);
+  void forward_stream(int from);
   void close_pair(int end);
 
   std::mutex mutex_;
-  std::map<int, std::unique_ptr<Way>> ways_;  // by port
-  std::map<int, Way*> by_socket_;
-  std::map<int, int> pairs_;  // the two ends of each stream
-  std::priority_queue<Held> held_;
-  std::uint64_t order_ = 0;
+  std::map<int, std::unique_ptr<Link>> links_;  // by port
+  std::map<int, Link*> links_by_socket_;
+  std::map<int, int> pairs_;  // each end of a stream to the other end
+  std::priority_queue<QueuedDatagram> queue_;
+  std::uint64_t next_order_ = 0;
   std::mt19937_64 random_;
-  std::atomic<std::uint64_t> carried_{0};
+  std::atomic<std::uint64_t> forwarded_{0};
   std::atomic<bool> stopping_{false};
   int epoll_ = -1;
   std::thread thread_;
--- a/tests/proxy/instants_test.cpp
+++ b/tests/proxy/instants_test.cpp
@@ -36,10 +36,10 @@
     SCOPED_TRACE(how);
     StartedProgram program;
     run_scenario(program, "anna send probe 1\nanna expect ready 1");
-    program.signal_it(SIGSTOP);
+    program.send_signal(SIGSTOP);
     run_scenario(program, asks(2, 3, "order unique=k body=" + std::string(20'000, 'x')) + "anna close" + how);
     program.wait(50ms);
-    program.signal_it(SIGCONT);
+    program.send_signal(SIGCONT);
     run_scenario(program, "edge expect log closed kind=front conn=1\nwait 200\nbox-1 expect nothing");
   }
 }
@@ -75,7 +75,7 @@
   for (int i = 15; i <= 45; ++i) answer(program, asked.at(i), i, body);
   program.wait(200ms);
   for (const std::string& box : boxes) program.take_received(box);
-  program.take_a_little("anna-small", 2'000'000);
+  program.read_bytes("anna-small", 2'000'000);
   run_scenario(program, "anna-small send giveUp 46\n" + asked.at(46) + " expect cancel 46");
   // It was the client's word: where the module gives a request up, it counts as refused.
   run_scenario(program,
@@ -126,12 +126,12 @@
     anna send 1 order unique=k
     box-1 expect serve 1
   )");
-  program.signal_it(SIGSTOP);
+  program.send_signal(SIGSTOP);
   run_scenario(program, "box-1 send HIT 1 ver=a b");
   run_scenario(program, R"(bulletin send {"no":2,"roster":{"revision":2,"complete":false,"members":[)" +
                             member_json("box-1", "127.0.0.1:1", "left") + "]}}");
   program.wait(50ms);
-  program.signal_it(SIGCONT);
+  program.send_signal(SIGCONT);
   run_scenario(program, "anna expect served 1 body=b\nedge expect log closed kind=member");
 }
 
@@ -145,9 +145,9 @@
     run_scenario(program, client + " send raw 00");
   }
   run_scenario(program, "wait 300");
-  const auto before = program.processor_time();
+  const auto before = program.cpu_time();
   run_scenario(program, "wait 1000\nanna send 1 pages limit=9000\n");
-  EXPECT_LT(program.processor_time() - before, 500ms) << "it spins";
+  EXPECT_LT(program.cpu_time() - before, 500ms) << "it spins";
   run_scenario(program, "box-1 expect serve 1\nbox-1 send HIT 1 ver=a b\nanna expect served 1");
   std::size_t lines = 0;
   for (std::size_t at = 0; (at = program.log().find("accept failed", at)) != std::string::npos; ++at) ++lines;
@@ -162,17 +162,17 @@
                "anna send 31 pages\nbox-1 expect serve 31\nbox-1 send HIT 31 ver=a b\nanna expect served 31");
   // They have all come, and asked, before the first is accepted. Those that have come up are not to be taken
   // for idle because nobody has read yet what they ask.
-  program.signal_it(SIGSTOP);
+  program.send_signal(SIGSTOP);
   for (int i = 1; i <= 30; ++i) {
     const std::string n = std::to_string(i);
     run_scenario(program, "busy-" + n + " send " + n + " video limit=5000");
   }
-  program.signal_it(SIGCONT);
+  program.send_signal(SIGCONT);
   run_scenario(program, "edge expect log accept failed\nwait 300");
   EXPECT_EQ(program.log().find("reason=too_many requests=0"), std::string::npos) << program.log();
-  const auto before = program.processor_time();
+  const auto before = program.cpu_time();
   run_scenario(program, "wait 1000");
-  EXPECT_LT(program.processor_time() - before, 300ms) << "it spins";
+  EXPECT_LT(program.cpu_time() - before, 300ms) << "it spins";
   std::size_t lines = 0;
   for (std::size_t at = 0; (at = program.log().find("accept failed", at)) != std::string::npos; ++at) ++lines;
   EXPECT_GE(lines, 1U) << program.log();
@@ -188,13 +188,13 @@
   run_scenario(program, "bulletin expect get last=1\nbulletin send head\nbulletin send comment");
   const auto somebody_left = [&] { return program.log().find("reason=too_many") != std::string::npos; };
   int came = 0;
-  while (program.descriptors_held() < kTable && came < 40 && !somebody_left()) {
+  while (program.open_descriptor_count() < kTable && came < 40 && !somebody_left()) {
     const std::string client = "idle-" + std::to_string(++came);
     run_scenario(program, client + " send probe 1\n" + client + " expect ready 1\nbulletin send comment");
   }
   program.wait(50ms);
   EXPECT_FALSE(somebody_left()) << program.log();
-  EXPECT_EQ(program.descriptors_held(), kTable);
+  EXPECT_EQ(program.open_descriptor_count(), kTable);
   run_scenario(program, "last send probe 1\nlast expect ready 1\nidle-1 expect closed");
   EXPECT_TRUE(somebody_left()) << program.log();
 }
@@ -214,16 +214,16 @@
   run_scenario(program, "carl send probe 9\ncarl expect ready 9");
   const std::string before = GetParam().before;
   if (before == "stopped") {
-    program.signal_it(SIGSTOP);
+    program.send_signal(SIGSTOP);
     run_scenario(program, "anna send 1 pages");
     program.terminate();
-    program.signal_it(SIGCONT);
+    program.send_signal(SIGCONT);
   } else {
     run_scenario(program, before);
     program.terminate();
   }
   program.terminate();  // twice does not hurt
-  program.signal_it(SIGHUP);
+  program.send_signal(SIGHUP);
   run_scenario(program, "edge expect log stopping");
   program.terminate();
   run_scenario(program, GetParam().after);
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What is kept on disk, on one that fails as disks do.
+// Tests the journal on a simulated disk with failed writes and syncs, bit flips and crashes.
 #include "storage/journal.h"
 
 #include <gtest/gtest.h>
@@ -14,65 +14,66 @@
 using storage::Journal;
 using Records = std::vector<std::string>;
 
-constexpr std::size_t kMost = 4096;
+constexpr std::size_t kMaxRecordBytes = 4096;
 
-Records read(FaultyFolder& folder, bool* good = nullptr, std::string* why = nullptr,
-             std::size_t* mended = nullptr) {
-  Journal journal(folder, "log", kMost);
+Records read(FaultyFolder& folder, bool* opened_out = nullptr, std::string* error_out = nullptr,
+             std::size_t* repaired_out = nullptr) {
+  Journal journal(folder, "log", kMaxRecordBytes);
   Records records;
   const bool opened = journal.open(records);
-  if (good != nullptr) *good = opened;
-  if (why != nullptr) *why = journal.error();
-  if (mended != nullptr) *mended = journal.repaired_record_count();
-  EXPECT_TRUE(opened || good != nullptr) << journal.error();
+  if (opened_out != nullptr) *opened_out = opened;
+  if (error_out != nullptr) *error_out = journal.error();
+  if (repaired_out != nullptr) *repaired_out = journal.repaired_record_count();
+  EXPECT_TRUE(opened || opened_out != nullptr) << journal.error();
   return records;
 }
 
-/// A new one.
-struct Begun : Journal {
-  explicit Begun(FaultyFolder& folder) : Journal(folder, "log", kMost) {
-    Records none;
-    EXPECT_TRUE(open(none));
-    EXPECT_TRUE(none.empty());
+/// A journal without a file.
+struct NewJournal : Journal {
+  explicit NewJournal(FaultyFolder& folder) : Journal(folder, "log", kMaxRecordBytes) {
+    Records records;
+    EXPECT_TRUE(open(records));
+    EXPECT_TRUE(records.empty());
   }
 };
 
-TEST(Journal, HoldsWhatWasWrittenAndGoesOn) {
+TEST(Journal, ReopenReturnsWrittenRecordsAndAppends) {
   FaultyFolder folder;
   folder.short_writes = true;
   EXPECT_EQ(read(folder), Records{});
   {
-    Begun journal(folder);
+    NewJournal journal(folder);
     ASSERT_TRUE(journal.append({"a", ""}));
     ASSERT_TRUE(journal.append({std::string(300, 'b')}));
   }
   {
-    Journal journal(folder, "log", kMost);
+    Journal journal(folder, "log", kMaxRecordBytes);
     Records records;
     ASSERT_TRUE(journal.open(records));
     EXPECT_EQ(records, (Records{"a", "", std::string(300, 'b')}));
     ASSERT_TRUE(journal.append({"c"}));
-    EXPECT_FALSE(journal.append({std::string(kMost + 1, 'x')}));
+    EXPECT_FALSE(journal.append({std::string(kMaxRecordBytes + 1, 'x')}));
   }
   EXPECT_EQ(read(folder).size(), 4U);
 }
 
-TEST(Journal, AFailedSyncIsAFailureForGood) {
+TEST(Journal, FailedSyncIsPermanent) {
   FaultyFolder folder;
-  Begun journal(folder);
+  NewJournal journal(folder);
   ASSERT_TRUE(journal.append({"a"}));
   folder.fail_syncs = 1;
   EXPECT_FALSE(journal.append({"b"}));
-  EXPECT_FALSE(journal.append({"b"})) << "the system says yes now, and has lost the pages";
+  EXPECT_FALSE(journal.append({"b"}))
+      << "a later sync succeeds although the kernel has dropped the dirty pages";
   EXPECT_FALSE(journal.replace({"b"}));
-  EXPECT_NE(journal.error().find("is not on the disk"), std::string::npos) << journal.error();
+  EXPECT_NE(journal.error().find("can't be flushed to disk"), std::string::npos) << journal.error();
   folder.crash();
   EXPECT_EQ(read(folder), Records{"a"});
 }
 
-TEST(Journal, AFullDiskIsToldAndKeepsWhatThereWas) {
+TEST(Journal, FullDiskIsReportedAndKeepsEarlierRecords) {
   FaultyFolder folder;
-  Begun journal(folder);
+  NewJournal journal(folder);
   ASSERT_TRUE(journal.append({"a"}));
   folder.room = 30;
   EXPECT_FALSE(journal.append({std::string(100, 'b')}));
@@ -80,74 +81,74 @@
   EXPECT_EQ(read(folder), Records{"a"});
 }
 
-TEST(Journal, EveryFlippedBitIsFoundAndMendedFromTheOtherCopy) {
+TEST(Journal, EveryFlippedBitIsDetectedAndRepairedFromTheOtherCopy) {
   const Records written{"first", "second record", "3"};
   FaultyFolder folder;
   {
-    Begun journal(folder);
+    NewJournal journal(folder);
     for (const std::string& record : written) ASSERT_TRUE(journal.append({record}));
   }
   const std::size_t size = folder.size("log");
   for (std::size_t byte = 0; byte < size; ++byte) {
     folder.flip("log", byte, static_cast<unsigned>(byte % 8));
-    std::size_t mended = 0;
-    ASSERT_EQ(read(folder, nullptr, nullptr, &mended), written) << byte;
-    ASSERT_EQ(mended, 1U) << byte;
-    ASSERT_EQ(read(folder, nullptr, nullptr, &mended), written) << byte;
-    ASSERT_EQ(mended, 0U) << "whole again";
+    std::size_t repaired = 0;
+    ASSERT_EQ(read(folder, nullptr, nullptr, &repaired), written) << byte;
+    ASSERT_EQ(repaired, 1U) << byte;
+    ASSERT_EQ(read(folder, nullptr, nullptr, &repaired), written) << byte;
+    ASSERT_EQ(repaired, 0U) << "the first open must have rewritten the damaged copy";
   }
 }
 
-TEST(Journal, DamageToBothCopiesIsNamedAndNothingIsUsed) {
+TEST(Journal, DamageToBothCopiesIsReportedAndNoRecordIsUsed) {
   FaultyFolder folder;
   {
-    Begun journal(folder);
+    NewJournal journal(folder);
     ASSERT_TRUE(journal.append({"first", "second"}));
   }
   folder.flip("log", 21, 0);
   folder.flip("log", 46, 0);
-  bool good = true;
-  std::string why;
-  EXPECT_EQ(read(folder, &good, &why).size(), 0U);
-  EXPECT_FALSE(good);
-  EXPECT_NE(why.find("record 0 at byte 0 is damaged in both copies"), std::string::npos) << why;
+  bool opened = true;
+  std::string error;
+  EXPECT_EQ(read(folder, &opened, &error).size(), 0U);
+  EXPECT_FALSE(opened);
+  EXPECT_NE(error.find("record 0 at byte 0 is damaged in both copies"), std::string::npos) << error;
 }
 
-TEST(Journal, WhatWasToldToBeDurableOutlivesEveryCrash) {
+TEST(Journal, DurableRecordsSurviveEveryCrash) {
   for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
     FaultyFolder folder(seed);
     std::mt19937_64 random(seed);
     folder.short_writes = random() % 2 == 0;
     Records durable;
-    Records tried;  // what an append that failed, or was cut off, may have left
-    for (int life = 0; life < 4; ++life) {
-      Journal journal(folder, "log", kMost);
+    Records possibly_durable;  // records of a failed or interrupted append, which may be on disk
+    for (int restart = 0; restart < 4; ++restart) {
+      Journal journal(folder, "log", kMaxRecordBytes);
       Records records;
       ASSERT_TRUE(journal.open(records)) << "seed " << seed << ": " << journal.error();
       ASSERT_GE(records.size(), durable.size()) << "seed " << seed;
       ASSERT_TRUE(std::equal(durable.begin(), durable.end(), records.begin())) << "seed " << seed;
       for (std::size_t i = durable.size(); i < records.size(); ++i)
-        ASSERT_EQ(records[i], tried.at(i - durable.size())) << "seed " << seed;
+        ASSERT_EQ(records[i], possibly_durable.at(i - durable.size())) << "seed " << seed;
       durable = records;
-      tried.clear();
-      for (int turn = 0; turn < 6; ++turn) {
-        Records some;
-        for (std::size_t i = 0, n = 1 + random() % 3; i < n; ++i)
-          some.push_back(std::string(random() % 200, static_cast<char>('a' + random() % 26)));
+      possibly_durable.clear();
+      for (int operation = 0; operation < 6; ++operation) {
+        Records batch;
+        for (std::size_t i = 0, count = 1 + random() % 3; i < count; ++i)
+          batch.push_back(std::string(random() % 200, static_cast<char>('a' + random() % 26)));
         if (random() % 8 == 0) folder.fail_syncs = 1;
         if (random() % 8 == 0) folder.fail_write = ENOSPC;
         if (random() % 5 == 0) {
           Records all = durable;
-          all.insert(all.end(), some.begin(), some.end());
+          all.insert(all.end(), batch.begin(), batch.end());
           if (journal.replace(all)) {
             durable = all;
             continue;
           }
-        } else if (journal.append(some)) {
-          durable.insert(durable.end(), some.begin(), some.end());
+        } else if (journal.append(batch)) {
+          durable.insert(durable.end(), batch.begin(), batch.end());
           continue;
         }
-        tried = some;
+        possibly_durable = batch;
         break;
       }
       folder.fail_syncs = folder.fail_write = 0;
@@ -156,22 +157,22 @@
   }
 }
 
-TEST(Journal, OnARealFolderForOneProcessAtATime) {
+TEST(Journal, SystemFolderIsLockedByOneProcessAndStoresRecords) {
   std::string path = "/tmp/edge_proxy-journal-XXXXXX";
   ASSERT_NE(mkdtemp(path.data()), nullptr);
   {
     storage::SystemFolder folder(path), second(path);
     ASSERT_EQ(folder.lock(), 0);
     EXPECT_NE(second.lock(), 0);
-    Journal journal(folder, "log", kMost);
+    Journal journal(folder, "log", kMaxRecordBytes);
     Records records;
     ASSERT_TRUE(journal.open(records));
     ASSERT_TRUE(journal.append({"a"}));
     ASSERT_TRUE(journal.append({"b"}));
     ASSERT_TRUE(journal.replace({"c"}));
     ASSERT_TRUE(journal.append({"d"}));
-    Journal again(folder, "log", kMost);
-    ASSERT_TRUE(again.open(records));
+    Journal reopened(folder, "log", kMaxRecordBytes);
+    ASSERT_TRUE(reopened.open(records));
     EXPECT_EQ(records, (Records{"c", "d"}));
   }
   std::filesystem::remove_all(path);
--- a/tests/support/loopback.h
+++ b/tests/support/loopback.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Addresses and sockets of this machine alone.
+/// Loopback addresses, ports and sockets.
 #pragma once
 
 #include <arpa/inet.h>
@@ -11,17 +11,17 @@
 
 namespace edge_proxy::test {
 
-sockaddr_in loopback(int port);
+sockaddr_in loopback_address(int port);
 
-/// A socket of that type at a port that nobody else may use meanwhile; 0: any. -1 where it is taken.
-int bound(int type, int port);
+/// Binds a socket of that type to `port` without address reuse; 0 selects any port. Returns -1 if the port is
+/// in use.
+int bind_exclusive(int type, int port);
 
-/// A port of loopback that is free for datagrams and streams alike, and this program's own as long as it
-/// runs: suites that run side by side share none, though the processes that they start let others listen
-/// beside them.
-int free_port();
+/// Reserves a loopback port that is free for TCP and UDP until this program exits. Test programs that run at
+/// the same time get different ports, although the processes that they start listen with SO_REUSEPORT.
+int reserve_port();
 
-/// A socket bound to that port; where it is 0, to a free one, which is then told.
-int bound_socket(int& port);
+/// Binds a TCP socket with SO_REUSEADDR to `port`; if `port` is 0, reserves a port and stores it in `port`.
+int bind_shared_socket(int& port);
 
 }  // namespace edge_proxy::test
--- a/tests/support/started_program.cpp
+++ b/tests/support/started_program.cpp
@@ -26,63 +26,63 @@
 
 using Clock = std::chrono::steady_clock;
 
-/// Guards all other processes: a process that has ended has no number, and -1 would mean every one.
-void tell(int pid, int number) {
-  ASSERT_GT(pid, 0) << "the process has ended";
-  kill(pid, number);
+/// Rejects the pid -1 of an exited process, because kill(-1) would signal every process.
+void send_signal_to(int pid, int signal_number) {
+  ASSERT_GT(pid, 0) << "the process has exited";
+  kill(pid, signal_number);
 }
 
 int port_of(const std::string& address) { return std::stoi(address.substr(address.find(':') + 1)); }
 
 }  // namespace
 
-StartedProgram::StartedProgram(const std::vector<std::string>& members, std::string (*edit)(std::string),
-                               unsigned descriptors)
-    : descriptors_(descriptors) {
-  // A sanitizer needs descriptors of its own: where they are to run out, it is the program as it is deployed.
-  if (const char* deployed = std::getenv("EDGE_PROXY_DEPLOYED"); descriptors > 0 && deployed != nullptr)
-    program_ = deployed;
+StartedProgram::StartedProgram(const std::vector<std::string>& members,
+                               std::string (*edit_config)(std::string), unsigned descriptor_limit)
+    : descriptor_limit_(descriptor_limit) {
+  // Sanitizers open descriptors of their own, so tests with a descriptor limit use the deployed program.
+  if (const char* deployed = std::getenv("EDGE_PROXY_DEPLOYED"); descriptor_limit > 0 && deployed != nullptr)
+    program_path_ = deployed;
   std::signal(SIGPIPE, SIG_IGN);
   for (const std::string& member : members) listen(member);
   listen("bulletin");
-  addresses_["edge"] = "127.0.0.1:" + std::to_string(free_port());
-  addresses_["admin"] = "127.0.0.1:" + std::to_string(free_port());
-
-  config_ = config_text(members, addresses_);
-  if (edit != nullptr) config_ = edit(config_);
-  path_ = "/tmp/edge_proxy-test-XXXXXX";
-  ::close(mkstemp(path_.data()));
-  std::ofstream(path_) << config_;
-  folder_ = "/tmp/edge_proxy-test-XXXXXX";
-  EXPECT_NE(mkdtemp(folder_.data()), nullptr);
+  addresses_["edge"] = "127.0.0.1:" + std::to_string(reserve_port());
+  addresses_["admin"] = "127.0.0.1:" + std::to_string(reserve_port());
+
+  config_text_ = config_text(members, addresses_);
+  if (edit_config != nullptr) config_text_ = edit_config(config_text_);
+  config_path_ = "/tmp/edge_proxy-test-XXXXXX";
+  ::close(mkstemp(config_path_.data()));
+  std::ofstream(config_path_) << config_text_;
+  temp_folder_ = "/tmp/edge_proxy-test-XXXXXX";
+  EXPECT_NE(mkdtemp(temp_folder_.data()), nullptr);
   start();
 }
 
 void StartedProgram::start() {
-  std::array<int, 2> ends{};
-  EXPECT_EQ(pipe2(ends.data(), O_CLOEXEC), 0);
+  std::array<int, 2> pipe_ends{};
+  EXPECT_EQ(pipe2(pipe_ends.data(), O_CLOEXEC), 0);
   pid_ = fork();
   if (pid_ == 0) {
-    dup2(ends[1], 1);
-    dup2(ends[1], 2);
-    setenv("GW_CONFIG", path_.c_str(), 1);
+    dup2(pipe_ends[1], 1);
+    dup2(pipe_ends[1], 2);
+    setenv("GW_CONFIG", config_path_.c_str(), 1);
     setenv("GW_ADMIN_ADDR", addresses_["admin"].c_str(), 1);
-    setenv("TMPDIR", folder_.c_str(), 1);
-    const rlimit few{descriptors_, descriptors_};
-    if (descriptors_ > 0) setrlimit(RLIMIT_NOFILE, &few);
-    execl(program_.c_str(), program_.c_str(), static_cast<char*>(nullptr));
+    setenv("TMPDIR", temp_folder_.c_str(), 1);
+    const rlimit limit{descriptor_limit_, descriptor_limit_};
+    if (descriptor_limit_ > 0) setrlimit(RLIMIT_NOFILE, &limit);
+    execl(program_path_.c_str(), program_path_.c_str(), static_cast<char*>(nullptr));
     _exit(127);
   }
-  ::close(ends[1]);
-  log_pipe_ = ends[0];
+  ::close(pipe_ends[1]);
+  log_pipe_ = pipe_ends[0];
   fcntl(log_pipe_, F_SETFL, O_NONBLOCK);
-  const auto until = Clock::now() + expectation_timeout();
-  while (log_.find("listening") == std::string::npos && !has_stopped() && Clock::now() < until)
+  const auto deadline = Clock::now() + expectation_timeout();
+  while (log_.find("listening") == std::string::npos && !has_stopped() && Clock::now() < deadline)
     poll_once(std::chrono::milliseconds(5));
 }
 
 StartedProgram::~StartedProgram() {
-  for (const int pid : {pid_, old_pid_}) {
+  for (const int pid : {pid_, old_process_pid_}) {
     if (pid <= 0) continue;
     kill(pid, SIGKILL);
     waitpid(pid, nullptr, 0);
@@ -92,25 +92,25 @@
     for (const int fd : fds) ::close(fd);
   }
   ::close(log_pipe_);
-  if (old_log_pipe_ >= 0) ::close(old_log_pipe_);
-  unlink(path_.c_str());
-  std::filesystem::remove_all(folder_);
+  if (old_process_log_pipe_ >= 0) ::close(old_process_log_pipe_);
+  unlink(config_path_.c_str());
+  std::filesystem::remove_all(temp_folder_);
 }
 
 void StartedProgram::upgrade() {
-  old_pid_ = std::exchange(pid_, -1);
-  old_log_pipe_ = std::exchange(log_pipe_, -1);
-  old_log_ = std::exchange(log_, {});
-  addresses_["admin"] = "127.0.0.1:" + std::to_string(free_port());
+  old_process_pid_ = std::exchange(pid_, -1);
+  old_process_log_pipe_ = std::exchange(log_pipe_, -1);
+  old_process_log_ = std::exchange(log_, {});
+  addresses_["admin"] = "127.0.0.1:" + std::to_string(reserve_port());
   start();
 }
 
-void StartedProgram::terminate_old() { tell(old_pid_, SIGTERM); }
-bool StartedProgram::old_stopped() { return ended(old_pid_); }
+void StartedProgram::terminate_old_process() { send_signal_to(old_process_pid_, SIGTERM); }
+bool StartedProgram::old_process_stopped() { return reap(old_process_pid_); }
 
 void StartedProgram::listen(const std::string& peer) {
   int port = addresses_.count(peer) != 0 ? port_of(addresses_[peer]) : 0;
-  const int fd = bound_socket(port);
+  const int fd = bind_shared_socket(port);
   EXPECT_EQ(::listen(fd, 16), 0);
   listeners_[peer] = fd;
   addresses_[peer] = "127.0.0.1:" + std::to_string(port);
@@ -118,9 +118,11 @@
 
 void StartedProgram::connect(const std::string& peer) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const int little = 4096;  // of what was sent it takes next to nothing before it reads
-  if (peer.find("small") != std::string::npos) setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &little, sizeof little);
-  const sockaddr_in address = loopback(port_of(addresses_[peer.rfind("ops", 0) == 0 ? "admin" : "edge"]));
+  const int receive_buffer_bytes = 4096;  // a client that does not read accepts only a little output
+  if (peer.find("small") != std::string::npos)
+    setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes, sizeof receive_buffer_bytes);
+  const sockaddr_in address =
+      loopback_address(port_of(addresses_[peer.rfind("ops", 0) == 0 ? "admin" : "edge"]));
   EXPECT_EQ(::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
   sockets_[peer].push_back(fd);
 }
@@ -129,12 +131,14 @@
   if (sockets_[peer].empty() && listeners_.count(peer) == 0) connect(peer);
   if (sockets_[peer].empty()) wait(std::chrono::milliseconds(50));
   ASSERT_FALSE(sockets_[peer].empty()) << "no connection";
-  const auto asked = asked_on_.find({peer, bytes.substr(0, 16)});
-  const auto& open = sockets_[peer];
-  const bool answer =
-      asked != asked_on_.end() && std::find(open.begin(), open.end(), asked->second) != open.end();
-  ASSERT_EQ(::send(answer ? asked->second : open.back(), bytes.data(), bytes.size(), MSG_NOSIGNAL),
-            static_cast<ssize_t>(bytes.size()));
+  const auto request = request_sockets_.find({peer, bytes.substr(0, 16)});
+  const auto& open_sockets = sockets_[peer];
+  const bool is_answer =
+      request != request_sockets_.end() &&
+      std::find(open_sockets.begin(), open_sockets.end(), request->second) != open_sockets.end();
+  ASSERT_EQ(
+      ::send(is_answer ? request->second : open_sockets.back(), bytes.data(), bytes.size(), MSG_NOSIGNAL),
+      static_cast<ssize_t>(bytes.size()));
 }
 
 std::string StartedProgram::take_received(const std::string& peer) {
@@ -142,17 +146,20 @@
   return std::exchange(received_[peer], {});
 }
 
-void StartedProgram::set_behavior(const std::string& peer, PeerBehavior how) {
-  if (how == PeerBehavior::refusing) ::close(listeners_[peer]), listeners_.erase(peer);
-  if (how == PeerBehavior::normal && deaf_.erase(peer) == 0) listen(peer);
-  if (how == PeerBehavior::not_reading) deaf_.insert(peer);
-  if (how == PeerBehavior::half_closed) {
+void StartedProgram::set_behavior(const std::string& peer, PeerBehavior behavior) {
+  if (behavior == PeerBehavior::refusing) ::close(listeners_[peer]), listeners_.erase(peer);
+  if (behavior == PeerBehavior::normal && not_reading_.erase(peer) == 0) listen(peer);
+  if (behavior == PeerBehavior::not_reading) not_reading_.insert(peer);
+  if (behavior == PeerBehavior::half_closed) {
     for (const int fd : sockets_[peer]) shutdown(fd, SHUT_WR);
   }
-  if (how != PeerBehavior::closed && how != PeerBehavior::reset && how != PeerBehavior::refusing) return;
+  if (behavior != PeerBehavior::closed && behavior != PeerBehavior::reset &&
+      behavior != PeerBehavior::refusing)
+    return;
   for (const int fd : sockets_[peer]) {
-    const linger at_once{1, 0};
-    if (how == PeerBehavior::reset) setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    const linger reset_on_close{1, 0};
+    if (behavior == PeerBehavior::reset)
+      setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     ::close(fd);
   }
   sockets_[peer].clear();
@@ -163,57 +170,58 @@
   return sockets_[peer].empty();
 }
 
-void StartedProgram::wait(std::chrono::milliseconds span) {
-  const auto until = Clock::now() + span;
-  while (Clock::now() < until) {
-    poll_once(std::chrono::ceil<std::chrono::milliseconds>(until - Clock::now()));
+void StartedProgram::wait(std::chrono::milliseconds duration) {
+  const auto deadline = Clock::now() + duration;
+  while (Clock::now() < deadline) {
+    poll_once(std::chrono::ceil<std::chrono::milliseconds>(deadline - Clock::now()));
   }
 }
 
-void StartedProgram::terminate() { tell(pid_, SIGTERM); }
+void StartedProgram::terminate() { send_signal_to(pid_, SIGTERM); }
 
-void StartedProgram::take_a_little(const std::string& peer, std::size_t bytes) {
-  std::string got(bytes, '\0');
-  EXPECT_EQ(recv(sockets_.at(peer).back(), got.data(), got.size(), MSG_WAITALL), static_cast<ssize_t>(bytes));
+void StartedProgram::read_bytes(const std::string& peer, std::size_t bytes) {
+  std::string received(bytes, '\0');
+  EXPECT_EQ(recv(sockets_.at(peer).back(), received.data(), received.size(), MSG_WAITALL),
+            static_cast<ssize_t>(bytes));
 }
 
-std::chrono::milliseconds StartedProgram::processor_time() const {
+std::chrono::milliseconds StartedProgram::cpu_time() const {
   std::ifstream file("/proc/" + std::to_string(pid_) + "/stat");
   std::string text(std::istreambuf_iterator<char>(file), {});
-  std::istringstream in(text.substr(text.rfind(')') + 2));
+  std::istringstream fields(text.substr(text.rfind(')') + 2));
   std::string word;
-  for (int i = 0; i < 11; ++i) in >> word;
+  for (int i = 0; i < 11; ++i) fields >> word;
   long user = 0, system = 0;
-  in >> user >> system;
+  fields >> user >> system;
   return std::chrono::milliseconds((user + system) * 1000 / sysconf(_SC_CLK_TCK));
 }
 
-std::size_t StartedProgram::descriptors_held() const {
-  const std::filesystem::directory_iterator held("/proc/" + std::to_string(pid_) + "/fd");
-  return static_cast<std::size_t>(std::count_if(begin(held), end(held), [this](const auto& entry) {
-    return std::stoul(entry.path().filename()) < descriptors_;
+std::size_t StartedProgram::open_descriptor_count() const {
+  const std::filesystem::directory_iterator entries("/proc/" + std::to_string(pid_) + "/fd");
+  return static_cast<std::size_t>(std::count_if(begin(entries), end(entries), [this](const auto& entry) {
+    return std::stoul(entry.path().filename()) < descriptor_limit_;
   }));
 }
 
-void StartedProgram::signal_it(int number) { tell(pid_, number); }
+void StartedProgram::send_signal(int signal_number) { send_signal_to(pid_, signal_number); }
 
 void StartedProgram::stall_log() {
   fcntl(log_pipe_, F_SETPIPE_SZ, 4096);
   log_stalled_ = true;
 }
 
-void StartedProgram::reload(const std::string& bulletin) {
-  if (bulletin != "nowhere" && listeners_.count(bulletin) == 0) listen(bulletin);
-  const std::string address = bulletin == "nowhere" ? bulletin : addresses_[bulletin];
-  const std::size_t at = config_.find("\"bulletin\":\"") + 12;
-  config_.replace(at, config_.find('"', at) - at, address);
-  std::ofstream(path_) << config_;
-  tell(pid_, SIGHUP);
+void StartedProgram::reload(const std::string& discovery_peer) {
+  if (discovery_peer != "nowhere" && listeners_.count(discovery_peer) == 0) listen(discovery_peer);
+  const std::string address = discovery_peer == "nowhere" ? discovery_peer : addresses_[discovery_peer];
+  const std::size_t position = config_text_.find("\"bulletin\":\"") + 12;
+  config_text_.replace(position, config_text_.find('"', position) - position, address);
+  std::ofstream(config_path_) << config_text_;
+  send_signal_to(pid_, SIGHUP);
 }
 
-bool StartedProgram::has_stopped() { return ended(pid_); }
+bool StartedProgram::has_stopped() { return reap(pid_); }
 
-bool StartedProgram::ended(int& pid) {
+bool StartedProgram::reap(int& pid) {
   if (pid <= 0) return true;
   int status = 0;
   if (waitpid(pid, &status, WNOHANG) != pid) return false;
@@ -223,17 +231,17 @@
   return true;
 }
 
-void StartedProgram::read_old_log() {
+void StartedProgram::read_old_process_log() {
   std::array<char, 4096> buffer;
-  while (old_log_pipe_ >= 0) {
-    const ssize_t size = ::read(old_log_pipe_, buffer.data(), buffer.size());
+  while (old_process_log_pipe_ >= 0) {
+    const ssize_t size = ::read(old_process_log_pipe_, buffer.data(), buffer.size());
     if (size <= 0) return;
-    old_log_.append(buffer.data(), static_cast<std::size_t>(size));
+    old_process_log_.append(buffer.data(), static_cast<std::size_t>(size));
   }
 }
 
-void StartedProgram::poll_once(std::chrono::milliseconds span) {
-  read_old_log();
+void StartedProgram::poll_once(std::chrono::milliseconds duration) {
+  read_old_process_log();
   std::vector<pollfd> polled{{log_pipe_, static_cast<short>(log_stalled_ ? 0 : POLLIN), 0}};
   std::vector<std::string> peers{""};
   const auto add = [&](int fd, const std::string& peer) {
@@ -243,10 +251,10 @@
   for (const auto& [peer, fd] : listeners_) add(fd, peer);
   const std::size_t first_socket = polled.size();
   for (const auto& [peer, fds] : sockets_) {
-    if (deaf_.count(peer) != 0) continue;
+    if (not_reading_.count(peer) != 0) continue;
     for (const int fd : fds) add(fd, peer);
   }
-  poll(polled.data(), polled.size(), static_cast<int>(span.count()));
+  poll(polled.data(), polled.size(), static_cast<int>(duration.count()));
   std::array<char, 65536> buffer;
   for (std::size_t i = 0; i < polled.size(); ++i) {
     if (polled[i].revents == 0) continue;
@@ -258,10 +266,10 @@
     const ssize_t size = ::read(fd, buffer.data(), buffer.size());
     if (i == 0) {
       if (size > 0) log_.append(buffer.data(), static_cast<std::size_t>(size));
-      if (size <= 0) usleep(1000);  // its end is always readable: no busy loop
+      if (size <= 0) usleep(1000);  // a closed pipe is always readable; avoids a busy loop
     } else if (size > 0) {
       const std::string bytes(buffer.data(), static_cast<std::size_t>(size));
-      for (const std::string& id : requested_ids(bytes)) asked_on_[{peers[i], id}] = fd;
+      for (const std::string& id : requested_ids(bytes)) request_sockets_[{peers[i], id}] = fd;
       received_[peers[i]] += bytes;
     } else {
       std::erase(sockets_[peers[i]], fd);
