--- a/src/app/edge_proxy_main.cpp
+++ b/src/app/edge_proxy_main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The edge proxy: configuration, reducer and event loop wired together.
+// The edge proxy: loads the configuration and runs the server.
 #include <csignal>
 #include <cstdio>
 #include <exception>
@@ -25,15 +25,15 @@
 }  // namespace
 
 int main() {
-  // A peer that leaves while it is written to ends its connection, not the program.
+  // A write to a connection closed by the peer must not terminate the process.
   std::signal(SIGPIPE, SIG_IGN);
   try {
     const std::map<std::string, std::string> environment = read_environment();
     const auto load_config = [&environment] { return edge_proxy::config::load(environment); };
     edge_proxy::event_loop::Server server(load_config(), load_config);
     server.run();
-  } catch (const std::exception& problem) {
-    std::fprintf(stderr, "edge-proxy: %s\n", problem.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "edge-proxy: %s\n", error.what());
     return 1;
   }
   return 0;
--- a/src/app/simulator_adapter_main.cpp
+++ b/src/app/simulator_adapter_main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// simulator-adapter: the decision module on the simulator's wire.
+// simulator-adapter: connects the router to the simulator's protocol over standard input and output.
 #include <exception>
 #include <iostream>
 
@@ -9,8 +9,8 @@
   std::ios::sync_with_stdio(false);
   try {
     edge_proxy::simulator::serve(std::cin, std::cout);
-  } catch (const std::exception& problem) {
-    std::cerr << "simulator-adapter: " << problem.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "simulator-adapter: " << error.what() << '\n';
     return 1;
   }
   return 0;
--- a/src/event_loop/overrides_file.cpp
+++ b/src/event_loop/overrides_file.cpp
@@ -16,10 +16,10 @@
 }  // namespace
 
 std::optional<OverridesFile::FileVersion> OverridesFile::current_version() const {
-  struct stat found {};
-  if (path_.empty() || ::stat(path_.c_str(), &found) != 0 || !S_ISREG(found.st_mode)) return std::nullopt;
-  return FileVersion{found.st_ino, found.st_size,
-                     std::int64_t{found.st_mtim.tv_sec} * kNanosecondsPerSecond + found.st_mtim.tv_nsec};
+  struct stat status {};
+  if (path_.empty() || ::stat(path_.c_str(), &status) != 0 || !S_ISREG(status.st_mode)) return std::nullopt;
+  return FileVersion{status.st_ino, status.st_size,
+                     std::int64_t{status.st_mtim.tv_sec} * kNanosecondsPerSecond + status.st_mtim.tv_nsec};
 }
 
 OverridesFile::OverridesFile(const std::string& path, std::function<void(const char*)> on_failure)
@@ -31,7 +31,7 @@
 OverridesFile::~OverridesFile() { *owner_ = nullptr; }
 
 std::optional<std::string> OverridesFile::read_if_new() {
-  // Guards overrides that were received last and are not written yet against what the file still holds.
+  // The file may still hold an older state than the overrides that are being written.
   if (write_in_progress_) return std::nullopt;
   const auto version = current_version();
   if (!version || version == seen_version_) return std::nullopt;
@@ -51,7 +51,7 @@
   write_in_progress_ = true;
   const BytesPtr bytes(g_bytes_new(queued_text_->data(), queued_text_->size()));
   queued_text_.reset();
-  // Replaced atomically: guards concurrent readers against half a file.
+  // GIO replaces the file atomically, so that concurrent readers never see a partial file.
   g_file_replace_contents_bytes_async(
       file_.get(), bytes.get(), nullptr, FALSE, G_FILE_CREATE_REPLACE_DESTINATION, nullptr,
       [](GObject*, GAsyncResult* result, gpointer data) {
