--- a/tests/golden/codec_golden_test.cpp
+++ b/tests/golden/codec_golden_test.cpp
@@ -53,11 +53,11 @@
   }
   Line& flag(const char* label, bool value) { return put(label, value ? "yes" : "no"); }
   template <typename Number>
-  Line& whole(const char* label, Number value) {
+  Line& integer(const char* label, Number value) {
     return put(label, std::to_string(value));
   }
   Line& real(const char* label, double value) { return put(label, exact(value)); }
-  Line& time(const char* label, std::chrono::microseconds value) { return whole(label, value.count()); }
+  Line& time(const char* label, std::chrono::microseconds value) { return integer(label, value.count()); }
   Line& word(const char* label, const char* value) { return put(label, value); }
   [[nodiscard]] const std::string& text() const { return text_; }
 
@@ -70,15 +70,17 @@
 };
 
 /// The same input whole, byte by byte, and in pieces of seven bytes.
-constexpr std::array<std::size_t, 3> kSteps{1U << 30U, 1, 7};
+constexpr std::array<std::size_t, 3> kPieceSizes{1U << 30U, 1, 7};
 
 template <typename Read>
-void record_splits(GoldenRecord& record, const std::string& name, std::string_view bytes, const Read& read) {
-  for (const std::size_t step : kSteps) {
+void record_split_input(GoldenRecord& record, const std::string& name, std::string_view bytes,
+                        const Read& read) {
+  for (const std::size_t piece_size : kPieceSizes) {
     Lines pieces;
-    for (std::string_view rest = bytes; !rest.empty(); rest.remove_prefix(std::min(step, rest.size())))
-      pieces.emplace_back(rest.substr(0, step));
-    record.add(name + (step == kSteps[0] ? " whole" : " in pieces of " + std::to_string(step)));
+    for (std::string_view rest = bytes; !rest.empty(); rest.remove_prefix(std::min(piece_size, rest.size())))
+      pieces.emplace_back(rest.substr(0, piece_size));
+    record.add(name +
+               (piece_size == kPieceSizes[0] ? " whole" : " in pieces of " + std::to_string(piece_size)));
     for (const std::string& line : read(pieces)) record.add("  " + line);
   }
 }
@@ -89,11 +91,11 @@
                    const Read& read) {
   for (std::size_t size = 0; size < bytes.size(); ++size)
     record.add(name + " first " + std::to_string(size) + ": " + read(bytes.substr(0, size)));
-  for (std::size_t at = 0; at < bytes.size(); ++at) {
+  for (std::size_t index = 0; index < bytes.size(); ++index) {
     for (const unsigned mask : {0x01U, 0x80U}) {
       std::string damaged = bytes;
-      damaged[at] = static_cast<char>(static_cast<unsigned char>(damaged[at]) ^ mask);
-      record.add(name + " byte " + std::to_string(at) + " xor " + std::to_string(mask) + ": " +
+      damaged[index] = static_cast<char>(static_cast<unsigned char>(damaged[index]) ^ mask);
+      record.add(name + " byte " + std::to_string(index) + " xor " + std::to_string(mask) + ": " +
                  read(damaged));
     }
   }
@@ -103,7 +105,7 @@
 
 std::string big_endian(std::uint64_t value, int width) {
   std::string bytes;
-  for (int at = width - 1; at >= 0; --at) bytes.push_back(static_cast<char>(value >> (8 * at)));
+  for (int index = width - 1; index >= 0; --index) bytes.push_back(static_cast<char>(value >> (8 * index)));
   return bytes;
 }
 std::string thrift_text(std::string_view text) { return big_endian(text.size(), 4).append(text); }
@@ -154,16 +156,16 @@
 std::string thrift_read(const std::string& frame) {
   const auto read = codec::read_message(frame);
   Line line("read");
-  line.whole("seqid_of_frame", codec::sequence_id_of(frame));
+  line.integer("seqid_of_frame", codec::sequence_id_of(frame));
   if (const auto* error = std::get_if<codec::MessageError>(&read))
     return line.word("error", name_of_message_error(*error)).text();
   const auto& message = std::get<codec::Message>(read);
-  line.word("type", name_of_message_type(message.type)).whole("seqid", message.sequence_id);
+  line.word("type", name_of_message_type(message.type)).integer("seqid", message.sequence_id);
   if (const auto* object = std::get_if<codec::ProcessCall>(&message.call)) {
     line.word("method", "object_request").flag("readable", object->is_readable).bytes("body", object->body);
     for (const auto& [key, value] : object->fields) line.bytes("key", key).bytes("value", value);
   } else if (const auto* cancel = std::get_if<codec::CancelCall>(&message.call)) {
-    line.word("method", "cancel_request").whole("cancelled_seqid", cancel->sequence_id);
+    line.word("method", "cancel_request").integer("cancelled_seqid", cancel->sequence_id);
   } else if (std::holds_alternative<codec::PingCall>(message.call)) {
     line.word("method", "readiness_check");
   } else {
@@ -172,12 +174,12 @@
   return line.text();
 }
 
-TEST(GoldenCodec, ThriftWrites) {
+TEST(GoldenCodec, ThriftWriterMatchesRecord) {
   GoldenRecord record("codec_thrift_written");
   const codec::StringMap fields{{"how", "cached"}, {"", ""}, {"x", std::string("\0\x01", 2)}};
-  for (const bool good : {true, false}) {
-    record.add(golden::quoted(codec::write_reply(7, "process", "body", fields, good)));
-    record.add(golden::quoted(codec::write_reply(-1, "probe", "", {}, good)));
+  for (const bool success : {true, false}) {
+    record.add(golden::quoted(codec::write_reply(7, "process", "body", fields, success)));
+    record.add(golden::quoted(codec::write_reply(-1, "probe", "", {}, success)));
   }
   record.add(golden::quoted(codec::write_declared_exception(8, 1, {{"not_before_ms", "250"}})));
   record.add(golden::quoted(codec::write_declared_exception(9, 2, {})));
@@ -188,7 +190,7 @@
   record.check();
 }
 
-TEST(GoldenCodec, ThriftReads) {
+TEST(GoldenCodec, ThriftReaderMatchesRecord) {
   GoldenRecord record("codec_thrift_read");
   const std::string stop(1, '\0');
   const std::string process = thrift_call(1, "process", 0x01020304, process_arguments());
@@ -221,7 +223,7 @@
   record.check();
 }
 
-TEST(GoldenCodec, ThriftFrames) {
+TEST(GoldenCodec, ThriftFrameReaderMatchesRecord) {
   GoldenRecord record("codec_thrift_frames");
   const auto read = [](const Lines& pieces) {
     codec::FrameReader reader;
@@ -239,18 +241,19 @@
     return lines;
   };
   const std::string good = thrift_frame("one") + thrift_frame("") + thrift_frame("three");
-  record_splits(record, "good", good, read);
-  record_splits(record, "cut short", good.substr(0, good.size() - 2), read);
-  record_splits(record, "half a length", good + std::string(2, '\0'), read);
-  record_splits(record, "too large", thrift_frame("a") + big_endian(codec::kMaxFrame + 1, 4) + "rest", read);
-  record_splits(record, "largest", big_endian(codec::kMaxFrame, 4) + "rest", read);
+  record_split_input(record, "good", good, read);
+  record_split_input(record, "cut short", good.substr(0, good.size() - 2), read);
+  record_split_input(record, "half a length", good + std::string(2, '\0'), read);
+  record_split_input(record, "too large", thrift_frame("a") + big_endian(codec::kMaxFrame + 1, 4) + "rest",
+                     read);
+  record_split_input(record, "largest", big_endian(codec::kMaxFrame, 4) + "rest", read);
   record.check();
 }
 
 // ---- Cache lines ----
 
-const char* name_of_cache_status(codec::CacheResponseStatus word) {
-  switch (word) {
+const char* name_of_cache_status(codec::CacheResponseStatus status) {
+  switch (status) {
     case codec::CacheResponseStatus::hit:
       return "hit";
     case codec::CacheResponseStatus::not_modified:
@@ -307,7 +310,7 @@
   return lines;
 }
 
-TEST(GoldenCodec, CacheLines) {
+TEST(GoldenCodec, CacheLinesMatchRecord) {
   GoldenRecord record("codec_cache_lines");
   codec::FieldList fields;
   record.add(golden::quoted(codec::write_request("1", fields, "")));
@@ -331,7 +334,7 @@
   std::string all;
   for (const char* word : {"HIT", "VALID", "NONE", "SHED", "FAULT", "LATE", "PONG", "SICK"})
     all += std::string("id-") + word + " " + word + " how=x,age=3 4\r\nab\r\n\r\n";
-  record_splits(record, "every status", all, cache_lines_read);
+  record_split_input(record, "every status", all, cache_lines_read);
   const std::string good = "7 HIT - 0\r\n\r\n";
   for (const std::string& bad :
        {std::string("8 HIT - 3\r\nabcd\r\n"), std::string("8 DANCE - 0\r\n\r\n"),
@@ -339,7 +342,8 @@
         std::string("8 HIT - 0 more\r\n\r\n"), std::string(" HIT - 0\r\n\r\n"),
         std::string("8 HIT - -1\r\n\r\n"), std::string("8 HIT - 0\n\n"), std::string("8 hit - 0\r\n\r\n"),
         "8 HIT - " + std::to_string(codec::kMaxBody + 1) + "\r\n", std::string(codec::kMaxLine + 10, 'a')})
-    record_splits(record, "bad " + golden::quoted(bad.substr(0, 40)), good + bad + good, cache_lines_read);
+    record_split_input(record, "bad " + golden::quoted(bad.substr(0, 40)), good + bad + good,
+                       cache_lines_read);
   const auto joined = [](const std::string& bytes) {
     std::string text;
     for (const std::string& line : cache_lines_read({bytes})) text += line + "; ";
@@ -377,12 +381,12 @@
   }
   lines.push_back(Line("end")
                       .word("error", name_of_stream_error(reader.error()))
-                      .whole("lines_read", reader.lines())
+                      .integer("lines_read", reader.lines())
                       .text());
   return lines;
 }
 
-TEST(GoldenCodec, EventStream) {
+TEST(GoldenCodec, EventStreamMatchesRecord) {
   GoldenRecord record("codec_event_stream");
   record.add(golden::quoted(codec::write_stream_request("10.2.0.1:9092", "/v1/stream", "41")));
   record.add(golden::quoted(codec::write_stream_request("h:1", "/", "")));
@@ -391,23 +395,24 @@
       ":hello\n\nid: 1\ndata: one\n\nid:2\r\ndata:two\r\ndata: and more\r\n\r\nevent: odd\nid: "
       "3\n\ndata\n\nid\ndata: "
       "\n\ndata: unfinished";
-  record_splits(record, "plain", head + "\r\n" + events, event_stream_read);
+  record_split_input(record, "plain", head + "\r\n" + events, event_stream_read);
   std::ostringstream chunks;
   for (std::size_t at = 0; at < events.size(); at += 10) {
     const std::string chunk = events.substr(at, 10);
     chunks << std::hex << chunk.size() << (at % 20 == 0 ? ";x=y" : "") << "\r\n" << chunk << "\r\n";
   }
   const std::string chunked = head + "Transfer-Encoding: Chunked\r\n\r\n";
-  record_splits(record, "chunked", chunked + chunks.str(), event_stream_read);
-  record_splits(record, "last chunk", chunked + "5\r\n:a\n\n\n\r\n0\r\n\r\n", event_stream_read);
+  record_split_input(record, "chunked", chunked + chunks.str(), event_stream_read);
+  record_split_input(record, "last chunk", chunked + "5\r\n:a\n\n\n\r\n0\r\n\r\n", event_stream_read);
   for (const char* bad : {"x\r\n", "3\r\nabcd\r\n", "100001\r\n", "3 \r\nabc\r\n", "\r\n"})
-    record_splits(record, std::string("bad chunk ") + golden::quoted(bad), chunked + bad, event_stream_read);
-  record_splits(record, "endless chunk size", chunked + std::string(1100, '1'), event_stream_read);
+    record_split_input(record, std::string("bad chunk ") + golden::quoted(bad), chunked + bad,
+                       event_stream_read);
+  record_split_input(record, "endless chunk size", chunked + std::string(1100, '1'), event_stream_read);
   for (const char* bad : {"HTTP/1.1 404 Not Found\r\n\r\n", "HTTP/2 200\r\n\r\n",
                           "HTTP/1.0 200 OK\r\n\r\ndata:a\n\n", "HTTP/1.1  200 OK\r\n\r\n", "\r\n\r\n"})
-    record_splits(record, std::string("head ") + golden::quoted(bad), bad, event_stream_read);
-  record_splits(record, "endless head", "HTTP/1.1 200 OK\r\nX: " + std::string(codec::kMaxHead, 'x'),
-                event_stream_read);
+    record_split_input(record, std::string("head ") + golden::quoted(bad), bad, event_stream_read);
+  record_split_input(record, "endless head", "HTTP/1.1 200 OK\r\nX: " + std::string(codec::kMaxHead, 'x'),
+                     event_stream_read);
   const std::string long_line = "data: " + std::string(codec::kMaxEvent + 1, 'x');
   for (const std::string& line : event_stream_read({head + "\r\n" + long_line}))
     record.add("endless line " + line);
@@ -432,29 +437,30 @@
   return lines;
 }
 
-TEST(GoldenCodec, HttpCalls) {
+TEST(GoldenCodec, HttpCallsMatchRecord) {
   GoldenRecord record("codec_http_call");
   for (const int status : {200, 202, 400, 404, 405, 409, 413, 422, 503, 500})
     record.add(golden::quoted(codec::write_http_response(status, status % 2 == 0 ? "body\n" : "")));
   const std::string post =
       "POST /v1/policy?x=%zz HTTP/1.1\r\nHost: a\r\ncontent-LENGTH:   5\r\n\r\nab\r\ncMORE";
-  record_splits(record, "post", post, http_call_read);
-  record_splits(record, "get", "GET /v1/a%2fb%20c HTTP/1.0\r\n\r\nGET / HTTP/1.1\r\n\r\n", http_call_read);
+  record_split_input(record, "post", post, http_call_read);
+  record_split_input(record, "get", "GET /v1/a%2fb%20c HTTP/1.0\r\n\r\nGET / HTTP/1.1\r\n\r\n",
+                     http_call_read);
   for (const char* bad :
        {"GET / HTTP/2.0\r\n\r\n", "GET /\r\n\r\n", " / HTTP/1.1\r\n\r\n", "GET  HTTP/1.1\r\n\r\n",
         "GET /%4 HTTP/1.1\r\n\r\n", "GET /%zz HTTP/1.1\r\n\r\n", "GET ?q HTTP/1.1\r\n\r\n", "\r\n\r\n",
         "PUT / HTTP/1.1\r\nContent-Length: x\r\n\r\n", "PUT / HTTP/1.1\r\nContent-Length: 3x\r\n\r\nabc",
         "PUT / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", "PUT / HTTP/1.1\r\nContent-Length: 73729\r\n\r\n",
         "PUT / HTTP/1.1\r\nContent-Length: 4\r\n\r\nabc", "PUT / HTTP/1.1\r\nContent-Length:\r\n\r\n"})
-    record_splits(record, golden::quoted(bad), bad, http_call_read);
-  record_splits(record, "endless head", "GET / HTTP/1.1\r\nX: " + std::string(codec::kMaxCallHead, 'x'),
-                http_call_read);
+    record_split_input(record, golden::quoted(bad), bad, http_call_read);
+  record_split_input(record, "endless head", "GET / HTTP/1.1\r\nX: " + std::string(codec::kMaxCallHead, 'x'),
+                     http_call_read);
   record.check();
 }
 
 // ---- Discovery events ----
 
-const codec::DiscoveryNames& names() {
+const codec::DiscoveryNames& discovery_names() {
   static const codec::DiscoveryNames value{{"north", "edge-1"}, {"small-box", "parent", "origin"}};
   return value;
 }
@@ -473,22 +479,22 @@
 
 Lines discovery_event_lines(const codec::DiscoveryEvent& event) {
   Lines lines{Line("event")
-                  .whole("number", event.number)
+                  .integer("number", event.number)
                   .flag("endpoints", event.endpoints.has_value())
                   .flag("invalidation", event.invalidation.has_value())
                   .text()};
   if (event.endpoints) {
     lines.push_back(Line("endpoint_list").flag("complete", event.endpoints->is_complete).text());
     for (const codec::ListedEndpoint& listed : event.endpoints->endpoints) {
-      const Endpoint& m = listed.endpoint;
+      const Endpoint& endpoint = listed.endpoint;
       lines.push_back(Line("endpoint")
-                          .bytes("id", m.id)
-                          .word("state", name_of_endpoint_state(m.state))
-                          .real("weight", m.weight)
-                          .whole("zone", m.zone)
-                          .whole("cell", m.cell)
-                          .whole("kind", m.kind)
-                          .time("started", m.started)
+                          .bytes("id", endpoint.id)
+                          .word("state", name_of_endpoint_state(endpoint.state))
+                          .real("weight", endpoint.weight)
+                          .integer("zone", endpoint.zone)
+                          .integer("cell", endpoint.cell)
+                          .integer("kind", endpoint.kind)
+                          .time("started", endpoint.started)
                           .bytes("address", listed.address)
                           .time("process_started", listed.process_started)
                           .text());
@@ -497,8 +503,8 @@
   if (event.invalidation) {
     lines.push_back(Line("invalidation")
                         .flag("of_object", event.invalidation->object.has_value())
-                        .whole("object", event.invalidation->object.value_or(0))
-                        .whole("group", event.invalidation->group)
+                        .integer("object", event.invalidation->object.value_or(0))
+                        .integer("group", event.invalidation->group)
                         .time("issued", event.invalidation->issued_at)
                         .text());
   }
@@ -507,7 +513,7 @@
 
 Lines discovery_read(const std::string& json) {
   try {
-    return discovery_event_lines(codec::parse_discovery_event(json, names()));
+    return discovery_event_lines(codec::parse_discovery_event(json, discovery_names()));
   } catch (const FieldError& error) {
     return {Line("error").bytes("text", error.what()).text()};
   }
@@ -524,19 +530,19 @@
 /// of whole numbers that are not in a list: converting it there is not defined.
 constexpr std::array<const char*, 7> kScalarReplacements{"null", "\"x\"", "-1", "0", "2.5", "true", "\"\""};
 constexpr std::array<const char*, 5> kContainerReplacements{"null", "\"x\"", "0", "[]", "{}"};
-constexpr const char* kBeyondSmall = "5000000000";
+constexpr const char* kAbove32Bits = "5000000000";
 
-using UseChanged = std::function<void(const std::string& change, const std::string& json)>;
+using ChangeHandler = std::function<void(const std::string& change, const std::string& json)>;
 
-void each_change(rapidjson::Document& root, rapidjson::Value& at, const std::string& path,
-                 const UseChanged& use) {
+void for_each_change(rapidjson::Document& root, rapidjson::Value& container, const std::string& path,
+                     const ChangeHandler& handle_change) {
   const auto replace = [&](rapidjson::Value& value, const std::string& name, bool in_list) {
     const auto put = [&](const char* replacement) {
       const rapidjson::Value saved(value, root.GetAllocator());
       rapidjson::Document other(&root.GetAllocator());
       other.Parse(replacement);
       value.CopyFrom(other, root.GetAllocator());
-      use(name + " is " + replacement, json_text(root));
+      handle_change(name + " is " + replacement, json_text(root));
       value.CopyFrom(saved, root.GetAllocator());
     };
     if (value.IsObject() || value.IsArray()) {
@@ -545,29 +551,29 @@
       for (const char* replacement : kScalarReplacements) put(replacement);
       put("[]");
     }
-    if (!in_list && value.IsInt64()) put(kBeyondSmall);
-    each_change(root, value, name, use);
+    if (!in_list && value.IsInt64()) put(kAbove32Bits);
+    for_each_change(root, value, name, handle_change);
   };
-  if (at.IsObject()) {
-    for (auto& member : at.GetObject()) {
+  if (container.IsObject()) {
+    for (auto& member : container.GetObject()) {
       const std::string name = path + (path.empty() ? "" : ".") + member.name.GetString();
       const rapidjson::Value saved(member.name, root.GetAllocator());
       member.name.SetString("unheard_of");
-      use(name + " is missing", json_text(root));
+      handle_change(name + " is missing", json_text(root));
       member.name.CopyFrom(saved, root.GetAllocator());
       replace(member.value, name, false);
     }
-  } else if (at.IsArray()) {
-    for (rapidjson::SizeType i = 0; i < at.Size(); ++i)
-      replace(at[i], path + "[" + std::to_string(i) + "]", true);
+  } else if (container.IsArray()) {
+    for (rapidjson::SizeType i = 0; i < container.Size(); ++i)
+      replace(container[i], path + "[" + std::to_string(i) + "]", true);
   }
 }
 
-void each_change(const std::string& json, const UseChanged& use) {
+void for_each_change(const std::string& json, const ChangeHandler& handle_change) {
   rapidjson::Document root;
   root.Parse(json.c_str());
   ASSERT_FALSE(root.HasParseError()) << json;
-  each_change(root, root, "", use);
+  for_each_change(root, root, "", handle_change);
 }
 
 constexpr const char* kDiscoveryEvent =
@@ -576,7 +582,7 @@
     R"({"id":"b","phase":"leaving","locality":"north","flavor":"origin"},{"id":"c","phase":"left",)"
     R"("locality":"north","flavor":"small-box"}]},"recall":{"item":"00ff12ab","lot":9,"issued":1700000000456}})";
 
-TEST(GoldenCodec, DiscoveryEvents) {
+TEST(GoldenCodec, DiscoveryEventsMatchRecord) {
   GoldenRecord record("codec_discovery_events");
   const auto add = [&record](const std::string& name, const std::string& json) {
     record.add(name);
@@ -589,14 +595,14 @@
                            R"({"no":1,"recall":{"item":"10000000000000000","issued":1}})",
                            R"({"no":1,"recall":{"issued":1000000000000001}})"})
     add(golden::quoted(json), json);
-  each_change(kDiscoveryEvent, add);
+  for_each_change(kDiscoveryEvent, add);
   record.check();
 }
 
 // ---- Settings and configuration ----
 
-const char* name_of_idempotency(Idempotency effect) {
-  switch (effect) {
+const char* name_of_idempotency(Idempotency idempotency) {
+  switch (idempotency) {
     case Idempotency::idempotent:
       return "idempotent";
     case Idempotency::with_key:
@@ -617,8 +623,8 @@
   }
   return "?";
 }
-const char* name_of_weights(WeightMeaning weights) {
-  switch (weights) {
+const char* name_of_weights(WeightMeaning meaning) {
+  switch (meaning) {
     case WeightMeaning::none:
       return "none";
     case WeightMeaning::nominal:
@@ -652,8 +658,8 @@
   }
   return "?";
 }
-const char* name_of_cache_status_detail(CacheStatusDetail notes) {
-  switch (notes) {
+const char* name_of_cache_status_detail(CacheStatusDetail detail) {
+  switch (detail) {
     case CacheStatusDetail::none:
       return "none";
     case CacheStatusDetail::hits:
@@ -671,179 +677,180 @@
   return text;
 }
 
-Lines settings_lines(const Settings& s) {
+Lines settings_lines(const Settings& settings) {
   Lines lines;
   lines.push_back(Line("router")
-                      .whole("index", s.router_number)
-                      .whole("zone", s.zone)
-                      .whole("routers", s.router_count)
-                      .bytes("routers_by_zone", list_of(s.routers_by_zone))
-                      .bytes("hub_by_zone", list_of(s.hub_by_zone))
-                      .bytes("link_in_kb_per_s", list_of(s.link_in_kb_per_s))
-                      .time("tick", s.tick)
+                      .integer("index", settings.router_number)
+                      .integer("zone", settings.zone)
+                      .integer("routers", settings.router_count)
+                      .bytes("routers_by_zone", list_of(settings.routers_by_zone))
+                      .bytes("hub_by_zone", list_of(settings.hub_by_zone))
+                      .bytes("link_in_kb_per_s", list_of(settings.link_in_kb_per_s))
+                      .time("tick", settings.tick)
                       .text());
   lines.push_back(Line("topology")
-                      .whole("parent_kind", s.parent_kind)
-                      .whole("origin_kind", s.origin_kind)
-                      .flag("direct_attempts", s.direct_to_sources)
-                      .word("sibling_fills", name_of_sibling_fills(s.sibling_fills))
-                      .word("cache_status_detail", name_of_cache_status_detail(s.cache_status_detail))
-                      .real("stream_kb_per_s", s.transfer_kb_per_s)
+                      .integer("parent_kind", settings.parent_kind)
+                      .integer("origin_kind", settings.origin_kind)
+                      .flag("direct_attempts", settings.direct_to_sources)
+                      .word("sibling_fills", name_of_sibling_fills(settings.sibling_fills))
+                      .word("cache_status_detail", name_of_cache_status_detail(settings.cache_status_detail))
+                      .real("stream_kb_per_s", settings.transfer_kb_per_s)
                       .text());
   lines.push_back(Line("endpoints")
-                      .time("answer_slack", s.answer_slack)
-                      .time("drain_grace", s.drain_grace)
-                      .real("initial_capacity", s.initial_capacity)
-                      .time("warm_up_time", s.warm_up_time)
-                      .real("overload_factor", s.overload_factor)
-                      .time("overload_window", s.overload_window)
+                      .time("answer_slack", settings.answer_slack)
+                      .time("drain_grace", settings.drain_grace)
+                      .real("initial_capacity", settings.initial_capacity)
+                      .time("warm_up_time", settings.warm_up_time)
+                      .real("overload_factor", settings.overload_factor)
+                      .time("overload_window", settings.overload_window)
                       .text());
   lines.push_back(Line("parents_and_origin")
-                      .real("parent_initial_capacity", s.parent_initial_capacity)
-                      .time("parent_warm_up_time", s.parent_warm_up_time)
-                      .real("parent_overload_factor", s.parent_overload_factor)
-                      .real("origin_overload_factor", s.origin_overload_factor)
-                      .time("origin_overload_window", s.origin_overload_window)
+                      .real("parent_initial_capacity", settings.parent_initial_capacity)
+                      .time("parent_warm_up_time", settings.parent_warm_up_time)
+                      .real("parent_overload_factor", settings.parent_overload_factor)
+                      .real("origin_overload_factor", settings.origin_overload_factor)
+                      .time("origin_overload_window", settings.origin_overload_window)
                       .text());
   lines.push_back(Line("allowed")
-                      .time("invalidation_slack", s.invalidation_slack)
-                      .time("invalidation_completed", s.invalidation_settled_after)
-                      .whole("max_attempts", s.max_attempts)
-                      .flag("cancellation", s.cancellation)
-                      .flag("health_checks", s.health_checks)
-                      .flag("hedged_requests", s.hedging)
-                      .flag("retry_after", s.retry_after)
-                      .time("max_retry_after", s.max_retry_after)
-                      .flag("must_subscribe", s.subscription_required)
-                      .time("poll_within", s.poll_within)
-                      .flag("clients_mark_retries", s.marks_client_retries)
-                      .word("report_channel", name_of_report_channel(s.report_via))
-                      .word("weights", name_of_weights(s.weights))
+                      .time("invalidation_slack", settings.invalidation_slack)
+                      .time("invalidation_completed", settings.invalidation_settled_after)
+                      .integer("max_attempts", settings.max_attempts)
+                      .flag("cancellation", settings.cancellation)
+                      .flag("health_checks", settings.health_checks)
+                      .flag("hedged_requests", settings.hedging)
+                      .flag("retry_after", settings.retry_after)
+                      .time("max_retry_after", settings.max_retry_after)
+                      .flag("must_subscribe", settings.subscription_required)
+                      .time("poll_within", settings.poll_within)
+                      .flag("clients_mark_retries", settings.marks_client_retries)
+                      .word("report_channel", name_of_report_channel(settings.report_via))
+                      .word("weights", name_of_weights(settings.weights))
                       .text());
   lines.push_back(Line("cost_weights")
-                      .real("cross_zone", s.cost_weights.cross_zone)
-                      .real("waste", s.cost_weights.waste)
-                      .real("origin", s.cost_weights.origin)
-                      .real("health_check", s.cost_weights.health_check)
-                      .real("late_failure", s.cost_weights.late_failure)
-                      .real("link_bytes", s.cost_weights.link_bytes)
+                      .real("cross_zone", settings.cost_weights.cross_zone)
+                      .real("waste", settings.cost_weights.waste)
+                      .real("origin", settings.cost_weights.origin)
+                      .real("health_check", settings.cost_weights.health_check)
+                      .real("late_failure", settings.cost_weights.late_failure)
+                      .real("link_bytes", settings.cost_weights.link_bytes)
                       .text());
-  for (const RequestClass& c : s.classes) {
-    lines.push_back(Line("request_class")
-                        .bytes("name", c.name)
-                        .time("latency_objective", c.latency_objective)
-                        .real("latency_objective_per_transfer_time", c.latency_objective_per_transfer_time)
-                        .time("deadline", c.deadline)
-                        .word("idempotency", name_of_idempotency(c.idempotency))
-                        .word("deduplication_scope", name_of_deduplication_scope(c.deduplication_scope))
-                        .time("deduplication_window", c.deduplication_window)
-                        .real("priority_weight", c.priority_weight)
-                        .real("late_weight", c.late_weight)
-                        .flag("streamed", c.streamed)
-                        .time("max_age", c.max_age)
-                        .time("grace", c.grace)
-                        .real("stale_weight", c.stale_weight)
-                        .flag("segmented", c.segmented)
-                        .flag("uncacheable", c.uncacheable)
-                        .text());
+  for (const RequestClass& request_class : settings.classes) {
+    lines.push_back(
+        Line("request_class")
+            .bytes("name", request_class.name)
+            .time("latency_objective", request_class.latency_objective)
+            .real("latency_objective_per_transfer_time", request_class.latency_objective_per_transfer_time)
+            .time("deadline", request_class.deadline)
+            .word("idempotency", name_of_idempotency(request_class.idempotency))
+            .word("deduplication_scope", name_of_deduplication_scope(request_class.deduplication_scope))
+            .time("deduplication_window", request_class.deduplication_window)
+            .real("priority_weight", request_class.priority_weight)
+            .real("late_weight", request_class.late_weight)
+            .flag("streamed", request_class.streamed)
+            .time("max_age", request_class.max_age)
+            .time("grace", request_class.grace)
+            .real("stale_weight", request_class.stale_weight)
+            .flag("segmented", request_class.segmented)
+            .flag("uncacheable", request_class.uncacheable)
+            .text());
   }
   return lines;
 }
 
-Lines peers_lines(const config::MembershipConfig& p) {
-  const membership::Settings& s = p.settings;
+Lines membership_lines(const config::MembershipConfig& config) {
+  const membership::Settings& settings = config.settings;
   Line addresses("membership_addresses");
-  addresses.bytes("listen", p.listen_address).bytes("advertised", s.address);
-  for (const std::string& seed : s.seeds) addresses.bytes("seed", seed);
-  for (const auto& [from, to] : s.address_overrides)
+  addresses.bytes("listen", config.listen_address).bytes("advertised", settings.address);
+  for (const std::string& seed : settings.seeds) addresses.bytes("seed", seed);
+  for (const auto& [from, to] : settings.address_overrides)
     addresses.bytes("override_of", from).bytes("override", to);
   return {Line("membership")
-              .bytes("cluster", s.cluster)
-              .bytes("name", s.name)
-              .whole("zone", s.zone)
-              .bytes("folder", p.folder)
-              .whole("max_streams", p.max_streams)
-              .whole("max_datagrams_per_s", p.max_datagrams_per_s)
-              .whole("max_user_message_bytes", p.max_user_message_bytes)
-              .whole("max_members", s.max_members)
-              .whole("max_datagram_bytes", s.max_datagram_bytes)
-              .whole("expected_members", s.expected_members)
+              .bytes("cluster", settings.cluster)
+              .bytes("name", settings.name)
+              .integer("zone", settings.zone)
+              .bytes("folder", config.folder)
+              .integer("max_streams", config.max_streams)
+              .integer("max_datagrams_per_s", config.max_datagrams_per_s)
+              .integer("max_user_message_bytes", config.max_user_message_bytes)
+              .integer("max_members", settings.max_members)
+              .integer("max_datagram_bytes", settings.max_datagram_bytes)
+              .integer("expected_members", settings.expected_members)
               .text(),
           addresses.text(),
           Line("failure_detector")
-              .time("ping_interval", s.probe_interval)
-              .time("ping_timeout", s.probe_timeout)
-              .whole("indirect_pings", s.indirect_ping_count)
-              .time("gossip_interval", s.gossip_interval)
-              .whole("gossip_fanout", s.gossip_fanout)
-              .real("retransmit_factor", s.retransmit_factor)
-              .time("min_suspicion", s.min_suspicion_timeout)
-              .real("suspicion_factor", s.suspicion_factor)
-              .real("max_suspicion_factor", s.max_suspicion_multiple)
-              .whole("confirmations", s.max_confirmations)
-              .whole("max_local_health", s.max_health_score)
-              .time("full_sync_interval", s.full_sync_interval)
-              .time("reconnect_interval", s.reconnect_interval)
-              .time("quota_lease", s.quota_lease)
-              .flag("lifeguard", s.lifeguard)
+              .time("ping_interval", settings.probe_interval)
+              .time("ping_timeout", settings.probe_timeout)
+              .integer("indirect_pings", settings.indirect_ping_count)
+              .time("gossip_interval", settings.gossip_interval)
+              .integer("gossip_fanout", settings.gossip_fanout)
+              .real("retransmit_factor", settings.retransmit_factor)
+              .time("min_suspicion", settings.min_suspicion_timeout)
+              .real("suspicion_factor", settings.suspicion_factor)
+              .real("max_suspicion_factor", settings.max_suspicion_multiple)
+              .integer("confirmations", settings.max_confirmations)
+              .integer("max_local_health", settings.max_health_score)
+              .time("full_sync_interval", settings.full_sync_interval)
+              .time("reconnect_interval", settings.reconnect_interval)
+              .time("quota_lease", settings.quota_lease)
+              .flag("lifeguard", settings.lifeguard)
               .text()};
 }
 
-std::string policy_line(const config::PolicyConfig& p) {
-  const consensus::Settings& s = p.settings;
+std::string policy_line(const config::PolicyConfig& config) {
+  const consensus::Settings& settings = config.settings;
   Line line("policy");
-  line.bytes("name", s.name).bytes("folder", p.folder).flag("trace", p.trace);
-  for (const std::string& voter : s.voters) line.bytes("voter", voter);
-  return line.time("lease", s.lease)
-      .time("renewal", s.renew_interval)
-      .time("eager_renewal", s.urgent_interval)
-      .real("clock_drift", s.max_clock_drift)
-      .time("prepare_timeout", s.prepare_timeout)
-      .time("admin_timeout", s.call_timeout)
-      .whole("max_policy_bytes", s.max_policy_bytes)
-      .flag("serve_without_lease", s.serve_when_partitioned)
-      .flag("has_check", static_cast<bool>(s.check_policy))
+  line.bytes("name", settings.name).bytes("folder", config.folder).flag("trace", config.trace);
+  for (const std::string& voter : settings.voters) line.bytes("voter", voter);
+  return line.time("lease", settings.lease)
+      .time("renewal", settings.renew_interval)
+      .time("eager_renewal", settings.urgent_interval)
+      .real("clock_drift", settings.max_clock_drift)
+      .time("prepare_timeout", settings.prepare_timeout)
+      .time("admin_timeout", settings.call_timeout)
+      .integer("max_policy_bytes", settings.max_policy_bytes)
+      .flag("serve_without_lease", settings.serve_when_partitioned)
+      .flag("has_check", static_cast<bool>(settings.check_policy))
       .text();
 }
 
-Lines config_lines(const config::Config& c) {
+Lines config_lines(const config::Config& config) {
   Lines lines;
   lines.push_back(Line("process")
-                      .bytes("name", c.name)
-                      .bytes("listen", c.listen_address)
-                      .bytes("discovery", c.discovery_address)
-                      .bytes("admin", c.admin_address)
-                      .bytes("overrides_file", c.overrides_path)
-                      .whole("seed", c.seed)
-                      .whole("max_sockets", c.max_descriptors)
-                      .whole("memory_bytes", c.memory_bytes)
+                      .bytes("name", config.name)
+                      .bytes("listen", config.listen_address)
+                      .bytes("discovery", config.discovery_address)
+                      .bytes("admin", config.admin_address)
+                      .bytes("overrides_file", config.overrides_path)
+                      .integer("seed", config.seed)
+                      .integer("max_sockets", config.max_descriptors)
+                      .integer("memory_bytes", config.memory_bytes)
                       .text());
   lines.push_back(Line("connections")
-                      .time("idle_timeout", c.connection_idle)
-                      .time("connect_timeout", c.connect_timeout)
-                      .whole("requests_per_connection", c.requests_per_connection)
-                      .real("stream_bytes_per_s", c.flow_bytes_per_s)
-                      .real("link_bytes_per_s", c.link_bytes_per_s)
+                      .time("idle_timeout", config.connection_idle)
+                      .time("connect_timeout", config.connect_timeout)
+                      .integer("requests_per_connection", config.requests_per_connection)
+                      .real("stream_bytes_per_s", config.flow_bytes_per_s)
+                      .real("link_bytes_per_s", config.link_bytes_per_s)
                       .text());
   Line lists("names");
-  for (const std::string& zone : c.discovery_names.zones) lists.bytes("zone", zone);
-  for (const std::string& kind : c.discovery_names.kinds) lists.bytes("kind", kind);
+  for (const std::string& zone : config.discovery_names.zones) lists.bytes("zone", zone);
+  for (const std::string& kind : config.discovery_names.kinds) lists.bytes("kind", kind);
   lines.push_back(lists.text());
-  for (std::string& line : settings_lines(c.settings)) lines.push_back(std::move(line));
+  for (std::string& line : settings_lines(config.settings)) lines.push_back(std::move(line));
   lines.push_back(Line("known_at_start")
-                      .whole("number", c.last_known_event)
-                      .whole("events", c.known_events.size())
+                      .integer("number", config.last_known_event)
+                      .integer("events", config.known_events.size())
                       .text());
-  for (const codec::DiscoveryEvent& event : c.known_events)
+  for (const codec::DiscoveryEvent& event : config.known_events)
     for (std::string& line : discovery_event_lines(event)) lines.push_back(std::move(line));
   lines.push_back(Line("sections")
-                      .flag("membership", c.membership.has_value())
-                      .flag("policy", c.policy.has_value())
+                      .flag("membership", config.membership.has_value())
+                      .flag("policy", config.policy.has_value())
                       .text());
-  if (c.membership)
-    for (std::string& line : peers_lines(*c.membership)) lines.push_back(std::move(line));
-  if (c.policy) lines.push_back(policy_line(*c.policy));
-  lines.push_back(Line("settings_text").bytes("json", c.settings_text).text());
+  if (config.membership)
+    for (std::string& line : membership_lines(*config.membership)) lines.push_back(std::move(line));
+  if (config.policy) lines.push_back(policy_line(*config.policy));
+  lines.push_back(Line("settings_text").bytes("json", config.settings_text).text());
   return lines;
 }
 
@@ -902,7 +909,7 @@
   }
 }
 
-TEST(GoldenCodec, ConfigurationInFull) {
+TEST(GoldenCodec, FullAndMinimalConfigurationMatchRecord) {
   GoldenRecord record("config_in_full");
   for (const std::string& line : config_lines(config::parse(full_config(), {}))) record.add(line);
   // As little as there may be: all else has its default.
@@ -916,7 +923,7 @@
   record.check();
 }
 
-TEST(GoldenCodec, ConfigurationWords) {
+TEST(GoldenCodec, ConfigurationWithEachEnumValueMatchesRecord) {
   GoldenRecord record("config_words");
   const auto put = [&record](const std::string& from, const std::string& to) {
     std::string text = full_config();
@@ -945,7 +952,7 @@
   record.check();
 }
 
-TEST(GoldenCodec, ConfigurationFaults) {
+TEST(GoldenCodec, InvalidConfigurationMatchesRecord) {
   GoldenRecord record("config_faults");
   const auto add = [&record](const std::string& name, const std::string& json,
                              const Environment& environment) {
@@ -999,11 +1006,12 @@
   // Each key in turn is missing or has another value. The discovery event in it has a record of its own.
   std::string plain = full;
   plain.replace(plain.find(kDiscoveryEvent), std::string_view(kDiscoveryEvent).size(), R"({"no":1})");
-  each_change(plain, [&add](const std::string& change, const std::string& json) { add(change, json, {}); });
+  for_each_change(plain,
+                  [&add](const std::string& change, const std::string& json) { add(change, json, {}); });
   record.check();
 }
 
-TEST(GoldenCodec, ConfigurationFiles) {
+TEST(GoldenCodec, ConfigurationFilesMatchRecord) {
   GoldenRecord record("config_files");
   const auto load = [&record](const std::string& name, const Environment& environment) {
     try {
@@ -1023,8 +1031,8 @@
 
 // ---- Membership's messages ----
 
-const char* name_of_member_status(membership::MemberStatus state) {
-  switch (state) {
+const char* name_of_member_status(membership::MemberStatus status) {
+  switch (status) {
     case membership::MemberStatus::alive:
       return "alive";
     case membership::MemberStatus::suspect:
@@ -1082,14 +1090,14 @@
 void describe(Line& line, const membership::MemberUpdate& update) {
   line.bytes("member", update.name)
       .bytes("address", update.address)
-      .whole("disk", update.disk_id)
-      .whole("incarnation", update.incarnation)
-      .whole("zone", update.zone)
+      .integer("disk", update.disk_id)
+      .integer("incarnation", update.incarnation)
+      .integer("zone", update.zone)
       .word("status", name_of_member_status(update.status))
       .bytes("reported_by", update.reported_by);
 }
 
-membership::MemberUpdate member_update(const std::string& name, membership::MemberStatus state,
+membership::MemberUpdate member_update(const std::string& name, membership::MemberStatus status,
                                        std::uint64_t number) {
   membership::MemberUpdate update;
   update.name = name;
@@ -1097,8 +1105,8 @@
   update.disk_id = 0x1122334455667788U + number;
   update.incarnation = (number << membership::kRefutationBits) + 3;
   update.zone = static_cast<int>(number);
-  update.status = state;
-  update.reported_by = state == membership::MemberStatus::suspect || state == membership::MemberStatus::dead
+  update.status = status;
+  update.reported_by = status == membership::MemberStatus::suspect || status == membership::MemberStatus::dead
                            ? "by-" + name
                            : "";
   return update;
@@ -1113,9 +1121,9 @@
   message.digest = 0xfedcba9876543210U;
   if (kind == membership::MessageKind::ping_req || kind == membership::MessageKind::ack) message.target = "c";
   if (kind == membership::MessageKind::ping_req) message.target_address = "10.0.0.3:7000";
-  for (std::uint64_t at = 0; at < membership::kMemberStatusCount; ++at)
-    message.updates.push_back(
-        member_update("m" + std::to_string(at), static_cast<membership::MemberStatus>(at), at + 2));
+  for (std::uint64_t status = 0; status < membership::kMemberStatusCount; ++status)
+    message.updates.push_back(member_update("m" + std::to_string(status),
+                                            static_cast<membership::MemberStatus>(status), status + 2));
   message.counted_disk = 0x0102030405060708U;
   message.member_names_hash = 0x1020304050607080U;
   message.confirmed = true;
@@ -1123,8 +1131,8 @@
   return message;
 }
 
-std::string membership_read(const std::string& bytes, const std::string& cluster, std::size_t most) {
-  const auto decoded = membership::decode(bytes, cluster, most);
+std::string membership_read(const std::string& bytes, const std::string& cluster, std::size_t max_bytes) {
+  const auto decoded = membership::decode(bytes, cluster, max_bytes);
   if (const auto* error = std::get_if<membership::DecodeError>(&decoded))
     return Line("error")
         .word("reason", name_of_decode_error(*error))
@@ -1133,22 +1141,22 @@
   const auto& message = std::get<membership::Message>(decoded);
   Line line("message");
   line.word("kind", name_of_message_kind(message.kind))
-      .whole("number", message.sequence)
+      .integer("number", message.sequence)
       .bytes("to", message.to);
   describe(line, message.from);
-  line.whole("digest", message.digest)
+  line.integer("digest", message.digest)
       .bytes("target", message.target)
       .bytes("target_address", message.target_address)
-      .whole("counted_disk", message.counted_disk)
-      .whole("names_digest", message.member_names_hash)
+      .integer("counted_disk", message.counted_disk)
+      .integer("names_digest", message.member_names_hash)
       .flag("confirmed", message.confirmed)
       .bytes("payload", message.payload)
-      .whole("updates", message.updates.size());
+      .integer("updates", message.updates.size());
   for (const membership::MemberUpdate& update : message.updates) describe(line, update);
   return line.text();
 }
 
-TEST(GoldenCodec, MembershipMessages) {
+TEST(GoldenCodec, MembershipMessagesMatchRecord) {
   GoldenRecord record("codec_membership_messages");
   const auto add = [&record](const membership::Message& message, const std::string& cluster = "west") {
     const std::string bytes = membership::encode(message, cluster);
@@ -1162,37 +1170,37 @@
                " told as " + std::string(membership::name_of(static_cast<membership::MemberStatus>(state))));
   add({});
   // What no reader takes.
-  const auto faulty = [&](const std::function<void(membership::Message&)>& change,
-                          membership::MessageKind kind = membership::MessageKind::ping) {
+  const auto add_invalid = [&](const std::function<void(membership::Message&)>& change,
+                               membership::MessageKind kind = membership::MessageKind::ping) {
     membership::Message message = membership_message(kind);
     change(message);
     add(message);
   };
   add(membership_message(membership::MessageKind::ping), "east");
-  faulty([](membership::Message& m) { m.kind = static_cast<membership::MessageKind>(8); });
-  faulty([](membership::Message& m) { m.to = "b b"; });
-  faulty([](membership::Message& m) { m.to = std::string(65, 'b'); });
-  faulty([](membership::Message& m) { m.from.name.clear(); });
-  faulty([](membership::Message& m) { m.from.address = "10.0.0.256:1"; });
-  faulty([](membership::Message& m) { m.from.address = "host:1"; });
-  faulty([](membership::Message& m) { m.from.zone = 4096; });
-  faulty([](membership::Message& m) { m.from.zone = 4095; });
-  faulty([](membership::Message& m) { m.from.status = static_cast<membership::MemberStatus>(6); });
-  faulty([](membership::Message& m) { m.from.reported_by = "x/y"; });
-  faulty([](membership::Message& m) { m.target = "c c"; });
-  faulty([](membership::Message& m) { m.target_address = "c"; });
-  faulty([](membership::Message& m) { m.updates[3].name.clear(); });
-  faulty([](membership::Message& m) { m.payload = "x"; });
-  faulty([](membership::Message& m) { m.payload.clear(); }, membership::MessageKind::user_message);
-  faulty([](membership::Message& m) { m.target.clear(); }, membership::MessageKind::ping_req);
-  faulty([](membership::Message& m) { m.target_address.clear(); }, membership::MessageKind::ping_req);
+  add_invalid([](membership::Message& m) { m.kind = static_cast<membership::MessageKind>(8); });
+  add_invalid([](membership::Message& m) { m.to = "b b"; });
+  add_invalid([](membership::Message& m) { m.to = std::string(65, 'b'); });
+  add_invalid([](membership::Message& m) { m.from.name.clear(); });
+  add_invalid([](membership::Message& m) { m.from.address = "10.0.0.256:1"; });
+  add_invalid([](membership::Message& m) { m.from.address = "host:1"; });
+  add_invalid([](membership::Message& m) { m.from.zone = 4096; });
+  add_invalid([](membership::Message& m) { m.from.zone = 4095; });
+  add_invalid([](membership::Message& m) { m.from.status = static_cast<membership::MemberStatus>(6); });
+  add_invalid([](membership::Message& m) { m.from.reported_by = "x/y"; });
+  add_invalid([](membership::Message& m) { m.target = "c c"; });
+  add_invalid([](membership::Message& m) { m.target_address = "c"; });
+  add_invalid([](membership::Message& m) { m.updates[3].name.clear(); });
+  add_invalid([](membership::Message& m) { m.payload = "x"; });
+  add_invalid([](membership::Message& m) { m.payload.clear(); }, membership::MessageKind::user_message);
+  add_invalid([](membership::Message& m) { m.target.clear(); }, membership::MessageKind::ping_req);
+  add_invalid([](membership::Message& m) { m.target_address.clear(); }, membership::MessageKind::ping_req);
   membership::Message small = membership_message(membership::MessageKind::ping_req);
   small.updates.resize(1);
   const std::string bytes = membership::encode(small, "west");
   record.add(Line("sizes")
-                 .whole("update", membership::encoded_size(small.updates[0]))
-                 .whole("head", membership::header_size(small, "west"))
-                 .whole("bytes", bytes.size())
+                 .integer("update", membership::encoded_size(small.updates[0]))
+                 .integer("head", membership::header_size(small, "west"))
+                 .integer("bytes", bytes.size())
                  .text());
   record.add("oversized: " + membership_read(bytes, "west", bytes.size() - 1));
   record.add("just fits: " + membership_read(bytes, "west", bytes.size()));
@@ -1205,7 +1213,7 @@
   record.check();
 }
 
-TEST(GoldenCodec, DamagedMembershipMessages) {
+TEST(GoldenCodec, DamagedMembershipMessagesMatchRecord) {
   GoldenRecord record("codec_membership_damaged");
   membership::Message message = membership_message(membership::MessageKind::ping_req);
   message.updates.resize(2);
@@ -1231,8 +1239,8 @@
   }
   return "?";
 }
-const char* name_of_change_result(consensus::ChangeResult fate) {
-  switch (fate) {
+const char* name_of_change_result(consensus::ChangeResult result) {
+  switch (result) {
     case consensus::ChangeResult::active:
       return "active";
     case consensus::ChangeResult::aborted:
@@ -1245,79 +1253,81 @@
 
 void describe(Line& line, const consensus::Entry& entry) {
   line.word("step", name_of_step(entry.step))
-      .whole("change", entry.change)
+      .integer("change", entry.change)
       .bytes("key", entry.key)
-      .whole("base_epoch", entry.base_epoch)
+      .integer("base_epoch", entry.base_epoch)
       .bytes("policy", entry.policy)
       .bytes("reason", entry.reason);
 }
 
 struct DescribeMessage {
   Line& line;
-  void operator()(const consensus::LeaseRequest& m) const {
-    line.word("kind", "lease_request").whole("number", m.number);
+  void operator()(const consensus::LeaseRequest& message) const {
+    line.word("kind", "lease_request").integer("number", message.number);
   }
-  void operator()(const consensus::LeaseGrant& m) const {
-    line.word("kind", "lease_grant").whole("number", m.request_number).whole("epoch", m.epoch);
-    line.time("duration", m.duration).whole("log_index", m.index);
+  void operator()(const consensus::LeaseGrant& message) const {
+    line.word("kind", "lease_grant")
+        .integer("number", message.request_number)
+        .integer("epoch", message.epoch);
+    line.time("duration", message.duration).integer("log_index", message.index);
   }
-  void operator()(const consensus::LeadershipCheck& m) const {
-    line.word("kind", "leadership_check").whole("term", m.term).whole("round", m.round);
+  void operator()(const consensus::LeadershipCheck& message) const {
+    line.word("kind", "leadership_check").integer("term", message.term).integer("round", message.round);
   }
-  void operator()(const consensus::LeadershipCheckReply& m) const {
-    line.word("kind", "leadership_confirmed").whole("term", m.term).whole("round", m.round);
+  void operator()(const consensus::LeadershipCheckReply& message) const {
+    line.word("kind", "leadership_confirmed").integer("term", message.term).integer("round", message.round);
   }
-  void operator()(const consensus::LogPosition& m) const {
-    line.word("kind", "log_position").whole("log_index", m.index).bytes("leader", m.leader);
+  void operator()(const consensus::LogPosition& message) const {
+    line.word("kind", "log_position").integer("log_index", message.index).bytes("leader", message.leader);
   }
-  void operator()(const consensus::PrepareReply& m) const {
+  void operator()(const consensus::PrepareReply& message) const {
     line.word("kind", "prepared")
-        .whole("change", m.change)
-        .flag("accepted", m.ready)
-        .bytes("reason", m.reason);
+        .integer("change", message.change)
+        .flag("accepted", message.ready)
+        .bytes("reason", message.reason);
   }
-  void operator()(const consensus::LeaseRevocation& m) const {
-    line.word("kind", "lease_revocation").whole("term", m.term).whole("epoch", m.epoch);
+  void operator()(const consensus::LeaseRevocation& message) const {
+    line.word("kind", "lease_revocation").integer("term", message.term).integer("epoch", message.epoch);
   }
-  void operator()(const consensus::LeaseRevocationAck& m) const {
-    line.word("kind", "lease_revocation_ack").whole("term", m.term).whole("epoch", m.epoch);
+  void operator()(const consensus::LeaseRevocationAck& message) const {
+    line.word("kind", "lease_revocation_ack").integer("term", message.term).integer("epoch", message.epoch);
   }
-  void operator()(const consensus::ProposeRequest& m) const {
+  void operator()(const consensus::ProposeRequest& message) const {
     line.word("kind", "propose")
-        .bytes("key", m.key)
-        .whole("base_epoch", m.base_epoch)
-        .bytes("policy", m.policy);
+        .bytes("key", message.key)
+        .integer("base_epoch", message.base_epoch)
+        .bytes("policy", message.policy);
   }
-  void operator()(const consensus::AbortRequest& m) const {
-    line.word("kind", "abort").whole("change", m.change);
+  void operator()(const consensus::AbortRequest& message) const {
+    line.word("kind", "abort").integer("change", message.change);
   }
-  void operator()(const consensus::CatchUpRequest& m) const {
-    line.word("kind", "catch_up_request").whole("after_index", m.after_index);
+  void operator()(const consensus::CatchUpRequest& message) const {
+    line.word("kind", "catch_up_request").integer("after_index", message.after_index);
   }
-  void operator()(const consensus::CatchUpResponse& m) const {
+  void operator()(const consensus::CatchUpResponse& message) const {
     line.word("kind", "catch_up_response")
-        .whole("after_index", m.after_index)
-        .whole("last_index", m.up_to_index);
-    for (const auto& [index, entry] : m.entries) describe(line.whole("log_index", index), entry);
+        .integer("after_index", message.after_index)
+        .integer("last_index", message.up_to_index);
+    for (const auto& [index, entry] : message.entries) describe(line.integer("log_index", index), entry);
   }
-  void operator()(const consensus::Snapshot& m) const {
-    line.word("kind", "snapshot").whole("log_index", m.index).whole("epoch", m.epoch);
-    line.bytes("key", m.key).bytes("policy", m.policy);
-    for (const consensus::Change& change : m.change) {
-      line.whole("change", change.id).whole("change_epoch", change.epoch).bytes("change_key", change.key);
+  void operator()(const consensus::Snapshot& message) const {
+    line.word("kind", "snapshot").integer("log_index", message.index).integer("epoch", message.epoch);
+    line.bytes("key", message.key).bytes("policy", message.policy);
+    for (const consensus::Change& change : message.change) {
+      line.integer("change", change.id).integer("change_epoch", change.epoch).bytes("change_key", change.key);
       line.bytes("change_policy", change.policy).flag("committed", change.committed);
     }
-    for (const consensus::ChangeOutcome& outcome : m.outcomes) {
+    for (const consensus::ChangeOutcome& outcome : message.outcomes) {
       line.bytes("outcome_key", outcome.key).word("result", name_of_change_result(outcome.result));
-      line.whole("outcome_epoch", outcome.epoch).bytes("reason", outcome.reason);
+      line.integer("outcome_epoch", outcome.epoch).bytes("reason", outcome.reason);
     }
   }
 };
 
 std::string consensus_read(const std::string& bytes) {
-  bool unlike = false;
-  const auto decoded = consensus::decode(bytes, kLease, &unlike);
-  if (!decoded) return Line("error").flag("other_lease", unlike).text();
+  bool other_lease = false;
+  const auto decoded = consensus::decode(bytes, kLease, &other_lease);
+  if (!decoded) return Line("error").flag("other_lease", other_lease).text();
   Line line("message");
   if (const auto* message = std::get_if<consensus::Message>(&*decoded)) {
     std::visit(DescribeMessage{line}, *message);
@@ -1332,11 +1342,11 @@
 std::vector<consensus::Message> consensus_messages() {
   using consensus::Entry;
   using consensus::Step;
-  consensus::CatchUpResponse pulled{5, 9, {}};
-  pulled.entries.emplace_back(6, Entry{Step::propose, 0, "k", 2, "policy text", ""});
-  pulled.entries.emplace_back(7, Entry{Step::commit, 6, "", 0, "", ""});
-  pulled.entries.emplace_back(8, Entry{Step::activate, 6, "", 0, "", ""});
-  pulled.entries.emplace_back(9, Entry{Step::abort, 6, "", 0, "", "n2: why"});
+  consensus::CatchUpResponse catch_up{5, 9, {}};
+  catch_up.entries.emplace_back(6, Entry{Step::propose, 0, "k", 2, "policy text", ""});
+  catch_up.entries.emplace_back(7, Entry{Step::commit, 6, "", 0, "", ""});
+  catch_up.entries.emplace_back(8, Entry{Step::activate, 6, "", 0, "", ""});
+  catch_up.entries.emplace_back(9, Entry{Step::abort, 6, "", 0, "", "n2: why"});
   consensus::Snapshot snapshot{40, 3, "k3", "policy 3", {}, {}};
   snapshot.change.push_back({39, 4, "k4", std::string("po\0licy", 7), true});
   snapshot.outcomes.push_back({"k1", consensus::ChangeResult::active, 1, ""});
@@ -1354,7 +1364,7 @@
           consensus::ProposeRequest{"k5", 4, "policy 5"},
           consensus::AbortRequest{39},
           consensus::CatchUpRequest{5},
-          pulled,
+          catch_up,
           snapshot};
 }
 
@@ -1369,13 +1379,13 @@
 std::string bytes_field(unsigned field, std::string_view value) {
   return (varint(field << 3U | 2U) + varint(value.size())).append(value);
 }
-std::string numbers(unsigned first, unsigned last) {
+std::string number_fields(unsigned first, unsigned last) {
   std::string bytes;
   for (unsigned field = first; field <= last; ++field) bytes += number_field(field, 100 + field);
   return bytes;
 }
 
-TEST(GoldenCodec, ConsensusMessages) {
+TEST(GoldenCodec, ConsensusMessagesMatchRecord) {
   GoldenRecord record("codec_consensus_messages");
   const auto add = [&record](const std::string& bytes) {
     record.add(golden::quoted(bytes));
@@ -1403,12 +1413,12 @@
   const std::string entry = number_field(1, 3) + number_field(2, 1) + bytes_field(3, "data");
   const std::string server = number_field(1, 77) + bytes_field(2, "n1#77") + number_field(3, 1);
   const std::array<std::string, 6> kinds{
-      numbers(1, 4) + number_field(5, 1) + number_field(6, 1),
+      number_fields(1, 4) + number_field(5, 1) + number_field(6, 1),
       number_field(1, 5) + number_field(2, 1) + number_field(3, 2),
-      numbers(1, 4) + bytes_field(5, entry) + bytes_field(5, entry),
-      numbers(1, 3),
-      numbers(1, 3) + bytes_field(4, server) + number_field(5, 9) + bytes_field(6, "snapshot"),
-      numbers(1, 3)};
+      number_fields(1, 4) + bytes_field(5, entry) + bytes_field(5, entry),
+      number_fields(1, 3),
+      number_fields(1, 3) + bytes_field(4, server) + number_field(5, 9) + bytes_field(6, "snapshot"),
+      number_fields(1, 3)};
   for (unsigned kind = 0; kind < kinds.size(); ++kind) {
     consensus::pb::RaftMessage message;
     ASSERT_TRUE(message.ParseFromString(number_field(1, 77) + number_field(2, 78) + bytes_field(3, "n1#77") +
@@ -1427,7 +1437,7 @@
   record.check();
 }
 
-TEST(GoldenCodec, ConsensusEntries) {
+TEST(GoldenCodec, ConsensusEntriesMatchRecord) {
   GoldenRecord record("codec_consensus_entries");
   const auto read = [](const std::string& bytes) {
     const auto entry = consensus::decode_entry(bytes);
@@ -1449,7 +1459,7 @@
   record.check();
 }
 
-TEST(GoldenCodec, DamagedConsensusMessages) {
+TEST(GoldenCodec, DamagedConsensusMessagesMatchRecord) {
   GoldenRecord record("codec_consensus_damaged");
   std::size_t number = 0;
   for (const consensus::Message& message : consensus_messages())
@@ -1486,23 +1496,23 @@
     R"("settled":false,"detail":5,"ttfb":400,"report":{"busy":0.5,"rif":2,"q":1.5,"x0":0.7,"x1":0.2}})";
 
 Lines simulator_reply(const Lines& input) {
-  std::stringstream in, out;
-  for (const std::string& line : input) in << line << '\n';
+  std::stringstream input_stream, output_stream;
+  for (const std::string& line : input) input_stream << line << '\n';
   std::string error;
   try {
-    simulator::serve(in, out);
+    simulator::serve(input_stream, output_stream);
   } catch (const simulator::WireError& problem) {
     error = Line("error").bytes("text", problem.what()).text();
   }
   Lines lines;
-  for (std::string line; std::getline(out, line);) lines.push_back(golden::quoted(line));
+  for (std::string line; std::getline(output_stream, line);) lines.push_back(golden::quoted(line));
   if (!error.empty()) lines.push_back(error);
   return lines;
 }
 
 /// Every form of line that goes out. The writer also knows `probe`, `read_list` and `journal_line`; the
 /// router asks for none of them.
-constexpr const char* kFormsSeen = "answer_from bounce cancel done finish_error observe wake_at ";
+constexpr const char* kExpectedForms = "answer_from bounce cancel done finish_error observe wake_at ";
 
 /// A session in which every form of event comes in, with each word that it may hold.
 Lines simulator_session() {
@@ -1559,7 +1569,7 @@
   return input;
 }
 
-TEST(GoldenCodec, SimulatorSession) {
+TEST(GoldenCodec, SimulatorSessionMatchesRecord) {
   GoldenRecord record("codec_simulator_session");
   const Lines reply = simulator_reply(simulator_session());
   std::set<std::string> forms;
@@ -1571,11 +1581,11 @@
   }
   std::string seen;
   for (const std::string& form : forms) seen += form + " ";
-  EXPECT_EQ(seen, kFormsSeen);
+  EXPECT_EQ(seen, kExpectedForms);
   record.check();
 }
 
-TEST(GoldenCodec, SimulatorFaults) {
+TEST(GoldenCodec, InvalidSimulatorInputMatchesRecord) {
   GoldenRecord record("codec_simulator_faults");
   const Lines start{R"({"what":"clock","at_time":1000000})", kEnlist, kRegister, kRegistry};
   const auto add = [&record](const std::string& name, const Lines& input) {
@@ -1599,7 +1609,7 @@
       R"({"what":"streaming","proxy_id":3,"handle":"h0","n":0})",
       R"({"what":"destroy","proxy_id":3})"};
   for (const std::string& event : events) {
-    each_change(event, [&](const std::string& change, const std::string& json) {
+    for_each_change(event, [&](const std::string& change, const std::string& json) {
       // A negative number of a part has no meaning as an unsigned one.
       if (change == "chunk is -1" || change == "lane is -1" || change == "lane is 5000000000") return;
       Lines input = start;
@@ -1609,7 +1619,7 @@
       add(change, input);
     });
   }
-  each_change(kEnlist, [&](const std::string& change, const std::string& json) {
+  for_each_change(kEnlist, [&](const std::string& change, const std::string& json) {
     add(change, {start[0], json, R"({"what":"eob"})"});
   });
   record.check();
--- a/tests/golden/consensus_golden_test.cpp
+++ b/tests/golden/consensus_golden_test.cpp
@@ -16,10 +16,11 @@
 using golden::GoldenRecord;
 using golden::TraceLine;
 
-class ConsensusPlay {
+class RandomConsensusRun {
  public:
-  ConsensusPlay(const std::string& record_name, std::size_t count, std::size_t voters, std::uint64_t seed)
-      : record_(record_name), random_(seed), voters_(voters), serves_cut_off_(seed == 2) {
+  RandomConsensusRun(const std::string& record_name, std::size_t count, std::size_t voters,
+                     std::uint64_t seed)
+      : record_(record_name), random_(seed), voters_(voters), serves_when_partitioned_(seed == 2) {
     AgreedWorld::Observer observer;
     observer.input = [this](std::size_t i, Time now, const consensus::Input& input,
                             const std::vector<consensus::Effect>& effects, const consensus::State& state) {
@@ -28,21 +29,22 @@
     observer.log = [this](std::size_t i, const consensus::RaftLog::Output& output) {
       golden::add_log_output(record_, AgreedWorld::name(i), output);
     };
-    const auto edit = [serves = serves_cut_off_](consensus::Settings& settings) {
+    const auto configure = [serve_when_partitioned =
+                                serves_when_partitioned_](consensus::Settings& settings) {
       settings.prepare_timeout = Time{4s};
-      settings.serve_when_partitioned = serves;
+      settings.serve_when_partitioned = serve_when_partitioned;
     };
-    world_ = std::make_unique<AgreedWorld>(count, voters, seed, edit, observer);
+    world_ = std::make_unique<AgreedWorld>(count, voters, seed, configure, observer);
     world_->snapshot_every = 6;  // of processes that start from now on
   }
 
-  void play(int turns) {
+  void run(int events) {
     world_->run(4s);
     world_->loss = 0.05 * static_cast<double>(random_() % 3);
-    for (int turn = 0; turn < turns; ++turn) {
-      take_turn();
+    for (int event = 0; event < events; ++event) {
+      run_random_event();
       world_->run(std::chrono::milliseconds(20 + random_() % 1200));
-      add_states();
+      record_states();
     }
     recover();
     record_.check();
@@ -50,44 +52,44 @@
 
   /// A voter is added and another removed; a change is aborted at a follower; one that was down for long
   /// takes a snapshot.
-  void play_voter_changes() {
+  void run_voter_changes() {
     world_->run(4s);
     const std::size_t leader = world_->leader().value(), follower = leader == 0 ? 1 : 0;
     const std::size_t new_voter = voters_, last = world_->size() - 1;
     change_voters(new_voter);
     world_->run(1200ms);
-    add_states();
+    record_states();
     change_voters(follower);
     world_->run(1200ms);
-    add_states();
+    record_states();
     world_->stop(last);  // a change waits for its answer
-    propose_as(new_voter, "policy to abort");
+    propose_policy(new_voter, "policy to abort");
     world_->run(500ms);
-    world_->feed(new_voter, consensus::AbortCall{++call_});
+    world_->feed(new_voter, consensus::AbortCall{++last_call_});
     world_->run(500ms);
     world_->kill(last);
-    restart_all_but(last);
+    restart_nodes_before(last);
     for (int change = 0; change < 5; ++change) {
-      propose_as(new_voter, "unfit for n0");
-      propose_as(new_voter, "policy " + std::to_string(change));
+      propose_policy(new_voter, "unfit for n0");
+      propose_policy(new_voter, "policy " + std::to_string(change));
       world_->run(400ms);
     }
     // Those that start anew have what came before as a snapshot alone.
-    restart_all_but(last);
-    add_states();
+    restart_nodes_before(last);
+    record_states();
     recover();
     record_.check();
   }
 
  private:
-  void take_turn() {
-    const std::size_t count = world_->size(), whom = random_() % count;
+  void run_random_event() {
+    const std::size_t count = world_->size(), node = random_() % count;
     switch (random_() % 13) {
       case 0:
       case 1:
       case 2:
       case 3:
-        propose(whom);
+        propose_random_policy(node);
         break;
       case 4: {
         const std::size_t first = 1 + random_() % (count - 1);
@@ -98,53 +100,54 @@
         world_->cut = nullptr;
         break;
       case 6:
-        if (world_->node(whom).state) world_->kill(whom, random_() % 2 == 0);
-        if (random_() % 3 == 0 && whom >= voters_) world_->empty_disk(whom);
+        if (world_->node(node).state) world_->kill(node, random_() % 2 == 0);
+        if (random_() % 3 == 0 && node >= voters_) world_->empty_disk(node);
         break;
       case 7:
       case 8:
         start_all();
         break;
       case 9:
-        if (world_->runs(whom)) world_->stop(whom);
+        if (world_->runs(node)) world_->stop(node);
         break;
       case 10:
-        if (world_->runs(whom)) world_->feed(whom, consensus::AbortCall{++call_});
+        if (world_->runs(node)) world_->feed(node, consensus::AbortCall{++last_call_});
         break;
       case 11:
-        change_voters(whom);
+        change_voters(node);
         break;
       default:
         resume_all();
     }
   }
 
-  void propose(std::size_t whom) {
-    if (!world_->runs(whom)) return;
-    ++call_;
-    const std::string key = random_() % 5 == 0 ? "again" : "key" + std::to_string(call_);
+  void propose_random_policy(std::size_t node) {
+    if (!world_->runs(node)) return;
+    ++last_call_;
+    const std::string key = random_() % 5 == 0 ? "again" : "key" + std::to_string(last_call_);
     const std::string policy =
-        random_() % 6 == 0 ? "unfit for n1" : "policy " + std::to_string(call_) + std::string(call_ * 7, 'p');
-    const consensus::Epoch epoch = world_->node(whom).state->policy_state().epoch();
-    world_->put(whom, call_, key, random_() % 6 == 0 ? epoch + 1 : epoch, policy);
+        random_() % 6 == 0 ? "unfit for n1"
+                           : "policy " + std::to_string(last_call_) + std::string(last_call_ * 7, 'p');
+    const consensus::Epoch epoch = world_->node(node).state->policy_state().epoch();
+    world_->put(node, last_call_, key, random_() % 6 == 0 ? epoch + 1 : epoch, policy);
   }
 
-  void propose_as(std::size_t whom, const std::string& policy) {
-    ++call_;
-    world_->put(whom, call_, "key" + std::to_string(call_), world_->node(whom).state->policy_state().epoch(),
-                policy);
+  void propose_policy(std::size_t node, const std::string& policy) {
+    ++last_call_;
+    world_->put(node, last_call_, "key" + std::to_string(last_call_),
+                world_->node(node).state->policy_state().epoch(), policy);
   }
 
   /// Messages that this gives at once go out with the next call of the leader's log.
-  void change_voters(std::size_t whom) {
+  void change_voters(std::size_t node) {
     const auto leader = world_->leader();
-    if (!leader || *leader == whom || !world_->runs(whom)) return;
+    if (!leader || *leader == node || !world_->runs(node)) return;
     consensus::RaftLog& log = *world_->node(*leader).log;
-    const std::string name = AgreedWorld::name(whom);
+    const std::string name = AgreedWorld::name(node);
     consensus::RaftLog::Output output;
     const bool is_voter = log.voters().count(name) != 0;
     const bool accepted = is_voter ? log.voters().size() > 3 && log.remove_voter(name, output)
-                                   : log.add_voter(name, world_->node(whom).log->id(), output);
+                                   : log.add_voter(name, world_->node(node).log->id(), output);
     record_.add(TraceLine(AgreedWorld::name(*leader))
                     .verbatim(is_voter ? "remove_voter" : "add_voter", name)
                     .field("accepted", accepted)
@@ -157,9 +160,9 @@
       if (!world_->node(i).state) world_->start(i);
     }
   }
-  void restart_all_but(std::size_t last) {
-    for (std::size_t i = 0; i < last; ++i) world_->kill(i);
-    for (std::size_t i = 0; i < last; ++i) world_->start(i);
+  void restart_nodes_before(std::size_t end) {
+    for (std::size_t i = 0; i < end; ++i) world_->kill(i);
+    for (std::size_t i = 0; i < end; ++i) world_->start(i);
     world_->run(2s);
   }
   void resume_all() {
@@ -173,13 +176,13 @@
     start_all();
     resume_all();
     world_->run(4s);
-    add_states();
-    if (!serves_cut_off_) {
+    record_states();
+    if (!serves_when_partitioned_) {
       EXPECT_EQ(world_->violation, "");
     }
   }
 
-  void add_states() {
+  void record_states() {
     for (std::size_t i = 0; i < world_->size(); ++i) {
       if (!world_->node(i).state) continue;
       const consensus::State& state = *world_->node(i).state;
@@ -214,27 +217,37 @@
   GoldenRecord record_;
   std::mt19937_64 random_;
   std::size_t voters_;
-  bool serves_cut_off_;  // decides without a lease too: then two epochs may hold at once
-  std::uint64_t call_ = 0;
+  bool serves_when_partitioned_;  // decides without a lease too: then two epochs may hold at once
+  std::uint64_t last_call_ = 0;
   std::unique_ptr<AgreedWorld> world_;
 };
 
-TEST(ConsensusGolden, DrawnPlaySeed1OfFourMembers) { ConsensusPlay("consensus_play_1", 4, 3, 1).play(16); }
-TEST(ConsensusGolden, DrawnPlaySeed2OfFiveMembers) { ConsensusPlay("consensus_play_2", 5, 3, 2).play(16); }
-TEST(ConsensusGolden, DrawnPlaySeed3OfSixMembers) { ConsensusPlay("consensus_play_3", 6, 3, 3).play(10); }
-TEST(ConsensusGolden, DrawnPlaySeed4OfFiveVoters) { ConsensusPlay("consensus_play_4", 6, 5, 4).play(10); }
+TEST(ConsensusGolden, RandomRunWithSeed1AndFourMembersMatchesRecord) {
+  RandomConsensusRun("consensus_play_1", 4, 3, 1).run(16);
+}
+TEST(ConsensusGolden, RandomRunWithSeed2AndFiveMembersMatchesRecord) {
+  RandomConsensusRun("consensus_play_2", 5, 3, 2).run(16);
+}
+TEST(ConsensusGolden, RandomRunWithSeed3AndSixMembersMatchesRecord) {
+  RandomConsensusRun("consensus_play_3", 6, 3, 3).run(10);
+}
+TEST(ConsensusGolden, RandomRunWithSeed4AndFiveVotersMatchesRecord) {
+  RandomConsensusRun("consensus_play_4", 6, 5, 4).run(10);
+}
 
-TEST(ConsensusGolden, VotersChangeAndOneFarBehindCatchesUp) {
-  ConsensusPlay("consensus_voter_changes", 5, 3, 5).play_voter_changes();
+TEST(ConsensusGolden, VoterChangesAndSnapshotCatchUpMatchRecord) {
+  RandomConsensusRun("consensus_voter_changes", 5, 3, 5).run_voter_changes();
 }
 
-consensus::Entry drawn_entry(std::mt19937_64& random, const consensus::PolicyStateMachine& at) {
+consensus::Entry random_entry(std::mt19937_64& random, const consensus::PolicyStateMachine& policy_state) {
   const std::string number = std::to_string(random() % 400);
-  const consensus::Index change = at.change() && random() % 6 != 0 ? at.change()->id : random() % 50;
+  const consensus::Index change =
+      policy_state.change() && random() % 6 != 0 ? policy_state.change()->id : random() % 50;
   switch (random() % 6) {
     case 0:
     case 1:
-      return {consensus::Step::propose, 0, "key" + number, random() % 5 == 0 ? at.epoch() + 1 : at.epoch(),
+      return {consensus::Step::propose, 0,
+              "key" + number,           random() % 5 == 0 ? policy_state.epoch() + 1 : policy_state.epoch(),
               "policy" + number,        {}};
     case 2:
     case 3:
@@ -246,14 +259,14 @@
   }
 }
 
-TEST(ConsensusGolden, PolicyStateMachineAppliesEntries) {
+TEST(ConsensusGolden, PolicyStateMachineWithRandomEntriesMatchesRecord) {
   GoldenRecord record("consensus_policy_state_machine");
   std::mt19937_64 random(5);
   consensus::PolicyStateMachine policy_state;
   consensus::Index index = 0;
   for (int step = 0; step < 500; ++step) {
     index += random() % 3;  // an index that was applied already is passed over
-    const consensus::Entry entry = drawn_entry(random, policy_state);
+    const consensus::Entry entry = random_entry(random, policy_state);
     if (random() % 20 == 0) {
       policy_state.advance_to(index);
       record.add(TraceLine("pass").field("log_index", index).text());
@@ -274,15 +287,16 @@
 }
 
 /// The leader's lease manager by itself: what members say to it is drawn, what it appends is applied.
-class LeaderPlay {
+class RandomLeaderRun {
  public:
-  explicit LeaderPlay(std::uint64_t seed) : random_(seed), leader_(settings(), 7, {"n0", "n1", "n2"}, now_) {}
+  explicit RandomLeaderRun(std::uint64_t seed)
+      : random_(seed), leader_(settings(), 7, {"n0", "n1", "n2"}, now_) {}
 
-  void play(GoldenRecord& record, int steps) {
+  void run(GoldenRecord& record, int steps) {
     for (int step = 0; step < steps; ++step) {
       now_ += std::chrono::milliseconds(random_() % 250);
       consensus::LeaderActions actions;
-      const std::string input = take_input(actions);
+      const std::string input = feed_random_input(actions);
       leader_.advance(policy_state_, members_, now_, actions);
       record.add(TraceLine("input").field("at", now_).verbatim("what", input).text());
       record.add("  " + golden::text_of(actions));
@@ -294,7 +308,7 @@
               .field("term", leader_.term())
               .text());
       for (const auto& [to, message] : actions.messages) {
-        if (const auto* check = std::get_if<consensus::LeadershipCheck>(&message)) round_ = check->round;
+        if (const auto* check = std::get_if<consensus::LeadershipCheck>(&message)) last_round_ = check->round;
       }
       for (consensus::Entry& entry : actions.entries) appended_.push_back(std::move(entry));
     }
@@ -308,35 +322,36 @@
     return settings;
   }
 
-  std::string take_input(consensus::LeaderActions& actions) {
-    const std::string by = "n" + std::to_string(random_() % 5);
+  std::string feed_random_input(consensus::LeaderActions& actions) {
+    const std::string member = "n" + std::to_string(random_() % 5);
     const consensus::Index change = policy_state_.change() ? policy_state_.change()->id : random_() % 5;
     switch (random_() % 16) {
       case 0:
       case 1:
       case 2:
       case 3:
-        leader_.on_lease_request(by, consensus::LeaseRequest{++number_ - random_() % 3}, now_);
-        return "lease_request by " + by + " up to " + std::to_string(number_);
+        leader_.on_lease_request(member, consensus::LeaseRequest{++last_request_ - random_() % 3}, now_);
+        return "lease_request by " + member + " up to " + std::to_string(last_request_);
       case 4:
       case 5:
       case 6: {
-        const consensus::LeadershipCheckReply reply{random_() % 8 == 0 ? 6U : 7U, round_};
-        leader_.on_leadership_check_reply(by, reply, policy_state_, now_, actions);
-        return "confirmed by " + by + " term " + std::to_string(reply.term);
+        const consensus::LeadershipCheckReply reply{random_() % 8 == 0 ? 6U : 7U, last_round_};
+        leader_.on_leadership_check_reply(member, reply, policy_state_, now_, actions);
+        return "confirmed by " + member + " term " + std::to_string(reply.term);
       }
       case 7:
       case 8:
       case 9: {
         const bool accepted = random_() % 24 != 0;
-        leader_.on_prepare_reply(by, {change, accepted, accepted ? "" : "key 'x'"}, policy_state_, actions);
-        return "prepared by " + by + (accepted ? "" : " rejected");
+        leader_.on_prepare_reply(member, {change, accepted, accepted ? "" : "key 'x'"}, policy_state_,
+                                 actions);
+        return "prepared by " + member + (accepted ? "" : " rejected");
       }
       case 10:
       case 11: {
         const consensus::LeaseRevocationAck ack{random_() % 8 == 0 ? 6U : 7U, policy_state_.epoch()};
-        leader_.on_revocation_ack(by, ack, policy_state_);
-        return "revocation_ack by " + by + " term " + std::to_string(ack.term);
+        leader_.on_revocation_ack(member, ack, policy_state_);
+        return "revocation_ack by " + member + " term " + std::to_string(ack.term);
       }
       case 12: {
         const std::string key = "key" + std::to_string(random_() % 60);
@@ -345,14 +360,14 @@
       }
       case 13:
         if (random_() % 10 == 0) {
-          leader_.on_abort_request(change, by, policy_state_, actions);
-          return "abort by " + by;
+          leader_.on_abort_request(change, member, policy_state_, actions);
+          return "abort by " + member;
         }
-        members_[by] = random_() % 4 != 0;
-        return "reached " + by + (members_[by] ? " yes" : " no");
+        members_[member] = random_() % 4 != 0;
+        return "reached " + member + (members_[member] ? " yes" : " no");
       case 14:
         if (random_() % 4 == 0) {
-          const std::set<std::string> voters{"n0", "n1", by};
+          const std::set<std::string> voters{"n0", "n1", member};
           leader_.set_voters(voters);
           return "voters " + golden::list_of(voters);
         }
@@ -371,19 +386,19 @@
   std::map<std::string, bool> members_{{"n0", true}, {"n1", true}, {"n2", true}, {"n3", true}, {"n4", false}};
   std::vector<consensus::Entry> appended_;
   consensus::Index index_ = 0;
-  std::uint64_t number_ = 3, round_ = 0;
+  std::uint64_t last_request_ = 3, last_round_ = 0;
 };
 
-TEST(ConsensusGolden, LeaderGrantsLeasesAndLeadsChanges) {
+TEST(ConsensusGolden, LeaseManagerWithRandomInputsMatchesRecord) {
   GoldenRecord record("consensus_leader");
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     record.add(TraceLine("play").field("seed", seed).text());
-    LeaderPlay(seed).play(record, 600);
+    RandomLeaderRun(seed).run(record, 600);
   }
   record.check();
 }
 
-TEST(ConsensusGolden, MemberHoldsALease) {
+TEST(ConsensusGolden, EpochLeaseWithRandomGrantsMatchesRecord) {
   GoldenRecord record("consensus_lease");
   std::mt19937_64 random(8);
   consensus::EpochLease lease(100);
@@ -416,16 +431,16 @@
       }
     }
     const auto held = lease.held_epoch(now);
-    std::vector<std::string> requests;
+    std::vector<std::string> pending_requests;
     for (const auto& [number, at] : lease.requested_at())
-      requests.push_back(std::to_string(number) + "@" + golden::text_of(at));
+      pending_requests.push_back(std::to_string(number) + "@" + golden::text_of(at));
     record.add(line.field("at", now)
                    .field("active_epoch", active)
                    .verbatim("held", held ? golden::text_of(*held) : "none")
                    .field("until", lease.expires_at())
                    .field("epoch", lease.epoch())
                    .field("newest", lease.newest_request())
-                   .verbatim("requests", golden::list_of(requests))
+                   .verbatim("requests", golden::list_of(pending_requests))
                    .text());
   }
   record.check();
--- a/tests/golden/consensus_trace.cpp
+++ b/tests/golden/consensus_trace.cpp
@@ -73,9 +73,9 @@
 /// Bytes of an encoded list of servers that mean something: a version, a count, and of each server its id,
 /// its address with a zero at the end and its role.
 std::size_t used_bytes_of_servers(const std::string& encoded) {
-  constexpr std::size_t kHead = 1 + sizeof(std::uint64_t);
-  if (encoded.size() < kHead) return encoded.size();
-  std::size_t used = kHead;
+  constexpr std::size_t kHeaderBytes = 1 + sizeof(std::uint64_t);
+  if (encoded.size() < kHeaderBytes) return encoded.size();
+  std::size_t used = kHeaderBytes;
   for (auto servers = static_cast<unsigned char>(encoded[1]); servers > 0; --servers) {
     const std::size_t address_end = encoded.find('\0', used + sizeof(std::uint64_t));
     if (address_end == std::string::npos) return encoded.size();
@@ -101,60 +101,60 @@
 }
 
 struct DescribeMessage {
-  std::string operator()(const consensus::LeaseRequest& m) const {
-    return TraceLine("LeaseRequest").field("number", m.number).text();
+  std::string operator()(const consensus::LeaseRequest& message) const {
+    return TraceLine("LeaseRequest").field("number", message.number).text();
   }
-  std::string operator()(const consensus::LeaseGrant& m) const {
+  std::string operator()(const consensus::LeaseGrant& message) const {
     return TraceLine("LeaseGrant")
-        .field("number", m.request_number)
-        .field("epoch", m.epoch)
-        .field("duration", m.duration)
-        .field("log_index", m.index)
+        .field("number", message.request_number)
+        .field("epoch", message.epoch)
+        .field("duration", message.duration)
+        .field("log_index", message.index)
         .text();
   }
-  std::string operator()(const consensus::LeadershipCheck& m) const {
-    return TraceLine("LeadershipCheck").field("term", m.term).field("round", m.round).text();
+  std::string operator()(const consensus::LeadershipCheck& message) const {
+    return TraceLine("LeadershipCheck").field("term", message.term).field("round", message.round).text();
   }
-  std::string operator()(const consensus::LeadershipCheckReply& m) const {
-    return TraceLine("LeadershipConfirmed").field("term", m.term).field("round", m.round).text();
+  std::string operator()(const consensus::LeadershipCheckReply& message) const {
+    return TraceLine("LeadershipConfirmed").field("term", message.term).field("round", message.round).text();
   }
-  std::string operator()(const consensus::LogPosition& m) const {
-    return TraceLine("LogPosition").field("log_index", m.index).field("leader", m.leader).text();
+  std::string operator()(const consensus::LogPosition& message) const {
+    return TraceLine("LogPosition").field("log_index", message.index).field("leader", message.leader).text();
   }
-  std::string operator()(const consensus::PrepareReply& m) const {
+  std::string operator()(const consensus::PrepareReply& message) const {
     return TraceLine("Prepared")
-        .field("change", m.change)
-        .field("accepted", m.ready)
-        .field("reason", m.reason)
+        .field("change", message.change)
+        .field("accepted", message.ready)
+        .field("reason", message.reason)
         .text();
   }
-  std::string operator()(const consensus::LeaseRevocation& m) const {
-    return TraceLine("LeaseRevocation").field("term", m.term).field("epoch", m.epoch).text();
+  std::string operator()(const consensus::LeaseRevocation& message) const {
+    return TraceLine("LeaseRevocation").field("term", message.term).field("epoch", message.epoch).text();
   }
-  std::string operator()(const consensus::LeaseRevocationAck& m) const {
-    return TraceLine("LeaseRevocationAck").field("term", m.term).field("epoch", m.epoch).text();
+  std::string operator()(const consensus::LeaseRevocationAck& message) const {
+    return TraceLine("LeaseRevocationAck").field("term", message.term).field("epoch", message.epoch).text();
   }
-  std::string operator()(const consensus::ProposeRequest& m) const {
+  std::string operator()(const consensus::ProposeRequest& message) const {
     return TraceLine("Propose")
-        .field("key", m.key)
-        .field("base_epoch", m.base_epoch)
-        .field("policy", m.policy)
+        .field("key", message.key)
+        .field("base_epoch", message.base_epoch)
+        .field("policy", message.policy)
         .text();
   }
-  std::string operator()(const consensus::AbortRequest& m) const {
-    return TraceLine("AbortRequest").field("change", m.change).text();
+  std::string operator()(const consensus::AbortRequest& message) const {
+    return TraceLine("AbortRequest").field("change", message.change).text();
   }
-  std::string operator()(const consensus::CatchUpRequest& m) const {
-    return TraceLine("CatchUpRequest").field("after", m.after_index).text();
+  std::string operator()(const consensus::CatchUpRequest& message) const {
+    return TraceLine("CatchUpRequest").field("after", message.after_index).text();
   }
-  std::string operator()(const consensus::CatchUpResponse& m) const {
+  std::string operator()(const consensus::CatchUpResponse& message) const {
     return TraceLine("CatchUpResponse")
-        .field("after", m.after_index)
-        .field("up_to", m.up_to_index)
-        .verbatim("entries", describe_entries(m.entries))
+        .field("after", message.after_index)
+        .field("up_to", message.up_to_index)
+        .verbatim("entries", describe_entries(message.entries))
         .text();
   }
-  std::string operator()(const consensus::Snapshot& m) const { return text_of(m); }
+  std::string operator()(const consensus::Snapshot& message) const { return text_of(message); }
 };
 
 struct DescribeInput {
--- a/tests/golden/membership_golden_test.cpp
+++ b/tests/golden/membership_golden_test.cpp
@@ -19,13 +19,13 @@
 using membership::MemberStatus;
 
 template <typename Value>
-Value drawn(std::mt19937_64& random, std::initializer_list<Value> values) {
+Value random_choice(std::mt19937_64& random, std::initializer_list<Value> values) {
   return *(values.begin() + random() % values.size());
 }
 
-class MembershipPlay {
+class RandomMembershipRun {
  public:
-  MembershipPlay(const std::string& record_name, std::size_t count, std::uint64_t seed)
+  RandomMembershipRun(const std::string& record_name, std::size_t count, std::uint64_t seed)
       : record_(record_name), random_(seed) {
     world_ = MembershipWorld::settled(count, seed, [count](membership::Settings& settings) {
       settings.quota_lease = 6s;
@@ -41,25 +41,25 @@
     };
   }
 
-  void play(int turns) {
+  void run(int events) {
     world_->loss = 0.05 * static_cast<double>(random_() % 3);
     world_->run(2s);
-    for (int turn = 0; turn < turns; ++turn) {
-      take_turn();
+    for (int event = 0; event < events; ++event) {
+      run_random_event();
       for (int step = 0; step < 4; ++step) {
         world_->run(std::chrono::milliseconds(100 + random_() % 400));
-        add_states();
+        record_states();
       }
     }
     record_.check();
   }
 
  private:
-  bool runs(std::size_t i) { return world_->node(i).state && !world_->node(i).stopped; }
+  bool is_running(std::size_t i) { return world_->node(i).state && !world_->node(i).stopped; }
 
-  void take_turn() {
+  void run_random_event() {
     const std::size_t count = world_->size();
-    const std::size_t whom = random_() % count, by = random_() % count;
+    const std::size_t node = random_() % count, other_node = random_() % count;
     switch (random_() % 12) {
       case 0:
       case 1: {
@@ -75,7 +75,7 @@
         break;
       case 3:
       case 4:
-        if (world_->node(whom).state) world_->kill(whom);
+        if (world_->node(node).state) world_->kill(node);
         break;
       case 5:
       case 6:
@@ -84,58 +84,60 @@
         }
         break;
       case 7:
-        if (!runs(whom)) break;
-        world_->feed(whom, membership::ShutdownRequested{});
+        if (!is_running(node)) break;
+        world_->feed(node, membership::ShutdownRequested{});
         world_->run(50ms);
-        world_->kill(whom);
+        world_->kill(node);
         break;
       case 8:
-        if (runs(by)) world_->feed(by, membership::ForgetMember{MembershipWorld::name(whom)});
+        if (is_running(other_node))
+          world_->feed(other_node, membership::ForgetMember{MembershipWorld::name(node)});
         break;
       case 9:
-        if (runs(whom)) world_->stop(whom);
+        if (is_running(node)) world_->stop(node);
         break;
       case 10:
-        dispute_name(whom, by);
+        start_duplicate_name(node, other_node);
         break;
       default:
         for (std::size_t i = 0; i < count; ++i) {
           if (world_->node(i).state && world_->node(i).stopped) world_->resume(i);
         }
     }
-    if (runs(by)) {
+    if (is_running(other_node)) {
+      world_->feed(other_node, membership::SendUserMessage{MembershipWorld::name(node),
+                                                           std::string(random_() % 1500, 'x')});
       world_->feed(
-          by, membership::SendUserMessage{MembershipWorld::name(whom), std::string(random_() % 1500, 'x')});
-      world_->feed(by, membership::MessageRejected{
-                           static_cast<membership::DecodeError>(random_() % membership::kDecodeErrorCount),
-                           "10.9.9.9:1"});
+          other_node,
+          membership::MessageRejected{
+              static_cast<membership::DecodeError>(random_() % membership::kDecodeErrorCount), "10.9.9.9:1"});
     }
   }
 
   /// That place runs a second process under the name of another one.
-  void dispute_name(std::size_t whose, std::size_t place) {
-    if (whose == place || !world_->node(whose).state) return;
-    membership::Settings settings = world_->node(whose).state->settings();
-    settings.address = MembershipWorld::address(place);
-    world_->kill(place);
-    world_->node(place).stopped = false;
-    world_->node(place).state = std::make_unique<membership::State>(
+  void start_duplicate_name(std::size_t named_node, std::size_t second_node) {
+    if (named_node == second_node || !world_->node(named_node).state) return;
+    membership::Settings settings = world_->node(named_node).state->settings();
+    settings.address = MembershipWorld::address(second_node);
+    world_->kill(second_node);
+    world_->node(second_node).stopped = false;
+    world_->node(second_node).state = std::make_unique<membership::State>(
         settings, membership::Identity{99, std::uint64_t{1} << membership::kRefutationBits, true, {}},
-        random_(), world_->local(place));
-    world_->feed(place, membership::TimerExpired{});
+        random_(), world_->local(second_node));
+    world_->feed(second_node, membership::TimerExpired{});
   }
 
-  void add_states() {
+  void record_states() {
     for (std::size_t i = 0; i < world_->size(); ++i) {
       if (!world_->node(i).state) continue;
       const membership::State& state = *world_->node(i).state;
       const membership::Time now = world_->local(i);
       record_.add(MembershipWorld::name(i) + " " + golden::state_of(state.quota(), now));
       record_.add("  report=" + golden::quoted(membership::report(state, now)));
-      TraceLine figures("  figures");
-      for (const membership::Metric& figure : membership::metrics(state, now))
-        figures.verbatim(figure.name, std::to_string(figure.value) + (figure.is_counter ? "+" : ""));
-      record_.add(figures.text());
+      TraceLine metrics_line("  figures");
+      for (const membership::Metric& metric : membership::metrics(state, now))
+        metrics_line.verbatim(metric.name, std::to_string(metric.value) + (metric.is_counter ? "+" : ""));
+      record_.add(metrics_line.text());
     }
   }
 
@@ -144,13 +146,21 @@
   std::unique_ptr<MembershipWorld> world_;
 };
 
-TEST(MembershipGolden, DrawnPlaySeed1OfFiveMembers) { MembershipPlay("membership_play_1", 5, 1).play(18); }
-TEST(MembershipGolden, DrawnPlaySeed2OfFourMembers) { MembershipPlay("membership_play_2", 4, 2).play(20); }
-TEST(MembershipGolden, DrawnPlaySeed3OfEightMembers) { MembershipPlay("membership_play_3", 8, 3).play(7); }
-TEST(MembershipGolden, DrawnPlaySeed4OfSixMembers) { MembershipPlay("membership_play_4", 6, 4).play(12); }
+TEST(MembershipGolden, RandomRunWithSeed1AndFiveMembersMatchesRecord) {
+  RandomMembershipRun("membership_play_1", 5, 1).run(18);
+}
+TEST(MembershipGolden, RandomRunWithSeed2AndFourMembersMatchesRecord) {
+  RandomMembershipRun("membership_play_2", 4, 2).run(20);
+}
+TEST(MembershipGolden, RandomRunWithSeed3AndEightMembersMatchesRecord) {
+  RandomMembershipRun("membership_play_3", 8, 3).run(7);
+}
+TEST(MembershipGolden, RandomRunWithSeed4AndSixMembersMatchesRecord) {
+  RandomMembershipRun("membership_play_4", 6, 4).run(12);
+}
 
 /// New members that know the seeds alone, all of them at first unknown to each other.
-TEST(MembershipGolden, NewMembersFindEachOther) {
+TEST(MembershipGolden, NewMembersThatKnowOnlySeedsMatchRecord) {
   GoldenRecord record("membership_join");
   MembershipWorld world(6, 5);
   world.loss = 0.05;
@@ -163,12 +173,12 @@
 }
 
 /// Within the newest two lives, so that not all is old after a while.
-membership::MemberUpdate drawn_update(std::mt19937_64& random, std::uint64_t newest_life = 3) {
+membership::MemberUpdate random_update(std::mt19937_64& random, std::uint64_t newest_incarnation = 3) {
   membership::MemberUpdate update;
   update.name = MembershipWorld::name(random() % 12);
   update.address = MembershipWorld::address(random() % 9);
   update.disk_id = 1 + random() % 2;
-  update.incarnation = ((newest_life - random() % 2) << membership::kRefutationBits) + random() % 3;
+  update.incarnation = ((newest_incarnation - random() % 2) << membership::kRefutationBits) + random() % 3;
   update.zone = static_cast<int>(random() % 2);
   update.status = static_cast<MemberStatus>(random() % membership::kMemberStatusCount);
   if (update.status == MemberStatus::suspect || update.status == MemberStatus::dead)
@@ -176,24 +186,24 @@
   return update;
 }
 
-TEST(MembershipGolden, ViewMergesUpdates) {
+TEST(MembershipGolden, ViewWithRandomUpdatesMatchesRecord) {
   GoldenRecord record("membership_view");
   std::mt19937_64 random(6);
   membership::View view("n0", 5);
   for (int step = 0; step < 1500; ++step) {
-    const membership::MemberUpdate update = drawn_update(random, 2 + static_cast<std::uint64_t>(step) / 80);
-    const bool full = view.has_no_room_for(update.name);
-    const membership::View::Merged taken = view.merge(update, membership::Time{step * 1000});
+    const membership::MemberUpdate update = random_update(random, 2 + static_cast<std::uint64_t>(step) / 80);
+    const bool table_full = view.has_no_room_for(update.name);
+    const membership::View::Merged merged = view.merge(update, membership::Time{step * 1000});
     record.add(TraceLine("merge")
                    .verbatim("update", golden::text_of(update))
-                   .field("table_full", full)
-                   .verbatim("result", golden::label_of(taken.result))
-                   .field("first", taken.is_new)
-                   .verbatim("replaced", taken.replaced ? golden::text_of(*taken.replaced) : "none")
+                   .field("table_full", table_full)
+                   .verbatim("result", golden::label_of(merged.result))
+                   .field("first", merged.is_new)
+                   .verbatim("replaced", merged.replaced ? golden::text_of(*merged.replaced) : "none")
                    .verbatim("status_before",
-                             taken.previous_status ? golden::label_of(*taken.previous_status) : "none")
+                             merged.previous_status ? golden::label_of(*merged.previous_status) : "none")
                    .verbatim("address_before",
-                             taken.previous_address ? golden::text_of(*taken.previous_address) : "none")
+                             merged.previous_address ? golden::text_of(*merged.previous_address) : "none")
                    .field("registered", view.registered())
                    .field("reached", view.reachable())
                    .verbatim("partition_status", golden::label_of(view.partition_status()))
@@ -216,23 +226,25 @@
   record.check();
 }
 
-TEST(MembershipGolden, BroadcastQueueGivesUpdates) {
+TEST(MembershipGolden, BroadcastQueueWithRandomUpdatesMatchesRecord) {
   GoldenRecord record("membership_broadcast_queue");
   std::mt19937_64 random(7);
   membership::BroadcastQueue queue;
   for (int step = 0; step < 600; ++step) {
     if (random() % 2 == 0) {
-      const membership::MemberUpdate update = drawn_update(random);
+      const membership::MemberUpdate update = random_update(random);
       queue.enqueue(update);
       record.add("add " + golden::text_of(update));
     } else {
-      const std::size_t room = random() % 300, most = 1 + random() % 4;
-      const auto given = queue.take(
-          room, most, [](const membership::MemberUpdate& news) { return membership::encoded_size(news); });
+      const std::size_t max_bytes = random() % 300, max_transmissions = 1 + random() % 4;
+      const auto updates =
+          queue.take(max_bytes, max_transmissions, [](const membership::MemberUpdate& queued_update) {
+            return membership::encoded_size(queued_update);
+          });
       record.add(TraceLine("take")
-                     .field("room_bytes", room)
-                     .field("transmissions", most)
-                     .verbatim("updates", golden::list_of(given,
+                     .field("room_bytes", max_bytes)
+                     .field("transmissions", max_transmissions)
+                     .verbatim("updates", golden::list_of(updates,
                                                           [](const membership::MemberUpdate& update) {
                                                             return golden::text_of(update);
                                                           }))
@@ -243,15 +255,15 @@
   record.check();
 }
 
-TEST(MembershipGolden, QuotaLeasesOfOneMember) {
+TEST(MembershipGolden, QuotaLeasesWithRandomInputsMatchRecord) {
   GoldenRecord record("quota_leases");
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     std::mt19937_64 random(seed);
     const QuotaLeases::UnfencedHolder unfenced{"n9", {7, 1}, seed % 2 == 0};
     QuotaLeases leases({"n0", 6s, 0.01, 0.1, 4, 16}, QuotaLeases::Time{5s}, {unfenced});
-    QuotaLeases::MemberTable roster{{"n0", {1, 0}}, {"n1", {1, 0}}, {"n2", {1, 1}}};
+    QuotaLeases::MemberTable members{{"n0", {1, 0}}, {"n1", {1, 0}}, {"n2", {1, 1}}};
     QuotaLeases::Time now{1s};
-    std::uint64_t announced_before = 0;
+    std::uint64_t previous_announced_version = 0;
     for (int step = 0; step < 400; ++step) {
       now += std::chrono::milliseconds(random() % 300);
       const std::string name = "n" + std::to_string(1 + random() % 5);
@@ -261,15 +273,15 @@
         case 1: {
           const QuotaLeases::MemberIdentity holder{1 + random() % 4 / 3, static_cast<int>(random() % 2)};
           std::set<std::string> left;
-          if (roster.count(name) != 0 && random() % 2 == 0) {
-            roster.erase(name);
+          if (members.count(name) != 0 && random() % 2 == 0) {
+            members.erase(name);
             if (random() % 2 == 0) left.insert(name);
           } else {
-            roster[name] = holder;
+            members[name] = holder;
           }
           const bool takes_part = random() % 16 != 0;
-          leases.update_members(now, roster, left, takes_part);
-          input.verbatim("members", golden::list_of(roster, [](const auto& entry) {
+          leases.update_members(now, members, left, takes_part);
+          input.verbatim("members", golden::list_of(members, [](const auto& entry) {
                            return entry.first + "/" + std::to_string(entry.second.disk) + "/" +
                                   std::to_string(entry.second.zone);
                          }));
@@ -282,25 +294,26 @@
           input.verbatim("kind", "forgotten");
           break;
         default: {
-          const QuotaLeases::QuotaAck acked{
+          const QuotaLeases::QuotaAck ack{
               name,
               now - std::chrono::milliseconds(random() % 100),
-              drawn(random, {leases.announced_version(), leases.announced_version(), announced_before}),
-              drawn<std::uint64_t>(random, {1, 1, 1, 1, 1, 1, 1, 0, 2}),
-              drawn(random, {leases.member_names_hash(), leases.member_names_hash(),
-                             leases.member_names_hash(), 5UL}),
+              random_choice(random, {leases.announced_version(), leases.announced_version(),
+                                     previous_announced_version}),
+              random_choice<std::uint64_t>(random, {1, 1, 1, 1, 1, 1, 1, 0, 2}),
+              random_choice(random, {leases.member_names_hash(), leases.member_names_hash(),
+                                     leases.member_names_hash(), 5UL}),
               random() % 8 != 0};
-          leases.on_ack(now, acked);
+          leases.on_ack(now, ack);
           input.verbatim("kind", "acked")
-              .field("by", acked.from)
-              .field("sent", acked.ping_sent)
-              .field("announced_version", acked.announced_version)
-              .field("counted_disk", acked.counted_disk)
-              .field("names_digest", acked.member_names_hash)
-              .field("confirmed", acked.confirmed);
+              .field("by", ack.from)
+              .field("sent", ack.ping_sent)
+              .field("announced_version", ack.announced_version)
+              .field("counted_disk", ack.counted_disk)
+              .field("names_digest", ack.member_names_hash)
+              .field("confirmed", ack.confirmed);
         }
       }
-      announced_before = leases.announced_version();
+      previous_announced_version = leases.announced_version();
       record.add(input.field("at", now).field("counts", leases.counted_disk_of(name)).text());
       record.add("  " + golden::state_of(leases, now));
     }
--- a/tests/golden/proxy_trace.cpp
+++ b/tests/golden/proxy_trace.cpp
@@ -78,7 +78,7 @@
 }
 
 std::string item_text(const membership::MemberUpdate& update) {
-  return TraceLine("member")
+  return RecordLine("member")
       .add("name", update.name)
       .add("address", update.address)
       .add("disk", update.disk_id)
@@ -90,7 +90,7 @@
 }
 
 std::string item_text(const membership::Message& message) {
-  TraceLine line("message");
+  RecordLine line("message");
   line.add("kind", label_of(message.kind))
       .add("number", message.sequence)
       .add("to", message.to)
@@ -106,34 +106,43 @@
       .text();
 }
 
-std::string item_text(const membership::MessageReceived& in) {
-  return TraceLine("message_received")
-      .add_inner("message", item_text(in.message))
-      .add("stream", in.stream)
+std::string item_text(const membership::MessageReceived& input) {
+  return RecordLine("message_received")
+      .add_inner("message", item_text(input.message))
+      .add("stream", input.stream)
       .text();
 }
-std::string item_text(const membership::MessageRejected& in) {
-  return TraceLine("message_rejected").add("reason", label_of(in.reason)).add("address", in.address).text();
+std::string item_text(const membership::MessageRejected& input) {
+  return RecordLine("message_rejected")
+      .add("reason", label_of(input.reason))
+      .add("address", input.address)
+      .text();
 }
 std::string item_text(const membership::TimerExpired&) { return "timer_expired"; }
 std::string item_text(const membership::ShutdownRequested&) { return "shutdown_requested"; }
-std::string item_text(const membership::ForgetMember& in) {
-  return TraceLine("forget").add("name", in.name).text();
+std::string item_text(const membership::ForgetMember& input) {
+  return RecordLine("forget").add("name", input.name).text();
 }
-std::string item_text(const membership::SendUserMessage& in) {
-  return TraceLine("user_message").add("to", in.to).add("payload", in.payload).text();
+std::string item_text(const membership::SendUserMessage& input) {
+  return RecordLine("user_message").add("to", input.to).add("payload", input.payload).text();
 }
 
-std::string item_text(const membership::SendDatagram& e) {
-  return TraceLine("send").add("address", e.address).add_inner("message", item_text(e.message)).text();
+std::string item_text(const membership::SendDatagram& effect) {
+  return RecordLine("send")
+      .add("address", effect.address)
+      .add_inner("message", item_text(effect.message))
+      .text();
 }
-std::string item_text(const membership::SendFullSync& e) {
-  return TraceLine("full_sync").add("address", e.address).add_inner("message", item_text(e.message)).text();
+std::string item_text(const membership::SendFullSync& effect) {
+  return RecordLine("full_sync")
+      .add("address", effect.address)
+      .add_inner("message", item_text(effect.message))
+      .text();
 }
-std::string item_text(const membership::FullSyncReply& e) {
-  return TraceLine("stream_response")
-      .add("stream", e.stream)
-      .add_inner("message", item_text(e.message))
+std::string item_text(const membership::FullSyncReply& effect) {
+  return RecordLine("stream_response")
+      .add("stream", effect.stream)
+      .add_inner("message", item_text(effect.message))
       .text();
 }
 
@@ -166,7 +175,7 @@
 }
 
 std::string item_text(const consensus::Entry& entry) {
-  return TraceLine("entry")
+  return RecordLine("entry")
       .add("step", label_of(entry.step))
       .add("change", entry.change)
       .add("key", entry.key)
@@ -177,7 +186,7 @@
 }
 
 std::string item_text(const consensus::Change& change) {
-  return TraceLine("change")
+  return RecordLine("change")
       .add("id", change.id)
       .add("epoch", change.epoch)
       .add("key", change.key)
@@ -187,7 +196,7 @@
 }
 
 std::string item_text(const consensus::ChangeOutcome& outcome) {
-  return TraceLine("outcome")
+  return RecordLine("outcome")
       .add("key", outcome.key)
       .add("result", label_of(outcome.result))
       .add("epoch", outcome.epoch)
@@ -195,162 +204,175 @@
       .text();
 }
 
-std::string item_text(const consensus::LeaseRequest& m) {
-  return TraceLine("lease_request").add("number", m.number).text();
-}
-std::string item_text(const consensus::LeaseGrant& m) {
-  return TraceLine("lease_grant")
-      .add("number", m.request_number)
-      .add("epoch", m.epoch)
-      .add("duration", m.duration)
-      .add("index", m.index)
+std::string item_text(const consensus::LeaseRequest& message) {
+  return RecordLine("lease_request").add("number", message.number).text();
+}
+std::string item_text(const consensus::LeaseGrant& message) {
+  return RecordLine("lease_grant")
+      .add("number", message.request_number)
+      .add("epoch", message.epoch)
+      .add("duration", message.duration)
+      .add("index", message.index)
       .text();
 }
-std::string item_text(const consensus::LeadershipCheck& m) {
-  return TraceLine("leadership_check").add("term", m.term).add("round", m.round).text();
+std::string item_text(const consensus::LeadershipCheck& message) {
+  return RecordLine("leadership_check").add("term", message.term).add("round", message.round).text();
 }
-std::string item_text(const consensus::LeadershipCheckReply& m) {
-  return TraceLine("leadership_check_reply").add("term", m.term).add("round", m.round).text();
+std::string item_text(const consensus::LeadershipCheckReply& message) {
+  return RecordLine("leadership_check_reply").add("term", message.term).add("round", message.round).text();
 }
-std::string item_text(const consensus::LogPosition& m) {
-  return TraceLine("log_position").add("index", m.index).add("leader", m.leader).text();
+std::string item_text(const consensus::LogPosition& message) {
+  return RecordLine("log_position").add("index", message.index).add("leader", message.leader).text();
 }
-std::string item_text(const consensus::PrepareReply& m) {
-  return TraceLine("prepared")
-      .add("change", m.change)
-      .add("accepted", m.ready)
-      .add("reason", m.reason)
+std::string item_text(const consensus::PrepareReply& message) {
+  return RecordLine("prepared")
+      .add("change", message.change)
+      .add("accepted", message.ready)
+      .add("reason", message.reason)
       .text();
 }
-std::string item_text(const consensus::LeaseRevocation& m) {
-  return TraceLine("lease_revocation").add("term", m.term).add("epoch", m.epoch).text();
+std::string item_text(const consensus::LeaseRevocation& message) {
+  return RecordLine("lease_revocation").add("term", message.term).add("epoch", message.epoch).text();
 }
-std::string item_text(const consensus::LeaseRevocationAck& m) {
-  return TraceLine("lease_revocation_ack").add("term", m.term).add("epoch", m.epoch).text();
+std::string item_text(const consensus::LeaseRevocationAck& message) {
+  return RecordLine("lease_revocation_ack").add("term", message.term).add("epoch", message.epoch).text();
 }
-std::string item_text(const consensus::ProposeRequest& m) {
-  return TraceLine("propose").add("key", m.key).add("base", m.base_epoch).add("policy", m.policy).text();
+std::string item_text(const consensus::ProposeRequest& message) {
+  return RecordLine("propose")
+      .add("key", message.key)
+      .add("base", message.base_epoch)
+      .add("policy", message.policy)
+      .text();
 }
-std::string item_text(const consensus::AbortRequest& m) {
-  return TraceLine("abort_request").add("change", m.change).text();
+std::string item_text(const consensus::AbortRequest& message) {
+  return RecordLine("abort_request").add("change", message.change).text();
 }
-std::string item_text(const consensus::CatchUpRequest& m) {
-  return TraceLine("catch_up_request").add("after", m.after_index).text();
+std::string item_text(const consensus::CatchUpRequest& message) {
+  return RecordLine("catch_up_request").add("after", message.after_index).text();
 }
-std::string item_text(const consensus::CatchUpResponse& m) {
-  TraceLine line("catch_up_response");
-  line.add("after", m.after_index).add("up_to", m.up_to_index);
-  for (const auto& [index, entry] : m.entries) line.add("index", index).add_inner("entry", item_text(entry));
+std::string item_text(const consensus::CatchUpResponse& message) {
+  RecordLine line("catch_up_response");
+  line.add("after", message.after_index).add("up_to", message.up_to_index);
+  for (const auto& [index, entry] : message.entries)
+    line.add("index", index).add_inner("entry", item_text(entry));
   return line.text();
 }
-std::string item_text(const consensus::Snapshot& m) {
-  TraceLine line("snapshot");
-  line.add("index", m.index).add("epoch", m.epoch).add("key", m.key).add("policy", m.policy);
-  for (const consensus::Change& change : m.change) line.add_inner("change", item_text(change));
-  for (const consensus::ChangeOutcome& outcome : m.outcomes) line.add_inner("outcome", item_text(outcome));
+std::string item_text(const consensus::Snapshot& message) {
+  RecordLine line("snapshot");
+  line.add("index", message.index)
+      .add("epoch", message.epoch)
+      .add("key", message.key)
+      .add("policy", message.policy);
+  for (const consensus::Change& change : message.change) line.add_inner("change", item_text(change));
+  for (const consensus::ChangeOutcome& outcome : message.outcomes)
+    line.add_inner("outcome", item_text(outcome));
   return line.text();
 }
 std::string item_text(const consensus::Message& message) {
-  return std::visit([](const auto& m) { return item_text(m); }, message);
+  return std::visit([](const auto& alternative) { return item_text(alternative); }, message);
 }
 
-std::string item_text(const consensus::MessageReceived& in) {
-  return TraceLine("message_received")
-      .add("from", in.from)
-      .add_inner("message", item_text(in.message))
+std::string item_text(const consensus::MessageReceived& input) {
+  return RecordLine("message_received")
+      .add("from", input.from)
+      .add_inner("message", item_text(input.message))
       .text();
 }
 std::string item_text(const consensus::TimerExpired&) { return "timer_expired"; }
-std::string item_text(const consensus::EntryApplied& in) {
-  TraceLine line("applied");
-  line.add("index", in.index);
-  if (in.entry) line.add_inner("entry", item_text(*in.entry));
+std::string item_text(const consensus::EntryApplied& input) {
+  RecordLine line("applied");
+  line.add("index", input.index);
+  if (input.entry) line.add_inner("entry", item_text(*input.entry));
   return line.text();
 }
-std::string item_text(const consensus::SnapshotRestored& in) {
-  return TraceLine("restored").add_inner("snapshot", item_text(in.whole)).text();
+std::string item_text(const consensus::SnapshotRestored& input) {
+  return RecordLine("restored").add_inner("snapshot", item_text(input.whole)).text();
 }
-std::string item_text(const consensus::BecameLeader& in) {
-  TraceLine line("became_leader");
-  line.add("term", in.term);
-  for (const std::string& voter : in.voters) line.add("voter", voter);
+std::string item_text(const consensus::BecameLeader& input) {
+  RecordLine line("became_leader");
+  line.add("term", input.term);
+  for (const std::string& voter : input.voters) line.add("voter", voter);
   return line.text();
 }
-std::string item_text(const consensus::BecameFollower& in) {
-  return TraceLine("became_follower").add("leader", in.leader).add("voter", in.is_voter).text();
+std::string item_text(const consensus::BecameFollower& input) {
+  return RecordLine("became_follower").add("leader", input.leader).add("voter", input.is_voter).text();
 }
-std::string item_text(const consensus::VotersChanged& in) {
-  TraceLine line("voters_changed");
-  for (const std::string& voter : in.names) line.add("voter", voter);
+std::string item_text(const consensus::VotersChanged& input) {
+  RecordLine line("voters_changed");
+  for (const std::string& voter : input.names) line.add("voter", voter);
   return line.text();
 }
-std::string item_text(const consensus::MembersChanged& in) {
-  TraceLine line("members_changed");
-  for (const auto& [name, reachable] : in.reachable) line.add("member", name).add("reachable", reachable);
+std::string item_text(const consensus::MembersChanged& input) {
+  RecordLine line("members_changed");
+  for (const auto& [name, reachable] : input.reachable) line.add("member", name).add("reachable", reachable);
   return line.text();
 }
-std::string item_text(const consensus::ProposeCall& in) {
-  return TraceLine("propose_call")
-      .add("call", in.call)
-      .add("key", in.key)
-      .add("base", in.base_epoch)
-      .add("policy", in.policy)
+std::string item_text(const consensus::ProposeCall& input) {
+  return RecordLine("propose_call")
+      .add("call", input.call)
+      .add("key", input.key)
+      .add("base", input.base_epoch)
+      .add("policy", input.policy)
       .text();
 }
-std::string item_text(const consensus::AbortCall& in) {
-  return TraceLine("abort_call").add("call", in.call).text();
+std::string item_text(const consensus::AbortCall& input) {
+  return RecordLine("abort_call").add("call", input.call).text();
 }
 std::string item_text(const consensus::Input& input) {
-  return std::visit([](const auto& in) { return item_text(in); }, input);
+  return std::visit([](const auto& alternative) { return item_text(alternative); }, input);
 }
 
-std::string item_text(const consensus::AppendEntry& e) {
-  return TraceLine("append").add_inner("entry", item_text(e.entry)).text();
+std::string item_text(const consensus::AppendEntry& effect) {
+  return RecordLine("append").add_inner("entry", item_text(effect.entry)).text();
 }
-std::string item_text(const consensus::CheckTerm& e) {
-  return TraceLine("check_term").add("from", e.from).add_inner("check", item_text(e.check)).text();
+std::string item_text(const consensus::CheckTerm& effect) {
+  return RecordLine("check_term").add("from", effect.from).add_inner("check", item_text(effect.check)).text();
 }
-std::string item_text(const consensus::PersistLearned& e) {
-  const std::string what = std::visit([](const auto& learnt) { return item_text(learnt); }, e.learned);
-  return TraceLine("learn").add_inner("what", what).text();
+std::string item_text(const consensus::PersistLearned& effect) {
+  const std::string learned =
+      std::visit([](const auto& alternative) { return item_text(alternative); }, effect.learned);
+  return RecordLine("learn").add_inner("what", learned).text();
 }
-std::string item_text(const consensus::RaftMessage& e) {
-  return TraceLine("raft_message").add("bytes", e.bytes).text();
+std::string item_text(const consensus::RaftMessage& message) {
+  return RecordLine("raft_message").add("bytes", message.bytes).text();
 }
-std::string item_text(const proxy::BootstrapReceived& e) {
-  return TraceLine("bootstrap_message").add("from", e.from).add("bytes", e.message.bytes).text();
+std::string item_text(const proxy::BootstrapReceived& received) {
+  return RecordLine("bootstrap_message")
+      .add("from", received.from)
+      .add("bytes", received.message.bytes)
+      .text();
 }
-std::string item_text(const proxy::VoterChangeCall& e) {
-  return TraceLine("change_voter").add("call", e.call).add("name", e.name).add("add", e.add).text();
+std::string item_text(const proxy::VoterChangeCall& call) {
+  return RecordLine("change_voter").add("call", call.call).add("name", call.name).add("add", call.add).text();
 }
 
 // ---- Inputs ----
 
-std::string input_text(const proxy::Accepted& in) {
-  return TraceLine("accepted").add("connection", in.connection).add("listener", in.listener).text();
+std::string input_text(const proxy::Accepted& input) {
+  return RecordLine("accepted").add("connection", input.connection).add("listener", input.listener).text();
 }
 std::string input_text(const proxy::DescriptorsExhausted&) { return "descriptors_exhausted"; }
-std::string input_text(const proxy::BytesArrived& in) {
-  return TraceLine("bytes_received").add("connection", in.connection).add("bytes", in.bytes).text();
+std::string input_text(const proxy::BytesArrived& input) {
+  return RecordLine("bytes_received").add("connection", input.connection).add("bytes", input.bytes).text();
 }
-std::string input_text(const proxy::WriteDrained& in) {
-  return TraceLine("write_drained").add("connection", in.connection).text();
+std::string input_text(const proxy::WriteDrained& input) {
+  return RecordLine("write_drained").add("connection", input.connection).text();
 }
-std::string input_text(const proxy::Connected& in) {
-  return TraceLine("connected").add("connection", in.connection).text();
+std::string input_text(const proxy::Connected& input) {
+  return RecordLine("connected").add("connection", input.connection).text();
 }
-std::string input_text(const proxy::ConnectFailed& in) {
-  return TraceLine("connect_failed").add("connection", in.connection).text();
+std::string input_text(const proxy::ConnectFailed& input) {
+  return RecordLine("connect_failed").add("connection", input.connection).text();
 }
-std::string input_text(const proxy::ConnectionClosed& in) {
-  return TraceLine("closed").add("connection", in.connection).add("reset", in.is_reset).text();
+std::string input_text(const proxy::ConnectionClosed& input) {
+  return RecordLine("closed").add("connection", input.connection).add("reset", input.is_reset).text();
 }
 std::string input_text(const proxy::LoopTimerExpired&) { return "timer_expired"; }
 std::string input_text(const proxy::ShutdownRequested&) { return "shutdown_requested"; }
 /// What a reload can change, and the settings; the whole of the configuration has tests of its own.
-std::string input_text(const proxy::Reloaded& in) {
-  const Config& config = in.config;
-  return TraceLine("reloaded")
+std::string input_text(const proxy::Reloaded& input) {
+  const Config& config = input.config;
+  return RecordLine("reloaded")
       .add("name", config.name)
       .add("listen", config.listen_address)
       .add("discovery", config.discovery_address)
@@ -371,86 +393,91 @@
       .add_inner("settings", text_of(config.settings))
       .text();
 }
-std::string input_text(const proxy::ReloadFailed& in) {
-  return TraceLine("reload_failed").add("problem", in.problem).text();
+std::string input_text(const proxy::ReloadFailed& input) {
+  return RecordLine("reload_failed").add("problem", input.problem).text();
 }
-std::string input_text(const proxy::OverridesLoaded& in) {
-  return TraceLine("overrides_loaded").add("text", in.overrides).text();
+std::string input_text(const proxy::OverridesLoaded& input) {
+  return RecordLine("overrides_loaded").add("text", input.overrides).text();
 }
-std::string input_text(const proxy::MembershipReady& in) {
-  TraceLine line("membership_ready");
-  line.add("disk", in.identity.disk_id)
-      .add("incarnation", in.identity.incarnation)
-      .add("empty_disk", in.identity.is_new_disk);
-  for (const membership::MemberUpdate& update : in.identity.known_members)
+std::string input_text(const proxy::MembershipReady& input) {
+  RecordLine line("membership_ready");
+  line.add("disk", input.identity.disk_id)
+      .add("incarnation", input.identity.incarnation)
+      .add("empty_disk", input.identity.is_new_disk);
+  for (const membership::MemberUpdate& update : input.identity.known_members)
     line.add_inner("known", item_text(update));
   return line.text();
 }
-std::string input_text(const proxy::MembershipInput& in) {
-  const std::string inner = std::visit([](const auto& i) { return item_text(i); }, in.input);
-  return TraceLine("membership_input").add_inner("input", inner).text();
-}
-std::string input_text(const proxy::ConsensusOutput& in) {
-  TraceLine line("consensus_output");
-  for (const auto& [to, bytes] : in.outgoing_messages) line.add("to", to).add("bytes", bytes);
-  for (const consensus::Input& input : in.consensus_inputs) line.add_inner("input", item_text(input));
-  for (const auto& [name, id] : in.voters) line.add("voter", name).add("id", id);
-  for (const auto& [connection, status, text] : in.admin_replies)
+std::string input_text(const proxy::MembershipInput& input) {
+  const std::string inner =
+      std::visit([](const auto& alternative) { return item_text(alternative); }, input.input);
+  return RecordLine("membership_input").add_inner("input", inner).text();
+}
+std::string input_text(const proxy::ConsensusOutput& output) {
+  RecordLine line("consensus_output");
+  for (const auto& [to, bytes] : output.outgoing_messages) line.add("to", to).add("bytes", bytes);
+  for (const consensus::Input& input : output.consensus_inputs) line.add_inner("input", item_text(input));
+  for (const auto& [name, id] : output.voters) line.add("voter", name).add("id", id);
+  for (const auto& [connection, status, text] : output.admin_replies)
     line.add("answer_to", connection).add("status", status).add("text", text);
-  return line.add("own_id", in.own_raft_id).text();
+  return line.add("own_id", output.own_raft_id).text();
 }
 
 // ---- Effects ----
 
-std::string effect_text(const proxy::Write& e) {
-  return TraceLine("write").add("connection", e.connection).add("bytes", e.bytes).text();
-}
-std::string effect_text(const proxy::Connect& e) {
-  return TraceLine("connect")
-      .add("connection", e.connection)
-      .add("address", e.address)
-      .add("read_first", e.high_priority)
+std::string effect_text(const proxy::Write& effect) {
+  return RecordLine("write").add("connection", effect.connection).add("bytes", effect.bytes).text();
+}
+std::string effect_text(const proxy::Connect& effect) {
+  return RecordLine("connect")
+      .add("connection", effect.connection)
+      .add("address", effect.address)
+      .add("read_first", effect.high_priority)
       .text();
 }
-std::string effect_text(const proxy::ShutdownWrite& e) {
-  return TraceLine("shutdown_write").add("connection", e.connection).text();
+std::string effect_text(const proxy::ShutdownWrite& effect) {
+  return RecordLine("shutdown_write").add("connection", effect.connection).text();
+}
+std::string effect_text(const proxy::Close& effect) {
+  return RecordLine("close").add("connection", effect.connection).text();
 }
-std::string effect_text(const proxy::Close& e) {
-  return TraceLine("close").add("connection", e.connection).text();
+std::string effect_text(const proxy::DrainAndClose& effect) {
+  return RecordLine("drain_and_close").add("connection", effect.connection).text();
 }
-std::string effect_text(const proxy::DrainAndClose& e) {
-  return TraceLine("drain_and_close").add("connection", e.connection).text();
+std::string effect_text(const proxy::ArmTimer& effect) {
+  return RecordLine("set_timer").add("at", effect.at).text();
 }
-std::string effect_text(const proxy::ArmTimer& e) { return TraceLine("set_timer").add("at", e.at).text(); }
 std::string effect_text(const proxy::LogLine&) { return {}; }
 std::string effect_text(const proxy::StopAccepting&) { return "stop_accepting"; }
-std::string effect_text(const proxy::PersistOverrides& e) {
-  return TraceLine("persist_overrides").add("text", e.overrides).text();
-}
-std::string effect_text(const proxy::MembershipEffect& e) {
-  const std::string inner = std::visit([](const auto& i) { return item_text(i); }, e.effect);
-  return TraceLine("membership").add_inner("effect", inner).text();
-}
-std::string effect_text(const proxy::PersistMembership& e) {
-  TraceLine line("persist_members");
-  line.add_inner("self", item_text(e.self));
-  for (const membership::MemberUpdate& update : e.members) line.add_inner("member", item_text(update));
+std::string effect_text(const proxy::PersistOverrides& effect) {
+  return RecordLine("persist_overrides").add("text", effect.overrides).text();
+}
+std::string effect_text(const proxy::MembershipEffect& effect) {
+  const std::string inner =
+      std::visit([](const auto& alternative) { return item_text(alternative); }, effect.effect);
+  return RecordLine("membership").add_inner("effect", inner).text();
+}
+std::string effect_text(const proxy::PersistMembership& effect) {
+  RecordLine line("persist_members");
+  line.add_inner("self", item_text(effect.self));
+  for (const membership::MemberUpdate& update : effect.members) line.add_inner("member", item_text(update));
   return line.text();
 }
 std::string effect_text(const proxy::StopMembership&) { return "membership_stop"; }
-std::string effect_text(const proxy::ConsensusEffect& e) {
-  const std::string inner = std::visit([](const auto& i) { return item_text(i); }, e.effect);
-  return TraceLine("consensus").add_inner("effect", inner).text();
+std::string effect_text(const proxy::ConsensusEffect& effect) {
+  const std::string inner =
+      std::visit([](const auto& alternative) { return item_text(alternative); }, effect.effect);
+  return RecordLine("consensus").add_inner("effect", inner).text();
 }
 
 }  // namespace
 
 std::string text_of(const proxy::Input& input) {
-  return std::visit([](const auto& in) { return input_text(in); }, input);
+  return std::visit([](const auto& alternative) { return input_text(alternative); }, input);
 }
 
 std::string text_of(const proxy::Effect& effect) {
-  return std::visit([](const auto& e) { return effect_text(e); }, effect);
+  return std::visit([](const auto& alternative) { return effect_text(alternative); }, effect);
 }
 
 void record_proxy_step(GoldenRecord& record, edge_proxy::Time now, const proxy::Input& input,
--- a/tests/golden/routing_golden_test.cpp
+++ b/tests/golden/routing_golden_test.cpp
@@ -22,7 +22,7 @@
 
 using golden::GoldenRecord;
 
-RoutingObserver recorder(GoldenRecord& record) {
+RoutingObserver step_recorder(GoldenRecord& record) {
   return [&record](int router, Time now, const Event& event, const std::vector<Action>& actions) {
     golden::record_routing_step(record, router, now, event, actions);
   };
@@ -30,70 +30,70 @@
 
 // ---- The worlds of the other tests ----
 
-void record_crowded(const std::string& name, CrowdedScenario plan, std::uint64_t seed) {
+void record_crowded(const std::string& name, CrowdedScenario scenario, std::uint64_t seed) {
   GoldenRecord record("routing_crowded_" + name);
-  plan.large_object_kb = 6400;  // half as many requests as the plan's usual ones
-  plan.seed = seed;
-  plan.observer = recorder(record);
-  CrowdedWorld(plan).run();
+  scenario.large_object_kb = 6400;  // half as many requests as the plan's usual ones
+  scenario.seed = seed;
+  scenario.observer = step_recorder(record);
+  CrowdedWorld(scenario).run();
   record.check();
 }
 
-TEST(RoutingGolden, CrowdedWorld) { record_crowded("usual", {}, 1); }
+TEST(RoutingGolden, CrowdedWorldMatchesRecord) { record_crowded("usual", {}, 1); }
 
-TEST(RoutingGolden, CrowdedWorldAboveItsCapacityWithFewParents) {
-  CrowdedScenario plan;
-  plan.load = 1.3;
-  plan.parent_capacity = 0.25;
-  record_crowded("overload", plan, 2);
+TEST(RoutingGolden, CrowdedWorldAboveCapacityWithFewParentsMatchesRecord) {
+  CrowdedScenario scenario;
+  scenario.load = 1.3;
+  scenario.parent_capacity = 0.25;
+  record_crowded("overload", scenario, 2);
 }
 
-TEST(RoutingGolden, CrowdedWorldThatLosesAllCopies) {
-  CrowdedScenario plan;
-  plan.copies_lost = true;
-  record_crowded("empty_caches", plan, 3);
+TEST(RoutingGolden, CrowdedWorldThatLosesAllCopiesMatchesRecord) {
+  CrowdedScenario scenario;
+  scenario.copies_lost = true;
+  record_crowded("empty_caches", scenario, 3);
 }
 
-void record_slow_start(const std::string& name, SlowStartScenario plan, std::uint64_t seed) {
+void record_slow_start(const std::string& name, SlowStartScenario scenario, std::uint64_t seed) {
   GoldenRecord record("routing_slow_start_" + name);
-  plan.routers = 5;
-  plan.load = 0.5;
-  plan.seed = seed;
-  plan.observer = recorder(record);
-  SlowStartWorld(plan).run();
+  scenario.routers = 5;
+  scenario.load = 0.5;
+  scenario.seed = seed;
+  scenario.observer = step_recorder(record);
+  SlowStartWorld(scenario).run();
   record.check();
 }
 
-TEST(RoutingGolden, SlowStart) { record_slow_start("usual", {}, 1); }
+TEST(RoutingGolden, SlowStartMatchesRecord) { record_slow_start("usual", {}, 1); }
 
-TEST(RoutingGolden, SlowStartWithRestartsAndNoSizes) {
-  SlowStartScenario plan;
-  plan.update_spread_seconds = 2;
-  plan.restarted_fraction = 0.6;
-  plan.sizes_known = false;
-  plan.weights = WeightMeaning::none;
-  record_slow_start("restarts", plan, 2);
+TEST(RoutingGolden, SlowStartWithRestartsAndUnknownSizesMatchesRecord) {
+  SlowStartScenario scenario;
+  scenario.update_spread_seconds = 2;
+  scenario.restarted_fraction = 0.6;
+  scenario.sizes_known = false;
+  scenario.weights = WeightMeaning::none;
+  record_slow_start("restarts", scenario, 2);
 }
 
-TEST(RoutingGolden, SlowStartWithRoughWeightsAndLateConnections) {
-  SlowStartScenario plan;
-  plan.connect_seconds = 0.4;
-  plan.weights = WeightMeaning::rough;
-  record_slow_start("late_connections", plan, 3);
+TEST(RoutingGolden, SlowStartWithRoughWeightsAndLateConnectionsMatchesRecord) {
+  SlowStartScenario scenario;
+  scenario.connect_seconds = 0.4;
+  scenario.weights = WeightMeaning::rough;
+  record_slow_start("late_connections", scenario, 3);
 }
 
 // ---- Random settings and events ----
 
 /// Random numbers by arithmetic of its own: the same with each standard library.
-class Draws {
+class RandomSource {
  public:
-  explicit Draws(std::uint64_t seed) : engine_(seed) {}
+  explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
   std::uint64_t below(std::uint64_t bound) { return engine_() % bound; }
   bool chance(std::uint64_t percent) { return below(100) < percent; }
-  double part() { return static_cast<double>(engine_() >> 11U) / 9007199254740992.0; }
-  Time up_to(Time most) {
-    return Time{static_cast<std::int64_t>(below(static_cast<std::uint64_t>(most.count())))};
+  double fraction() { return static_cast<double>(engine_() >> 11U) / 9007199254740992.0; }
+  Time up_to(Time bound) {
+    return Time{static_cast<std::int64_t>(below(static_cast<std::uint64_t>(bound.count())))};
   }
   template <typename Value, std::size_t Size>
   Value one_of(const std::array<Value, Size>& values) {
@@ -110,9 +110,9 @@
  public:
   RandomRouting(GoldenRecord& record, std::uint64_t seed)
       : record_(record),
-        draws_(seed),
-        settings_(draw_settings()),
-        router_(settings_, draws_.below(1U << 30U)) {
+        random_(seed),
+        settings_(random_settings()),
+        router_(settings_, random_.below(1U << 30U)) {
     record_.add(golden::text_of(settings_));
   }
 
@@ -120,12 +120,12 @@
     feed(list(ListKind::from_configuration));
     for (int step = 0; step < steps; ++step) {
       if (step % 400 == 0) change_phase();
-      pass(draws_.up_to(draws_.chance(2) ? Time{4s} : quiet_ ? Time{60ms} : Time{12ms}));
+      advance_time(random_.up_to(random_.chance(2) ? Time{4s} : long_pauses_ ? Time{60ms} : Time{12ms}));
       random_event();
-      if (step % 50 == 0) record_beliefs();
+      if (step % 50 == 0) record_stats();
     }
-    pass(10s);
-    record_beliefs();
+    advance_time(10s);
+    record_stats();
   }
 
  private:
@@ -135,28 +135,29 @@
     std::string endpoint;
     std::string source;
     Time sent{0};
-    AttemptResult ending = AttemptResult::served;
-    CacheStatus note = CacheStatus::hit;
+    AttemptResult result = AttemptResult::served;
+    CacheStatus cache_status = CacheStatus::hit;
   };
 
   // ---- Settings ----
 
-  RequestClass request_class(const std::string& name, Idempotency effect, DeduplicationScope group) {
-    RequestClass c;
-    c.name = name;
-    c.latency_objective = Time{200ms} + draws_.up_to(400ms);
-    c.latency_objective_per_transfer_time = draws_.chance(50) ? 2 : 0;
-    c.deadline = Time{2000ms} + draws_.up_to(1500ms);
-    c.idempotency = effect;
-    c.deduplication_scope = group;
-    if (effect == Idempotency::with_key) c.deduplication_window = Time{400ms} + draws_.up_to(1500ms);
-    c.priority_weight = 0.5 + 3 * draws_.part();
-    c.late_weight = draws_.part();
-    return c;
+  RequestClass request_class(const std::string& name, Idempotency idempotency, DeduplicationScope scope) {
+    RequestClass result;
+    result.name = name;
+    result.latency_objective = Time{200ms} + random_.up_to(400ms);
+    result.latency_objective_per_transfer_time = random_.chance(50) ? 2 : 0;
+    result.deadline = Time{2000ms} + random_.up_to(1500ms);
+    result.idempotency = idempotency;
+    result.deduplication_scope = scope;
+    if (idempotency == Idempotency::with_key)
+      result.deduplication_window = Time{400ms} + random_.up_to(1500ms);
+    result.priority_weight = 0.5 + 3 * random_.fraction();
+    result.late_weight = random_.fraction();
+    return result;
   }
 
-  Settings draw_settings() {
-    Settings s = default_settings();
+  Settings random_settings() {
+    Settings settings = default_settings();
     RequestClass aged = request_class("aged", Idempotency::idempotent, DeduplicationScope::all);
     aged.max_age = 4s;
     aged.grace = 9s;
@@ -166,47 +167,47 @@
     RequestClass stored = request_class("stored", Idempotency::none, DeduplicationScope::all);
     RequestClass written = request_class("written", Idempotency::none, DeduplicationScope::all);
     written.uncacheable = true;
-    s.classes = {aged,
-                 streamed,
-                 request_class("plain", Idempotency::idempotent, DeduplicationScope::all),
-                 request_class("keyed_all", Idempotency::with_key, DeduplicationScope::all),
-                 request_class("keyed_zone", Idempotency::with_key, DeduplicationScope::zone),
-                 request_class("keyed_cell", Idempotency::with_key, DeduplicationScope::cell),
-                 stored,
-                 written};
-    s.router_count = 1 + static_cast<int>(draws_.below(4));
-    s.routers_by_zone = {0, 0, 1 + static_cast<int>(draws_.below(2))};
-    s.link_in_kb_per_s = {0, 0, 20000};
-    s.transfer_kb_per_s = draws_.chance(80) ? 1000 : 0;
-    s.cost_weights = {0.1, 0.2, 0.3, 0.01, 0.5, 0.05};
-    s.weights = draws_.one_of(
+    settings.classes = {aged,
+                        streamed,
+                        request_class("plain", Idempotency::idempotent, DeduplicationScope::all),
+                        request_class("keyed_all", Idempotency::with_key, DeduplicationScope::all),
+                        request_class("keyed_zone", Idempotency::with_key, DeduplicationScope::zone),
+                        request_class("keyed_cell", Idempotency::with_key, DeduplicationScope::cell),
+                        stored,
+                        written};
+    settings.router_count = 1 + static_cast<int>(random_.below(4));
+    settings.routers_by_zone = {0, 0, 1 + static_cast<int>(random_.below(2))};
+    settings.link_in_kb_per_s = {0, 0, 20000};
+    settings.transfer_kb_per_s = random_.chance(80) ? 1000 : 0;
+    settings.cost_weights = {0.1, 0.2, 0.3, 0.01, 0.5, 0.05};
+    settings.weights = random_.one_of(
         std::array{WeightMeaning::none, WeightMeaning::nominal, WeightMeaning::rough, WeightMeaning::live});
-    s.report_via = draws_.one_of(std::array{ReportVia::none, ReportVia::probes, ReportVia::answers});
-    s.sibling_fills =
-        draws_.one_of(std::array{SiblingFills::none, SiblingFills::location, SiblingFills::any});
-    s.subscription_required = draws_.chance(60);
-    redraw_permissions(s);
-    return s;
+    settings.report_via = random_.one_of(std::array{ReportVia::none, ReportVia::probes, ReportVia::answers});
+    settings.sibling_fills =
+        random_.one_of(std::array{SiblingFills::none, SiblingFills::location, SiblingFills::any});
+    settings.subscription_required = random_.chance(60);
+    randomize_permissions(settings);
+    return settings;
   }
 
-  void redraw_permissions(Settings& s) {
-    s.direct_to_sources = draws_.chance(40);
-    s.cancellation = draws_.chance(70);
-    s.hedging = draws_.chance(70);
-    s.retry_after = draws_.chance(50);
-    s.max_retry_after = 500ms;
-    s.max_attempts = draws_.chance(70) ? 8 : 2;
-    s.cache_status_detail =
-        draws_.one_of(std::array{CacheStatusDetail::none, CacheStatusDetail::hits, CacheStatusDetail::all});
+  void randomize_permissions(Settings& settings) {
+    settings.direct_to_sources = random_.chance(40);
+    settings.cancellation = random_.chance(70);
+    settings.hedging = random_.chance(70);
+    settings.retry_after = random_.chance(50);
+    settings.max_retry_after = 500ms;
+    settings.max_attempts = random_.chance(70) ? 8 : 2;
+    settings.cache_status_detail =
+        random_.one_of(std::array{CacheStatusDetail::none, CacheStatusDetail::hits, CacheStatusDetail::all});
   }
 
   // ---- Endpoints ----
 
   Endpoint endpoint(const std::string& id, int kind, int zone, int cell) {
-    Endpoint m = make_endpoint(id, kind, zone);
-    m.cell = cell;
-    m.weight = 0.5 + draws_.part();
-    return m;
+    Endpoint created = make_endpoint(id, kind, zone);
+    created.cell = cell;
+    created.weight = 0.5 + random_.fraction();
+    return created;
   }
 
   EndpointList list(ListKind kind) {
@@ -219,20 +220,20 @@
     return {kind, endpoints_};
   }
 
-  void change_list() {
-    if (draws_.chance(15)) {
+  void change_endpoint_list() {
+    if (random_.chance(15)) {
       feed(EndpointList{ListKind::failed, {}});
       return;
     }
-    if (draws_.chance(25)) {
+    if (random_.chance(25)) {
       EndpointList complete = list(ListKind::complete);
-      if (draws_.chance(60))
-        complete.endpoints.erase(complete.endpoints.begin() + static_cast<int>(draws_.below(3)));
+      if (random_.chance(60))
+        complete.endpoints.erase(complete.endpoints.begin() + static_cast<int>(random_.below(3)));
       feed(complete);
       return;
     }
-    Endpoint& changed = endpoints_[draws_.below(endpoints_.size())];
-    switch (draws_.below(7)) {
+    Endpoint& changed = endpoints_[random_.below(endpoints_.size())];
+    switch (random_.below(7)) {
       case 0:
         changed.state = EndpointState::draining;
         break;
@@ -240,18 +241,18 @@
         changed.state = EndpointState::removed;
         break;
       case 2:
-        changed.started = now_ - draws_.up_to(3s);
+        changed.started = now_ - random_.up_to(3s);
         changed.state = EndpointState::running;
         break;
       default:
         changed.state = EndpointState::running;
-        if (changed.kind == 0 && draws_.chance(50)) {  // another one takes its place
-          const Endpoint replaced = changed;
+        if (changed.kind == 0 && random_.chance(50)) {  // another one takes its place
+          const Endpoint previous = changed;
           changed.id = "cache-new-" + std::to_string(++replacements_);
           changed.started = now_;
-          Endpoint gone = replaced;
-          gone.state = EndpointState::removed;
-          feed(EndpointList{ListKind::changes, {gone, changed}});
+          Endpoint removed = previous;
+          removed.state = EndpointState::removed;
+          feed(EndpointList{ListKind::changes, {removed, changed}});
           return;
         }
     }
@@ -259,44 +260,44 @@
   }
 
   void change_phase() {
-    failing_ = endpoints_[draws_.below(5)].id;  // a cache
-    failing_source_ = "parent-" + std::to_string(draws_.below(3));
-    failure_ = draws_.one_of(std::array{AttemptResult::connection_lost, AttemptResult::unreachable,
-                                        AttemptResult::connection_lost, AttemptResult::unreachable,
-                                        AttemptResult::error, AttemptResult::shed, AttemptResult::timed_out,
-                                        AttemptResult::cache_miss, AttemptResult::malformed_response});
-    slow_ = draws_.chance(50);
-    quiet_ = draws_.chance(40);
+    failing_ = endpoints_[random_.below(5)].id;  // a cache
+    failing_source_ = "parent-" + std::to_string(random_.below(3));
+    failure_ = random_.one_of(std::array{AttemptResult::connection_lost, AttemptResult::unreachable,
+                                         AttemptResult::connection_lost, AttemptResult::unreachable,
+                                         AttemptResult::error, AttemptResult::shed, AttemptResult::timed_out,
+                                         AttemptResult::cache_miss, AttemptResult::malformed_response});
+    slow_ = random_.chance(50);
+    long_pauses_ = random_.chance(40);
   }
 
   // ---- Events ----
 
   void random_event() {
-    const std::uint64_t draw = draws_.below(1000);
+    const std::uint64_t draw = random_.below(1000);
     if (draw < 520) {
-      ask();
+      send_request();
     } else if (draw < 880) {
-      end_one();
+      end_random_attempt();
     } else if (draw < 910) {
       feed(draw < 895
-               ? Invalidation{draws_.below(40), 0, draws_.up_to(2s)}
-               : Invalidation{std::nullopt, static_cast<std::int64_t>(draws_.below(6)), draws_.up_to(2s)});
+               ? Invalidation{random_.below(40), 0, random_.up_to(2s)}
+               : Invalidation{std::nullopt, static_cast<std::int64_t>(random_.below(6)), random_.up_to(2s)});
     } else if (draw < 930) {
-      feed(RequestCancelled{"r" + std::to_string(made_ - static_cast<int>(draws_.below(4)))});
+      feed(RequestCancelled{"r" + std::to_string(last_request_ - static_cast<int>(random_.below(4)))});
     } else if (draw < 950) {
-      if (!open_.empty()) {
-        const OpenAttempt& a = open_[draws_.below(open_.size())];
-        feed(StreamStarted{a.request, a.number});
+      if (!open_attempts_.empty()) {
+        const OpenAttempt& attempt = open_attempts_[random_.below(open_attempts_.size())];
+        feed(StreamStarted{attempt.request, attempt.number});
       }
     } else if (draw < 970) {
-      change_list();
+      change_endpoint_list();
     } else if (draw < 978) {
-      feed(QuotaChanged{2 * draws_.part(), 2 * draws_.part()});
+      feed(QuotaChanged{2 * random_.fraction(), 2 * random_.fraction()});
     } else if (draw < 984) {
-      redraw_permissions(settings_);
+      randomize_permissions(settings_);
       feed(SettingsChanged{settings_});
     } else if (draw < 990) {
-      feed(HealthChecked{"cache-1", draws_.chance(80), draws_.up_to(30ms), report()});
+      feed(HealthChecked{"cache-1", random_.chance(80), random_.up_to(30ms), report()});
     } else if (draw < 995) {
       feed(Outcome{"none", 0, "cache-1", AttemptResult::served, 5ms, true, CacheStatus::hit, {}, {}});
     } else {
@@ -304,88 +305,89 @@
     }
   }
 
-  void ask() {
-    Request r;
-    r.id = "r" + std::to_string(++made_);
-    r.request_class = draws_.chance(1) ? 99 : static_cast<int>(draws_.below(settings_.classes.size()));
-    const std::uint64_t wide = draws_.below(400), narrow = draws_.below(40);
-    r.object = std::min(wide, narrow);
-    r.part = draws_.below(2);
-    r.group = static_cast<std::int64_t>(r.object % 6);
-    const double factor = draws_.part(), other_factor = draws_.part();
-    r.size_kb = draws_.chance(20) ? 0 : 5 + 300 * factor * other_factor;
-    const Time deadline = r.request_class == 99
+  void send_request() {
+    Request request;
+    request.id = "r" + std::to_string(++last_request_);
+    request.request_class =
+        random_.chance(1) ? 99 : static_cast<int>(random_.below(settings_.classes.size()));
+    const std::uint64_t wide = random_.below(400), narrow = random_.below(40);
+    request.object = std::min(wide, narrow);
+    request.part = random_.below(2);
+    request.group = static_cast<std::int64_t>(request.object % 6);
+    const double factor = random_.fraction(), other_factor = random_.fraction();
+    request.size_kb = random_.chance(20) ? 0 : 5 + 300 * factor * other_factor;
+    const Time deadline = request.request_class == 99
                               ? Time{1s}
-                              : settings_.classes[static_cast<std::size_t>(r.request_class)].deadline;
-    r.expires = now_ + (draws_.chance(10) ? draws_.up_to(50ms) : deadline);
-    r.write = draws_.chance(4);
-    r.client_retry = draws_.chance(8);
-    if (draws_.chance(6)) r.local_copy_wait = draws_.chance(50) ? Time{0} : draws_.up_to(300ms);
-    feed(r);
+                              : settings_.classes[static_cast<std::size_t>(request.request_class)].deadline;
+    request.expires = now_ + (random_.chance(10) ? random_.up_to(50ms) : deadline);
+    request.write = random_.chance(4);
+    request.client_retry = random_.chance(8);
+    if (random_.chance(6)) request.local_copy_wait = random_.chance(50) ? Time{0} : random_.up_to(300ms);
+    feed(request);
   }
 
   std::optional<LoadReport> report() {
-    if (draws_.chance(40)) return std::nullopt;
+    if (random_.chance(40)) return std::nullopt;
     LoadReport load;
-    if (draws_.chance(70)) load.busy = draws_.part();
-    if (draws_.chance(50)) load.in_flight = 20 * draws_.part();
-    if (draws_.chance(50)) load.queued = 5 * draws_.part();
-    if (draws_.chance(50)) load.hit_ratio = draws_.part();
-    if (draws_.chance(80)) load.link_utilization = 4 * draws_.part();
+    if (random_.chance(70)) load.busy = random_.fraction();
+    if (random_.chance(50)) load.in_flight = 20 * random_.fraction();
+    if (random_.chance(50)) load.queued = 5 * random_.fraction();
+    if (random_.chance(50)) load.hit_ratio = random_.fraction();
+    if (random_.chance(80)) load.link_utilization = 4 * random_.fraction();
     return load;
   }
 
-  void end_one() {
-    if (open_.empty()) return;
-    const std::size_t at = draws_.chance(60) ? 0 : draws_.below(open_.size());
-    const OpenAttempt a = open_[at];
-    if (slow_ && a.ending == AttemptResult::served && draws_.chance(70)) return;
-    open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(at));
-    end(a, a.ending, a.note);
-    if (draws_.chance(2)) end(a, a.ending, a.note);  // told twice
+  void end_random_attempt() {
+    if (open_attempts_.empty()) return;
+    const std::size_t index = random_.chance(60) ? 0 : random_.below(open_attempts_.size());
+    const OpenAttempt attempt = open_attempts_[index];
+    if (slow_ && attempt.result == AttemptResult::served && random_.chance(70)) return;
+    open_attempts_.erase(open_attempts_.begin() + static_cast<std::ptrdiff_t>(index));
+    end_attempt(attempt, attempt.result, attempt.cache_status);
+    if (random_.chance(2)) end_attempt(attempt, attempt.result, attempt.cache_status);  // told twice
   }
 
-  void end(const OpenAttempt& a, AttemptResult ending, CacheStatus note) {
-    Outcome o;
-    o.request = a.request;
-    o.attempt = a.number;
-    o.endpoint = a.endpoint;
-    o.result = ending;
-    o.duration = now_ - a.sent;
-    o.request_finished = ending == AttemptResult::served && draws_.chance(95);
-    o.cache_status = note;
-    if (draws_.chance(50)) o.first_byte = draws_.up_to(200ms);
-    o.report = report();
-    feed(o);
+  void end_attempt(const OpenAttempt& attempt, AttemptResult result, CacheStatus cache_status) {
+    Outcome outcome;
+    outcome.request = attempt.request;
+    outcome.attempt = attempt.number;
+    outcome.endpoint = attempt.endpoint;
+    outcome.result = result;
+    outcome.duration = now_ - attempt.sent;
+    outcome.request_finished = result == AttemptResult::served && random_.chance(95);
+    outcome.cache_status = cache_status;
+    if (random_.chance(50)) outcome.first_byte = random_.up_to(200ms);
+    outcome.report = report();
+    feed(outcome);
   }
 
-  void choose_ending(OpenAttempt& a) {
-    constexpr std::array kNotes{CacheStatus::unknown,      CacheStatus::hit,
-                                CacheStatus::filled,       CacheStatus::filled_by_origin,
-                                CacheStatus::joined,       CacheStatus::stale,
-                                CacheStatus::source_shed,  CacheStatus::source_unreachable,
-                                CacheStatus::source_miss,  CacheStatus::no_fill_capacity,
-                                CacheStatus::origin_failed};
-    constexpr std::array kEndings{AttemptResult::error,           AttemptResult::shed,
-                                  AttemptResult::timed_out,       AttemptResult::unreachable,
-                                  AttemptResult::connection_lost, AttemptResult::not_sent,
-                                  AttemptResult::cache_miss,      AttemptResult::malformed_response,
-                                  AttemptResult::cancelled};
-    if ((a.endpoint == failing_ || a.source == failing_source_) && draws_.chance(95)) {
-      a.ending = failure_;
-      a.note = draws_.chance(40) ? CacheStatus::unknown : draws_.one_of(kNotes);
-    } else if (draws_.chance(8)) {
-      a.ending = draws_.one_of(kEndings);
-      a.note = draws_.one_of(kNotes);
+  void choose_result(OpenAttempt& attempt) {
+    constexpr std::array kCacheStatuses{CacheStatus::unknown,      CacheStatus::hit,
+                                        CacheStatus::filled,       CacheStatus::filled_by_origin,
+                                        CacheStatus::joined,       CacheStatus::stale,
+                                        CacheStatus::source_shed,  CacheStatus::source_unreachable,
+                                        CacheStatus::source_miss,  CacheStatus::no_fill_capacity,
+                                        CacheStatus::origin_failed};
+    constexpr std::array kFailures{AttemptResult::error,           AttemptResult::shed,
+                                   AttemptResult::timed_out,       AttemptResult::unreachable,
+                                   AttemptResult::connection_lost, AttemptResult::not_sent,
+                                   AttemptResult::cache_miss,      AttemptResult::malformed_response,
+                                   AttemptResult::cancelled};
+    if ((attempt.endpoint == failing_ || attempt.source == failing_source_) && random_.chance(95)) {
+      attempt.result = failure_;
+      attempt.cache_status = random_.chance(40) ? CacheStatus::unknown : random_.one_of(kCacheStatuses);
+    } else if (random_.chance(8)) {
+      attempt.result = random_.one_of(kFailures);
+      attempt.cache_status = random_.one_of(kCacheStatuses);
     } else {
-      a.note = draws_.chance(50) ? CacheStatus::hit : draws_.one_of(kNotes);
+      attempt.cache_status = random_.chance(50) ? CacheStatus::hit : random_.one_of(kCacheStatuses);
     }
   }
 
-  void pass(Time span) {
+  void advance_time(Time span) {
     const Time end = now_ + span;
-    while (wake_at_ > Time{0} && wake_at_ <= end) {
-      now_ = std::max(now_, std::exchange(wake_at_, Time{0}));
+    while (timer_due_ > Time{0} && timer_due_ <= end) {
+      now_ = std::max(now_, std::exchange(timer_due_, Time{0}));
       feed(TimerFired{1});
     }
     now_ = end;
@@ -395,47 +397,48 @@
     const std::vector<Action> actions = router_.handle(now_, event);
     golden::record_routing_step(record_, 0, now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* wake = std::get_if<SetTimer>(&action)) wake_at_ = now_ + wake->after;
-      if (const auto* a = std::get_if<Attempt>(&action)) {
-        OpenAttempt attempt{a->request, attempts_[a->request]++, a->endpoint, a->source, now_};
-        choose_ending(attempt);
-        open_.push_back(attempt);
+      if (const auto* timer = std::get_if<SetTimer>(&action)) timer_due_ = now_ + timer->after;
+      if (const auto* started = std::get_if<Attempt>(&action)) {
+        OpenAttempt attempt{started->request, attempt_counts_[started->request]++, started->endpoint,
+                            started->source, now_};
+        choose_result(attempt);
+        open_attempts_.push_back(attempt);
       }
       if (const auto* cancel = std::get_if<Cancel>(&action)) {
-        for (OpenAttempt& attempt : open_) {
+        for (OpenAttempt& attempt : open_attempts_) {
           if (attempt.request != cancel->request || attempt.number != cancel->attempt) continue;
-          attempt.ending = AttemptResult::cancelled;
-          attempt.note = CacheStatus::unknown;
+          attempt.result = AttemptResult::cancelled;
+          attempt.cache_status = CacheStatus::unknown;
         }
       }
     }
   }
 
-  void record_beliefs() {
-    const Router::Stats beliefs = router_.stats();
-    record_.add(golden::TraceLine("beliefs")
-                    .add("in_flight", beliefs.in_flight)
-                    .add("ejected", beliefs.ejected)
-                    .add("endpoints", beliefs.endpoints)
+  void record_stats() {
+    const Router::Stats stats = router_.stats();
+    record_.add(golden::RecordLine("beliefs")
+                    .add("in_flight", stats.in_flight)
+                    .add("ejected", stats.ejected)
+                    .add("endpoints", stats.endpoints)
                     .text());
   }
 
   GoldenRecord& record_;
-  Draws draws_;
+  RandomSource random_;
   std::vector<Endpoint> endpoints_;
   Settings settings_;
   Router router_;
   Time now_{1000s};
-  Time wake_at_{0};
-  int made_ = 0, replacements_ = 0;
-  std::vector<OpenAttempt> open_;
-  std::map<std::string, int> attempts_;  // by request
+  Time timer_due_{0};
+  int last_request_ = 0, replacements_ = 0;
+  std::vector<OpenAttempt> open_attempts_;
+  std::map<std::string, int> attempt_counts_;  // by request
   std::string failing_, failing_source_;
   AttemptResult failure_ = AttemptResult::connection_lost;
-  bool slow_ = false, quiet_ = false;
+  bool slow_ = false, long_pauses_ = false;
 };
 
-TEST(RoutingGolden, RandomSettingsAndEvents) {
+TEST(RoutingGolden, RandomSettingsAndEventsMatchRecords) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     GoldenRecord record("routing_random_" + std::to_string(seed));
     RandomRouting(record, seed).run(2000);
--- a/tests/golden/routing_trace.cpp
+++ b/tests/golden/routing_trace.cpp
@@ -11,8 +11,8 @@
 
 // ---- Enumerations ----
 
-const char* label_of(Idempotency effect) {
-  switch (effect) {
+const char* label_of(Idempotency idempotency) {
+  switch (idempotency) {
     case Idempotency::idempotent:
       return "idempotent";
     case Idempotency::with_key:
@@ -35,8 +35,8 @@
   return "?";
 }
 
-const char* label_of(WeightMeaning weights) {
-  switch (weights) {
+const char* label_of(WeightMeaning meaning) {
+  switch (meaning) {
     case WeightMeaning::none:
       return "none";
     case WeightMeaning::nominal:
@@ -73,8 +73,8 @@
   return "?";
 }
 
-const char* label_of(CacheStatusDetail notes) {
-  switch (notes) {
+const char* label_of(CacheStatusDetail detail) {
+  switch (detail) {
     case CacheStatusDetail::none:
       return "none";
     case CacheStatusDetail::hits:
@@ -182,7 +182,7 @@
 // ---- Parts ----
 
 template <typename Value>
-void add_optional(TraceLine& line, std::string_view label, const std::optional<Value>& value) {
+void add_optional(RecordLine& line, std::string_view label, const std::optional<Value>& value) {
   if (value) {
     line.add(label, *value);
   } else {
@@ -202,52 +202,52 @@
   return text;
 }
 
-std::string text_of(const RequestClass& c) {
-  return TraceLine("class")
-      .add("name", c.name)
-      .add("latency_objective", c.latency_objective)
-      .add("latency_objective_per_transfer_time", c.latency_objective_per_transfer_time)
-      .add("deadline", c.deadline)
-      .add("idempotency", label_of(c.idempotency))
-      .add("deduplication_scope", label_of(c.deduplication_scope))
-      .add("deduplication_window", c.deduplication_window)
-      .add("priority_weight", c.priority_weight)
-      .add("late_weight", c.late_weight)
-      .add("streamed", c.streamed)
-      .add("max_age", c.max_age)
-      .add("grace", c.grace)
-      .add("stale_weight", c.stale_weight)
-      .add("segmented", c.segmented)
-      .add("uncacheable", c.uncacheable)
+std::string text_of(const RequestClass& request_class) {
+  return RecordLine("class")
+      .add("name", request_class.name)
+      .add("latency_objective", request_class.latency_objective)
+      .add("latency_objective_per_transfer_time", request_class.latency_objective_per_transfer_time)
+      .add("deadline", request_class.deadline)
+      .add("idempotency", label_of(request_class.idempotency))
+      .add("deduplication_scope", label_of(request_class.deduplication_scope))
+      .add("deduplication_window", request_class.deduplication_window)
+      .add("priority_weight", request_class.priority_weight)
+      .add("late_weight", request_class.late_weight)
+      .add("streamed", request_class.streamed)
+      .add("max_age", request_class.max_age)
+      .add("grace", request_class.grace)
+      .add("stale_weight", request_class.stale_weight)
+      .add("segmented", request_class.segmented)
+      .add("uncacheable", request_class.uncacheable)
       .text();
 }
 
-std::string text_of(const CostWeights& fees) {
-  return TraceLine("cost_weights")
-      .add("cross_zone", fees.cross_zone)
-      .add("waste", fees.waste)
-      .add("origin", fees.origin)
-      .add("health_check", fees.health_check)
-      .add("late_failure", fees.late_failure)
-      .add("link_bytes", fees.link_bytes)
+std::string text_of(const CostWeights& weights) {
+  return RecordLine("cost_weights")
+      .add("cross_zone", weights.cross_zone)
+      .add("waste", weights.waste)
+      .add("origin", weights.origin)
+      .add("health_check", weights.health_check)
+      .add("late_failure", weights.late_failure)
+      .add("link_bytes", weights.link_bytes)
       .text();
 }
 
-std::string text_of(const Endpoint& member) {
-  return TraceLine("endpoint")
-      .add("id", member.id)
-      .add("state", label_of(member.state))
-      .add("weight", member.weight)
-      .add("zone", member.zone)
-      .add("cell", member.cell)
-      .add("kind", member.kind)
-      .add("started", member.started)
+std::string text_of(const Endpoint& endpoint) {
+  return RecordLine("endpoint")
+      .add("id", endpoint.id)
+      .add("state", label_of(endpoint.state))
+      .add("weight", endpoint.weight)
+      .add("zone", endpoint.zone)
+      .add("cell", endpoint.cell)
+      .add("kind", endpoint.kind)
+      .add("started", endpoint.started)
       .text();
 }
 
 std::string text_of(const std::optional<LoadReport>& report) {
   if (!report) return "-";
-  TraceLine line("load");
+  RecordLine line("load");
   add_optional(line, "busy", report->busy);
   add_optional(line, "in_flight", report->in_flight);
   add_optional(line, "queued", report->queued);
@@ -259,14 +259,14 @@
 // ---- Events ----
 
 std::string event_text(const EndpointList& list) {
-  TraceLine line("endpoint_list");
+  RecordLine line("endpoint_list");
   line.add("kind", label_of(list.kind));
-  for (const Endpoint& member : list.endpoints) line.add_inner("item", text_of(member));
+  for (const Endpoint& endpoint : list.endpoints) line.add_inner("item", text_of(endpoint));
   return line.text();
 }
 
 std::string event_text(const Request& request) {
-  TraceLine line("request");
+  RecordLine line("request");
   line.add("id", request.id)
       .add("class", request.request_class)
       .add("object", request.object)
@@ -281,11 +281,11 @@
 }
 
 std::string event_text(const TimerFired& timer) {
-  return TraceLine("timer_expired").add("token", timer.token).text();
+  return RecordLine("timer_expired").add("token", timer.token).text();
 }
 
 std::string event_text(const Outcome& outcome) {
-  TraceLine line("attempt_completed");
+  RecordLine line("attempt_completed");
   line.add("request", outcome.request)
       .add("attempt", outcome.attempt)
       .add("endpoint", outcome.endpoint)
@@ -299,7 +299,7 @@
 }
 
 std::string event_text(const HealthChecked& check) {
-  return TraceLine("health_checked")
+  return RecordLine("health_checked")
       .add("endpoint", check.endpoint)
       .add("answered", check.answered)
       .add("took", check.duration)
@@ -307,35 +307,35 @@
       .text();
 }
 
-std::string event_text(const Invalidation& purge) {
-  TraceLine line("invalidation");
-  add_optional(line, "object", purge.object);
-  return line.add("group", purge.group).add("age", purge.age).text();
+std::string event_text(const Invalidation& invalidation) {
+  RecordLine line("invalidation");
+  add_optional(line, "object", invalidation.object);
+  return line.add("group", invalidation.group).add("age", invalidation.age).text();
 }
 
 std::string event_text(const RequestCancelled& cancelled) {
-  return TraceLine("request_cancelled").add("request", cancelled.request).text();
+  return RecordLine("request_cancelled").add("request", cancelled.request).text();
 }
 
 std::string event_text(const StreamStarted& stream) {
-  return TraceLine("stream_started").add("request", stream.request).add("attempt", stream.attempt).text();
+  return RecordLine("stream_started").add("request", stream.request).add("attempt", stream.attempt).text();
 }
 
 std::string event_text(const QuotaChanged& quota) {
-  return TraceLine("quota_changed")
+  return RecordLine("quota_changed")
       .add("of_parents", quota.parent_share)
       .add("of_caches", quota.cache_share)
       .text();
 }
 
 std::string event_text(const SettingsChanged& change) {
-  return TraceLine("settings_changed").add_inner("settings", golden::text_of(change.settings)).text();
+  return RecordLine("settings_changed").add_inner("settings", golden::text_of(change.settings)).text();
 }
 
 // ---- Actions ----
 
 std::string action_text(const Attempt& attempt) {
-  return TraceLine("attempt")
+  return RecordLine("attempt")
       .add("request", attempt.request)
       .add("endpoint", attempt.endpoint)
       .add("source", attempt.source)
@@ -351,21 +351,21 @@
 }
 
 std::string action_text(const Cancel& cancel) {
-  return TraceLine("cancel").add("request", cancel.request).add("attempt", cancel.attempt).text();
+  return RecordLine("cancel").add("request", cancel.request).add("attempt", cancel.attempt).text();
 }
 
 std::string action_text(const Reject& reject) {
-  return TraceLine("reject").add("request", reject.request).add("retry_after", reject.retry_after).text();
+  return RecordLine("reject").add("request", reject.request).add("retry_after", reject.retry_after).text();
 }
 
-std::string action_text(const Fail& fail) { return TraceLine("fail").add("request", fail.request).text(); }
+std::string action_text(const Fail& fail) { return RecordLine("fail").add("request", fail.request).text(); }
 
 std::string action_text(const SetTimer& timer) {
-  return TraceLine("set_timer").add("after", timer.after).add("token", timer.token).text();
+  return RecordLine("set_timer").add("after", timer.after).add("token", timer.token).text();
 }
 
 std::string action_text(const CheckHealth& check) {
-  return TraceLine("check_health").add("endpoint", check.endpoint).text();
+  return RecordLine("check_health").add("endpoint", check.endpoint).text();
 }
 
 std::string action_text(const FetchEndpointList&) { return "fetch_list"; }
@@ -373,61 +373,61 @@
 std::string action_text(const LogMessage&) { return {}; }
 
 std::string action_text(const ServeFromLocalCache& serve) {
-  return TraceLine("serve_from_local_cache").add("request", serve.request).text();
+  return RecordLine("serve_from_local_cache").add("request", serve.request).text();
 }
 
 }  // namespace
 
-std::string text_of(const Settings& s) {
-  TraceLine line("settings");
-  line.add("self", s.router_number)
-      .add("zone", s.zone)
-      .add("routers", s.router_count)
-      .add("routers_by_zone", numbers(s.routers_by_zone))
-      .add("hub_by_zone", numbers(s.hub_by_zone))
-      .add("link_in_kb_per_s", numbers(s.link_in_kb_per_s));
-  for (const RequestClass& c : s.classes) line.add_inner("item", text_of(c));
-  line.add("parent_kind", s.parent_kind)
-      .add("origin_kind", s.origin_kind)
-      .add("direct", s.direct_to_sources)
-      .add("sibling_fills", label_of(s.sibling_fills))
-      .add("cache_status_detail", label_of(s.cache_status_detail))
-      .add("stream_kb_per_s", s.transfer_kb_per_s)
-      .add("tick", s.tick)
-      .add("answer_slack", s.answer_slack)
-      .add("drain_grace", s.drain_grace)
-      .add("initial_capacity", s.initial_capacity)
-      .add("warm_up_time", s.warm_up_time)
-      .add("overload_factor", s.overload_factor)
-      .add("overload_window", s.overload_window)
-      .add("parent_initial_capacity", s.parent_initial_capacity)
-      .add("parent_warm_up_time", s.parent_warm_up_time)
-      .add("parent_overload_factor", s.parent_overload_factor)
-      .add("origin_overload_factor", s.origin_overload_factor)
-      .add("origin_overload_window", s.origin_overload_window)
-      .add("invalidation_slack", s.invalidation_slack)
-      .add("invalidation_complete_after", s.invalidation_settled_after)
-      .add("max_attempts", s.max_attempts)
-      .add("cancelling", s.cancellation)
-      .add("health_checks", s.health_checks)
-      .add("hedging", s.hedging)
-      .add("retry_after", s.retry_after)
-      .add("max_retry_after", s.max_retry_after)
-      .add("must_subscribe", s.subscription_required)
-      .add("must_poll_within", s.poll_within)
-      .add("marks_retries", s.marks_client_retries)
-      .add("report_via", label_of(s.report_via))
-      .add("weights", label_of(s.weights))
-      .add_inner("costs", text_of(s.cost_weights));
+std::string text_of(const Settings& settings) {
+  RecordLine line("settings");
+  line.add("self", settings.router_number)
+      .add("zone", settings.zone)
+      .add("routers", settings.router_count)
+      .add("routers_by_zone", numbers(settings.routers_by_zone))
+      .add("hub_by_zone", numbers(settings.hub_by_zone))
+      .add("link_in_kb_per_s", numbers(settings.link_in_kb_per_s));
+  for (const RequestClass& request_class : settings.classes) line.add_inner("item", text_of(request_class));
+  line.add("parent_kind", settings.parent_kind)
+      .add("origin_kind", settings.origin_kind)
+      .add("direct", settings.direct_to_sources)
+      .add("sibling_fills", label_of(settings.sibling_fills))
+      .add("cache_status_detail", label_of(settings.cache_status_detail))
+      .add("stream_kb_per_s", settings.transfer_kb_per_s)
+      .add("tick", settings.tick)
+      .add("answer_slack", settings.answer_slack)
+      .add("drain_grace", settings.drain_grace)
+      .add("initial_capacity", settings.initial_capacity)
+      .add("warm_up_time", settings.warm_up_time)
+      .add("overload_factor", settings.overload_factor)
+      .add("overload_window", settings.overload_window)
+      .add("parent_initial_capacity", settings.parent_initial_capacity)
+      .add("parent_warm_up_time", settings.parent_warm_up_time)
+      .add("parent_overload_factor", settings.parent_overload_factor)
+      .add("origin_overload_factor", settings.origin_overload_factor)
+      .add("origin_overload_window", settings.origin_overload_window)
+      .add("invalidation_slack", settings.invalidation_slack)
+      .add("invalidation_complete_after", settings.invalidation_settled_after)
+      .add("max_attempts", settings.max_attempts)
+      .add("cancelling", settings.cancellation)
+      .add("health_checks", settings.health_checks)
+      .add("hedging", settings.hedging)
+      .add("retry_after", settings.retry_after)
+      .add("max_retry_after", settings.max_retry_after)
+      .add("must_subscribe", settings.subscription_required)
+      .add("must_poll_within", settings.poll_within)
+      .add("marks_retries", settings.marks_client_retries)
+      .add("report_via", label_of(settings.report_via))
+      .add("weights", label_of(settings.weights))
+      .add_inner("costs", text_of(settings.cost_weights));
   return line.text();
 }
 
 std::string text_of(const Event& event) {
-  return std::visit([](const auto& e) { return event_text(e); }, event);
+  return std::visit([](const auto& alternative) { return event_text(alternative); }, event);
 }
 
 std::string text_of(const Action& action) {
-  return std::visit([](const auto& a) { return action_text(a); }, action);
+  return std::visit([](const auto& alternative) { return action_text(alternative); }, action);
 }
 
 void record_routing_step(GoldenRecord& record, int router, Time now, const Event& event,
--- a/tests/golden/routing_trace.h
+++ b/tests/golden/routing_trace.h
@@ -16,33 +16,35 @@
 namespace golden {
 
 /// One line of a record: a title and labelled values.
-class TraceLine {
+class RecordLine {
  public:
-  explicit TraceLine(std::string_view title) : text_(title) {}
+  explicit RecordLine(std::string_view title) : text_(title) {}
 
-  TraceLine& add(std::string_view label, std::string_view value) { return put(label, golden::quoted(value)); }
-  TraceLine& add(std::string_view label, const std::string& value) {
+  RecordLine& add(std::string_view label, std::string_view value) {
     return put(label, golden::quoted(value));
   }
-  TraceLine& add(std::string_view label, const char* value) { return put(label, golden::quoted(value)); }
-  TraceLine& add(std::string_view label, bool value) { return put(label, value ? "yes" : "no"); }
-  TraceLine& add(std::string_view label, double value) { return put(label, exact(value)); }
-  TraceLine& add(std::string_view label, std::chrono::microseconds value) {
+  RecordLine& add(std::string_view label, const std::string& value) {
+    return put(label, golden::quoted(value));
+  }
+  RecordLine& add(std::string_view label, const char* value) { return put(label, golden::quoted(value)); }
+  RecordLine& add(std::string_view label, bool value) { return put(label, value ? "yes" : "no"); }
+  RecordLine& add(std::string_view label, double value) { return put(label, exact(value)); }
+  RecordLine& add(std::string_view label, std::chrono::microseconds value) {
     return put(label, std::to_string(value.count()));
   }
   template <typename Integer, typename = std::enable_if_t<std::is_integral_v<Integer>>>
-  TraceLine& add(std::string_view label, Integer value) {
+  RecordLine& add(std::string_view label, Integer value) {
     return put(label, std::to_string(value));
   }
   /// The value's own line, in brackets.
-  TraceLine& add_inner(std::string_view label, const std::string& line) {
+  RecordLine& add_inner(std::string_view label, const std::string& line) {
     return put(label, "[" + line + "]");
   }
 
   [[nodiscard]] const std::string& text() const { return text_; }
 
  private:
-  TraceLine& put(std::string_view label, const std::string& value) {
+  RecordLine& put(std::string_view label, const std::string& value) {
     text_.append(" ").append(label).append("=").append(value);
     return *this;
   }
