--- a/tests/golden/stored_files_golden_test.cpp
+++ b/tests/golden/stored_files_golden_test.cpp
@@ -54,7 +54,7 @@
   ASSERT_TRUE(file.good()) << path;
 }
 
-std::string stored(const std::string& name) {
+std::string stored_file(const std::string& name) {
   const std::string bytes = read_file(std::string(GOLDEN_STORED) + "/" + name);
   EXPECT_FALSE(bytes.empty()) << "no stored file " << name;
   return bytes;
@@ -63,17 +63,17 @@
 /// Compares what is written today with the stored file; with GOLDEN_UPDATE it is stored instead.
 void expect_stored(const std::string& name, const std::string& bytes) {
   if (std::getenv("GOLDEN_UPDATE") != nullptr) write_file(std::string(GOLDEN_STORED) + "/" + name, bytes);
-  EXPECT_EQ(golden::quoted(stored(name)), golden::quoted(bytes)) << name;
+  EXPECT_EQ(golden::quoted(stored_file(name)), golden::quoted(bytes)) << name;
 }
 
 class GoldenStoredFile : public testing::Test {
  protected:
-  void SetUp() override { ASSERT_NE(mkdtemp(folder_.data()), nullptr); }
-  void TearDown() override { std::filesystem::remove_all(folder_); }
+  void SetUp() override { ASSERT_NE(mkdtemp(directory_.data()), nullptr); }
+  void TearDown() override { std::filesystem::remove_all(directory_); }
 
   /// Lets the main loop run until the file is there; it is put in place whole.
-  [[nodiscard]] std::string written(const std::string& name) const {
-    for (int i = 0; i < 5000 && !std::filesystem::exists(folder_ + "/" + name); ++i) {
+  [[nodiscard]] std::string wait_for_file(const std::string& name) const {
+    for (int i = 0; i < 5000 && !std::filesystem::exists(directory_ + "/" + name); ++i) {
       g_main_context_iteration(nullptr, FALSE);
       g_usleep(1000);
     }
@@ -82,10 +82,10 @@
       g_main_context_iteration(nullptr, FALSE);
       g_usleep(200);
     }
-    return read_file(folder_ + "/" + name);
+    return read_file(directory_ + "/" + name);
   }
 
-  std::string folder_ = testing::TempDir() + "/golden-stored-XXXXXX";
+  std::string directory_ = testing::TempDir() + "/golden-stored-XXXXXX";
 };
 
 std::string number(std::uint64_t value) { return std::to_string(value); }
@@ -112,7 +112,7 @@
   return "?";
 }
 
-void add_endpoints(GoldenRecord& record, const codec::EndpointUpdate& changes) {
+void record_endpoints(GoldenRecord& record, const codec::EndpointUpdate& changes) {
   record.add("changes complete=" + std::string(changes.is_complete ? "yes" : "no"));
   for (const codec::ListedEndpoint& listed : changes.endpoints) {
     record.add("  endpoint id=" + golden::quoted(listed.endpoint.id) +
@@ -122,7 +122,7 @@
   }
 }
 
-TEST_F(GoldenStoredFile, AdminOverrides) {
+TEST_F(GoldenStoredFile, AdminOverridesMatchStoredFile) {
   const codec::EndpointUpdate all{
       true, {endpoint("cache-a"), endpoint("cache-b"), endpoint("cache c"), endpoint("d")}};
   proxy::EndpointDirectory writer;
@@ -132,21 +132,21 @@
   ASSERT_TRUE(writer.suspend("d", Microseconds{7}));
   ASSERT_TRUE(writer.resume("cache c", Microseconds{1'700'000'001'000'000}));
   ASSERT_FALSE(writer.suspend("unknown", Microseconds{8}));
-  std::string problem;
-  event_loop::OverridesFile file(folder_ + "/overrides", [&problem](const char* why) { problem = why; });
+  std::string error;
+  event_loop::OverridesFile file(directory_ + "/overrides", [&error](const char* reason) { error = reason; });
   file.write(writer.serialized_overrides());
-  expect_stored("admin_overrides", written("overrides"));
-  EXPECT_EQ(problem, "");
+  expect_stored("admin_overrides", wait_for_file("overrides"));
+  EXPECT_EQ(error, "");
 
   GoldenRecord record("stored_admin_overrides");
-  write_file(folder_ + "/old", stored("admin_overrides"));
-  event_loop::OverridesFile old(folder_ + "/old", [&problem](const char* why) { problem = why; });
+  write_file(directory_ + "/old", stored_file("admin_overrides"));
+  event_loop::OverridesFile old(directory_ + "/old", [&error](const char* reason) { error = reason; });
   const std::optional<std::string> text = old.read_if_new();
   ASSERT_TRUE(text);
   EXPECT_FALSE(old.read_if_new());
   proxy::EndpointDirectory reader;
   reader.apply(all, Microseconds{5'000'000});
-  add_endpoints(record, reader.load_overrides(*text));
+  record_endpoints(record, reader.load_overrides(*text));
   for (const char* id : {"cache-a", "cache-b", "cache c", "d"})
     record.add(std::string(id) + " suspended=" + (reader.is_suspended(id) ? "yes" : "no"));
   EXPECT_EQ(reader.serialized_overrides(), *text);
@@ -156,7 +156,7 @@
     proxy::EndpointDirectory other;
     other.apply(all, Microseconds{5'000'000});
     record.add("damaged " + golden::quoted(damaged));
-    add_endpoints(record, other.load_overrides(damaged));
+    record_endpoints(record, other.load_overrides(damaged));
     record.add("  kept as " + golden::quoted(other.serialized_overrides()));
   }
   record.check();
@@ -164,7 +164,7 @@
 
 // ---- Membership's store ----
 
-membership::MemberUpdate member_update(const std::string& name, membership::MemberStatus state,
+membership::MemberUpdate member_update(const std::string& name, membership::MemberStatus status,
                                        std::uint64_t value) {
   membership::MemberUpdate update;
   update.name = name;
@@ -172,13 +172,13 @@
   update.disk_id = 0xa1b2c3d4e5f60718U + value;
   update.incarnation = (value << membership::kRefutationBits) + 2;
   update.zone = static_cast<int>(value % 3);
-  update.status = state;
-  update.reported_by = state == membership::MemberStatus::dead ? "n4" : "";
+  update.status = status;
+  update.reported_by = status == membership::MemberStatus::dead ? "n4" : "";
   return update;
 }
 
-const char* name_of_member_status(membership::MemberStatus state) {
-  switch (state) {
+const char* name_of_member_status(membership::MemberStatus status) {
+  switch (status) {
     case membership::MemberStatus::alive:
       return "alive";
     case membership::MemberStatus::suspect:
@@ -195,7 +195,7 @@
   return "?";
 }
 
-void add_identity(GoldenRecord& record, const membership::Identity& identity) {
+void record_identity(GoldenRecord& record, const membership::Identity& identity) {
   record.add("identity disk=" + number(identity.disk_id) + " incarnation=" + number(identity.incarnation) +
              " empty_disk=" + (identity.is_new_disk ? "yes" : "no"));
   for (const membership::MemberUpdate& update : identity.known_members)
@@ -205,101 +205,102 @@
                " reported_by=" + golden::quoted(update.reported_by));
 }
 
-TEST_F(GoldenStoredFile, MembershipStore) {
+TEST_F(GoldenStoredFile, MembershipStoreMatchesStoredFile) {
   std::vector<std::string> log;
   const auto add_to_log = [&log](const std::string& line) { log.push_back(line); };
   const membership::MemberUpdate self = member_update("n1", membership::MemberStatus::alive, 1);
   {
-    event_loop::MembershipStore store(folder_, "n1", "west", add_to_log);
+    event_loop::MembershipStore store(directory_, "n1", "west", add_to_log);
     std::vector<membership::MemberUpdate> members;
-    for (std::uint64_t state = 0; state < membership::kMemberStatusCount; ++state)
+    for (std::uint64_t status = 0; status < membership::kMemberStatusCount; ++status)
       members.push_back(
-          member_update("m" + number(state), static_cast<membership::MemberStatus>(state), state + 2));
+          member_update("m" + number(status), static_cast<membership::MemberStatus>(status), status + 2));
     store.persist(self, std::move(members));
-    expect_stored("membership_store", written("peers-n1"));
+    expect_stored("membership_store", wait_for_file("peers-n1"));
   }
   GoldenRecord record("stored_membership_store");
-  write_file(folder_ + "/peers-n1", stored("membership_store"));
+  write_file(directory_ + "/peers-n1", stored_file("membership_store"));
   {
-    event_loop::MembershipStore store(folder_, "n1", "west", add_to_log);
-    std::string why;
-    ASSERT_TRUE(store.lock(why)) << why;
-    membership::MemberUpdate fresh = self;
-    fresh.disk_id = fresh.incarnation = 0;
-    const auto identity = store.open(fresh, why);
-    ASSERT_TRUE(identity) << why;
-    add_identity(record, *identity);
+    event_loop::MembershipStore store(directory_, "n1", "west", add_to_log);
+    std::string error;
+    ASSERT_TRUE(store.lock(error)) << error;
+    membership::MemberUpdate restarted = self;
+    restarted.disk_id = restarted.incarnation = 0;
+    const auto identity = store.open(restarted, error);
+    ASSERT_TRUE(identity) << error;
+    record_identity(record, *identity);
     EXPECT_TRUE(log.empty());
     // Its new incarnation is on the disk before it takes part.
-    expect_stored("membership_store_after_restart", read_file(folder_ + "/peers-n1"));
+    expect_stored("membership_store_after_restart", read_file(directory_ + "/peers-n1"));
   }
   // One of another cluster, and a damaged one, aren't used.
-  const std::string good = stored("membership_store");
-  for (std::size_t at = 0; at < good.size(); at += 41) {
-    std::string bad = good;
-    bad[at] = static_cast<char>(bad[at] ^ 4);
-    write_file(folder_ + "/peers-n1", at == 0 ? good : bad);
-    event_loop::MembershipStore store(folder_, "n1", at == 0 ? "east" : "west", add_to_log);
-    std::string why;
-    const auto identity = store.open(self, why);
-    ASSERT_TRUE(identity) << why;
-    EXPECT_TRUE(identity->is_new_disk) << at;
-    EXPECT_TRUE(identity->known_members.empty()) << at;
-    record.add("unusable at byte " + number(at) + " incarnation=" + number(identity->incarnation));
+  const std::string intact = stored_file("membership_store");
+  for (std::size_t index = 0; index < intact.size(); index += 41) {
+    std::string damaged = intact;
+    damaged[index] = static_cast<char>(damaged[index] ^ 4);
+    write_file(directory_ + "/peers-n1", index == 0 ? intact : damaged);
+    event_loop::MembershipStore store(directory_, "n1", index == 0 ? "east" : "west", add_to_log);
+    std::string error;
+    const auto identity = store.open(self, error);
+    ASSERT_TRUE(identity) << error;
+    EXPECT_TRUE(identity->is_new_disk) << index;
+    EXPECT_TRUE(identity->known_members.empty()) << index;
+    record.add("unusable at byte " + number(index) + " incarnation=" + number(identity->incarnation));
   }
   record.check();
 }
 
 // ---- Journal ----
 
-constexpr std::size_t kMaxRecord = 4096;
+constexpr std::size_t kMaxRecordBytes = 4096;
 
-void put(FaultyFolder& folder, const std::string& name, const std::string& bytes) {
+void create_file(FaultyFolder& folder, const std::string& name, const std::string& bytes) {
   std::unique_ptr<storage::File> file;
   std::size_t size = 0;
   ASSERT_EQ(folder.create(name, file), 0);
   ASSERT_EQ(file->write(bytes, size), 0);
   ASSERT_EQ(size, bytes.size());
 }
-std::string bytes_in(FaultyFolder& folder, const std::string& name) {
+std::string file_bytes(FaultyFolder& folder, const std::string& name) {
   std::optional<std::string> text;
   EXPECT_EQ(folder.read(name, text), 0);
   return text.value_or("");
 }
 
-TEST_F(GoldenStoredFile, Journal) {
+TEST_F(GoldenStoredFile, JournalMatchesStoredFile) {
   {
-    storage::SystemFolder folder(folder_);
+    storage::SystemFolder folder(directory_);
     ASSERT_EQ(folder.lock(), 0);
-    storage::Journal journal(folder, "log", kMaxRecord);
+    storage::Journal journal(folder, "log", kMaxRecordBytes);
     std::vector<std::string> records;
     ASSERT_TRUE(journal.open(records));
     ASSERT_TRUE(journal.append({"first", ""}));
     ASSERT_TRUE(journal.append({std::string("third\0\xff", 7)}));
     ASSERT_TRUE(journal.append({std::string(300, 'x')}));
   }
-  expect_stored("journal", read_file(folder_ + "/log"));
+  expect_stored("journal", read_file(directory_ + "/log"));
   GoldenRecord record("stored_journal");
-  const std::string good = stored("journal");
+  const std::string intact = stored_file("journal");
   const auto open = [&record](const std::string& name, const std::string& bytes) {
     FaultyFolder folder;
-    put(folder, "log", bytes);
-    storage::Journal journal(folder, "log", kMaxRecord);
+    create_file(folder, "log", bytes);
+    storage::Journal journal(folder, "log", kMaxRecordBytes);
     std::vector<std::string> records;
     const bool opened = journal.open(records);
     std::string line =
         name + " opened=" + (opened ? "yes" : "no") + " error=" + golden::quoted(journal.error()) +
         " mended=" + number(journal.was_repaired()) + " bytes_after=" + number(folder.size("log"));
-    for (const std::string& each : records) line += " record=" + golden::quoted(each.substr(0, 20));
+    for (const std::string& entry : records) line += " record=" + golden::quoted(entry.substr(0, 20));
     record.add(line);
     return records;
   };
-  for (const std::string& each : open("whole", good)) record.add("record " + golden::quoted(each));
-  for (std::size_t size = 0; size < good.size(); ++size) open("first " + number(size), good.substr(0, size));
-  for (std::size_t at = 0; at < good.size(); ++at) {
-    std::string bad = good;
-    bad[at] = static_cast<char>(bad[at] ^ 8);
-    open("changed byte " + number(at), bad);
+  for (const std::string& entry : open("whole", intact)) record.add("record " + golden::quoted(entry));
+  for (std::size_t size = 0; size < intact.size(); ++size)
+    open("first " + number(size), intact.substr(0, size));
+  for (std::size_t index = 0; index < intact.size(); ++index) {
+    std::string damaged = intact;
+    damaged[index] = static_cast<char>(damaged[index] ^ 8);
+    open("changed byte " + number(index), damaged);
   }
   record.check();
 }
@@ -319,8 +320,8 @@
   }
   return "?";
 }
-const char* name_of_change_result(consensus::ChangeResult fate) {
-  switch (fate) {
+const char* name_of_change_result(consensus::ChangeResult result) {
+  switch (result) {
     case consensus::ChangeResult::active:
       return "active";
     case consensus::ChangeResult::aborted:
@@ -402,48 +403,52 @@
 
   Cluster(unsigned snapshot_every, GoldenRecord& record) : snapshot_every_(snapshot_every), record_(record) {}
 
-  static std::string name(std::size_t at) { return "n" + number(at); }
-  void put_on_disk(std::size_t at, const std::string& bytes) { put(nodes_[at].folder, "log", bytes); }
-  [[nodiscard]] std::string on_disk(std::size_t at) { return bytes_in(nodes_[at].folder, "log"); }
+  static std::string name(std::size_t index) { return "n" + number(index); }
+  void write_journal(std::size_t index, const std::string& bytes) {
+    create_file(nodes_[index].folder, "log", bytes);
+  }
+  [[nodiscard]] std::string journal_bytes(std::size_t index) {
+    return file_bytes(nodes_[index].folder, "log");
+  }
 
   void start(std::uint64_t seed) {
-    for (std::size_t at = 0; at < kSize; ++at) {
+    for (std::size_t index = 0; index < kSize; ++index) {
       consensus::RaftLog::Settings settings;
-      settings.name = name(at);
+      settings.name = name(index);
       settings.initial_voters = {name(0), name(1), name(2)};
       settings.snapshot_threshold_entries = snapshot_every_;
       settings.trailing_entries = 2;
-      settings.seed = seed + at;
-      Node& node = nodes_[at];
+      settings.seed = seed + index;
+      Node& node = nodes_[index];
       node.journal = std::make_unique<storage::Journal>(node.folder, "log", 1U << 20U);
       node.log = std::make_unique<consensus::RaftLog>(settings, *node.journal, now_);
-      consensus::RaftLog::Output out;
-      EXPECT_TRUE(node.log->open(out)) << node.log->error();
-      record_.add(name(at) + " opened id=" + number(node.log->id()) + " term=" + number(node.log->term()) +
+      consensus::RaftLog::Output output;
+      EXPECT_TRUE(node.log->open(output)) << node.log->error();
+      record_.add(name(index) + " opened id=" + number(node.log->id()) + " term=" + number(node.log->term()) +
                   " entries=" + number(node.log->entries()) +
                   " runs=" + (node.log->is_running() ? "yes" : "no"));
-      take_out(at, out);
+      handle_output(index, output);
     }
   }
   void run(Microseconds span) {
     for (const Microseconds end = now_ + span; now_ < end;) {
       now_ += Microseconds{10'000};
-      for (std::size_t at = 0; at < kSize; ++at) {
-        consensus::RaftLog::Output out;
-        nodes_[at].log->tick(now_, out);
-        take_out(at, out);
+      for (std::size_t index = 0; index < kSize; ++index) {
+        consensus::RaftLog::Output output;
+        nodes_[index].log->tick(now_, output);
+        handle_output(index, output);
       }
-      for (std::size_t left = on_way_.size(); left > 0; --left) deliver();
+      for (std::size_t left = in_flight_.size(); left > 0; --left) deliver();
     }
   }
-  void append(std::size_t at, const consensus::Entry& entry) {
-    consensus::RaftLog::Output out;
-    nodes_[at].log->append(now_, entry, out);
-    take_out(at, out);
+  void append(std::size_t index, const consensus::Entry& entry) {
+    consensus::RaftLog::Output output;
+    nodes_[index].log->append(now_, entry, output);
+    handle_output(index, output);
   }
   [[nodiscard]] std::size_t leader() const {
-    for (std::size_t at = 0; at < kSize; ++at)
-      if (nodes_[at].log->is_leader() && at != isolated) return at;
+    for (std::size_t index = 0; index < kSize; ++index)
+      if (nodes_[index].log->is_leader() && index != isolated) return index;
     ADD_FAILURE() << "nobody leads";
     return 0;
   }
@@ -461,49 +466,50 @@
     std::string bytes;
   };
 
-  void take_out(std::size_t at, consensus::RaftLog::Output& out) {
-    for (const auto& [to, bytes] : out.messages) on_way_.push_back({at, std::stoul(to.substr(1)), bytes});
-    for (const consensus::Input& input : out.inputs) record_.add(name(at) + " " + text_of(input));
+  void handle_output(std::size_t index, consensus::RaftLog::Output& output) {
+    for (const auto& [to, bytes] : output.messages)
+      in_flight_.push_back({index, std::stoul(to.substr(1)), bytes});
+    for (const consensus::Input& input : output.inputs) record_.add(name(index) + " " + text_of(input));
   }
   void deliver() {
-    const Packet packet = std::move(on_way_.front());
-    on_way_.pop_front();
+    const Packet packet = std::move(in_flight_.front());
+    in_flight_.pop_front();
     if (packet.from == isolated || packet.to == isolated) return;
     const auto decoded = consensus::decode(packet.bytes, Microseconds{5'000'000});
     ASSERT_TRUE(decoded);
-    consensus::RaftLog::Output out;
+    consensus::RaftLog::Output output;
     consensus::RaftLog& log = *nodes_[packet.to].log;
     if (const auto* raft = std::get_if<consensus::RaftMessage>(&*decoded)) {
-      log.on_message(now_, *raft, out);
+      log.on_message(now_, *raft, output);
     } else {
-      log.on_message(now_, name(packet.from), std::get<consensus::BootstrapMessage>(*decoded), out);
+      log.on_message(now_, name(packet.from), std::get<consensus::BootstrapMessage>(*decoded), output);
     }
-    take_out(packet.to, out);
+    handle_output(packet.to, output);
   }
 
   unsigned snapshot_every_;
   GoldenRecord& record_;
   Microseconds now_{1'000'000};
-  std::deque<Packet> on_way_;
+  std::deque<Packet> in_flight_;
   std::array<Node, kSize> nodes_;
 };
 
-void add_journal_records(GoldenRecord& record, const std::string& file) {
+void record_journal_entries(GoldenRecord& record, const std::string& file) {
   FaultyFolder folder;
-  put(folder, "log", stored(file));
+  create_file(folder, "log", stored_file(file));
   storage::Journal journal(folder, "log", 1U << 20U);
   std::vector<std::string> records;
   EXPECT_TRUE(journal.open(records)) << journal.error();
-  for (const std::string& each : records) record.add(file + " record " + golden::quoted(each));
+  for (const std::string& entry : records) record.add(file + " record " + golden::quoted(entry));
 }
 
 /// The stored files are opened as after a restart of all three, and go on.
 void restart_from(const std::string& prefix, unsigned snapshot_every, GoldenRecord& record) {
   Cluster cluster(snapshot_every, record);
-  for (std::size_t at = 0; at < Cluster::kSize; ++at) {
-    const std::string file = prefix + Cluster::name(at);
-    add_journal_records(record, file);
-    cluster.put_on_disk(at, stored(file));
+  for (std::size_t index = 0; index < Cluster::kSize; ++index) {
+    const std::string file = prefix + Cluster::name(index);
+    record_journal_entries(record, file);
+    cluster.write_journal(index, stored_file(file));
   }
   cluster.start(900);
   cluster.run(std::chrono::seconds(6));
@@ -511,7 +517,7 @@
   cluster.run(std::chrono::seconds(1));
 }
 
-TEST(GoldenStored, ConsensusJournal) {
+TEST(GoldenStored, ConsensusJournalsMatchStoredFiles) {
   const ZeroedRaftMemory memory;
   {
     GoldenRecord record("stored_consensus_journal_written");
@@ -533,8 +539,8 @@
     cluster.append(cluster.leader(), {consensus::Step::activate, 2, "", 0, "", ""});
     cluster.append(cluster.leader(), {consensus::Step::abort, 2, "", 0, "", "too late"});
     cluster.run(std::chrono::seconds(1));
-    for (std::size_t at = 0; at < Cluster::kSize; ++at)
-      expect_stored("consensus_journal_" + Cluster::name(at), cluster.on_disk(at));
+    for (std::size_t index = 0; index < Cluster::kSize; ++index)
+      expect_stored("consensus_journal_" + Cluster::name(index), cluster.journal_bytes(index));
     record.check();
   }
   GoldenRecord record("stored_consensus_journal_read");
@@ -542,7 +548,7 @@
   record.check();
 }
 
-TEST(GoldenStored, ConsensusSnapshot) {
+TEST(GoldenStored, ConsensusSnapshotsMatchStoredFiles) {
   const ZeroedRaftMemory memory;
   {
     GoldenRecord record("stored_consensus_snapshot_written");
@@ -559,8 +565,8 @@
       cluster.run(std::chrono::milliseconds(500));
     }
     cluster.run(std::chrono::seconds(3));
-    for (std::size_t at = 0; at < Cluster::kSize; ++at)
-      expect_stored("consensus_snapshot_" + Cluster::name(at), cluster.on_disk(at));
+    for (std::size_t index = 0; index < Cluster::kSize; ++index)
+      expect_stored("consensus_snapshot_" + Cluster::name(index), cluster.journal_bytes(index));
     record.check();
   }
   GoldenRecord record("stored_consensus_snapshot_read");
@@ -568,7 +574,7 @@
   record.check();
 }
 
-TEST(GoldenStored, ConsensusLearner) {
+TEST(GoldenStored, ConsensusLearnerMatchesStoredFiles) {
   const ZeroedRaftMemory memory;
   consensus::RaftLog::Settings settings;
   settings.name = "n9";
@@ -576,42 +582,42 @@
   settings.seed = 5;
   GoldenRecord record("stored_consensus_learner");
   FaultyFolder folder;
-  const auto add = [&record](const consensus::RaftLog::Output& out) {
-    for (const consensus::Input& input : out.inputs) record.add(text_of(input));
+  const auto record_output = [&record](const consensus::RaftLog::Output& output) {
+    for (const consensus::Input& input : output.inputs) record.add(text_of(input));
   };
   {
     storage::Journal journal(folder, "log", 1U << 20U);
     consensus::RaftLog log(settings, journal, Microseconds{1'000'000});
-    consensus::RaftLog::Output out;
-    ASSERT_TRUE(log.open(out));
+    consensus::RaftLog::Output output;
+    ASSERT_TRUE(log.open(output));
     consensus::CatchUpResponse entries{0, 5, {}};
     entries.entries.emplace_back(2, consensus::Entry{consensus::Step::propose, 0, "k1", 0, "policy 1", ""});
     entries.entries.emplace_back(3, consensus::Entry{consensus::Step::commit, 2, "", 0, "", ""});
     entries.entries.emplace_back(4, consensus::Entry{consensus::Step::activate, 2, "", 0, "", ""});
-    log.persist_learned(Microseconds{2'000'000}, {entries}, out);
-    add(out);
-    expect_stored("consensus_learner_entries", bytes_in(folder, "log"));
+    log.persist_learned(Microseconds{2'000'000}, {entries}, output);
+    record_output(output);
+    expect_stored("consensus_learner_entries", file_bytes(folder, "log"));
     consensus::Snapshot snapshot{40, 3, "k3", "policy 3", {}, {}};
     snapshot.change.push_back({39, 4, "k4", std::string("po\0licy", 7), true});
     snapshot.outcomes.push_back({"k2", consensus::ChangeResult::aborted, 1, "reason"});
     snapshot.outcomes.push_back({"k2b", consensus::ChangeResult::rejected, 2, "other"});
-    consensus::RaftLog::Output later;
-    log.persist_learned(Microseconds{3'000'000}, {snapshot}, later);
-    add(later);
-    expect_stored("consensus_learner_snapshot", bytes_in(folder, "log"));
+    consensus::RaftLog::Output second_output;
+    log.persist_learned(Microseconds{3'000'000}, {snapshot}, second_output);
+    record_output(second_output);
+    expect_stored("consensus_learner_snapshot", file_bytes(folder, "log"));
   }
   for (const char* file : {"consensus_learner_entries", "consensus_learner_snapshot"}) {
-    add_journal_records(record, file);
+    record_journal_entries(record, file);
     FaultyFolder old;
-    put(old, "log", stored(file));
+    create_file(old, "log", stored_file(file));
     settings.seed = 6;
     storage::Journal journal(old, "log", 1U << 20U);
     consensus::RaftLog log(settings, journal, Microseconds{1'000'000});
-    consensus::RaftLog::Output out;
-    ASSERT_TRUE(log.open(out)) << log.error();
+    consensus::RaftLog::Output output;
+    ASSERT_TRUE(log.open(output)) << log.error();
     record.add(std::string(file) + " id=" + number(log.id()) + " runs=" + (log.is_running() ? "yes" : "no"));
-    add(out);
-    EXPECT_EQ(bytes_in(old, "log"), stored(file)) << "reading changes nothing";
+    record_output(output);
+    EXPECT_EQ(file_bytes(old, "log"), stored_file(file)) << "reading changes nothing";
   }
   record.check();
 }
@@ -632,26 +638,26 @@
   return "?";
 }
 
-TEST(GoldenStored, InvalidationSnapshot) {
+TEST(GoldenStored, InvalidationSnapshotsMatchStoredFiles) {
   invalidation::SequencerState state;
   state.applied = 41;
   state.highest_seen = 57;
-  const auto hold = [&state](std::uint64_t sequence, invalidation::SelectorKind kind,
-                             const std::string& text) {
+  const auto add_pending = [&state](std::uint64_t sequence, invalidation::SelectorKind kind,
+                                    const std::string& text) {
     invalidation::InvalidationCommand command;
     command.number = sequence;
     command.selector = {kind, text};
     command.issued_at = std::chrono::milliseconds(1'764'576'000'480 + static_cast<std::int64_t>(sequence));
     state.out_of_order[sequence] = command;
   };
-  hold(43, invalidation::SelectorKind::tag, "class-4b");
-  hold(44, invalidation::SelectorKind::glob, "school/*/proof-?.jpg");
-  hold(50, invalidation::SelectorKind::prefix, "");
-  hold(51, invalidation::SelectorKind::prefix, "a/b");
-  hold(57, invalidation::SelectorKind::key, "one/key");
+  add_pending(43, invalidation::SelectorKind::tag, "class-4b");
+  add_pending(44, invalidation::SelectorKind::glob, "school/*/proof-?.jpg");
+  add_pending(50, invalidation::SelectorKind::prefix, "");
+  add_pending(51, invalidation::SelectorKind::prefix, "a/b");
+  add_pending(57, invalidation::SelectorKind::key, "one/key");
   expect_stored("invalidation_snapshot", invalidation::write_snapshot(state));
-  invalidation::SequencerState fresh;
-  expect_stored("invalidation_snapshot_empty", invalidation::write_snapshot(fresh));
+  invalidation::SequencerState empty_state;
+  expect_stored("invalidation_snapshot_empty", invalidation::write_snapshot(empty_state));
 
   GoldenRecord record("stored_invalidation_snapshot");
   const auto read = [&record](const std::string& name, const std::string& text, std::size_t max_pending) {
@@ -670,40 +676,40 @@
                  " text=" + golden::quoted(command.selector.text) +
                  " issued_ms=" + std::to_string(command.issued_at.count()));
   };
-  const std::string good = stored("invalidation_snapshot");
-  read("stored", good, 100);
-  read("just fits", good, 5);
-  read("too many", good, 4);
-  read("empty", stored("invalidation_snapshot_empty"), 0);
+  const std::string intact = stored_file("invalidation_snapshot");
+  read("stored", intact, 100);
+  read("just fits", intact, 5);
+  read("too many", intact, 4);
+  read("empty", stored_file("invalidation_snapshot_empty"), 0);
   read("nothing", "", 100);
-  read("text behind", good + "x", 100);
-  for (std::size_t size = 0; size < good.size(); size += 7)
-    read("first " + number(size), good.substr(0, size), 100);
-  for (std::size_t at = 0; at < good.size(); at += 3) {
-    std::string bad = good;
-    bad[at] = static_cast<char>(bad[at] ^ 1);
-    read("changed byte " + number(at), bad, 100);
+  read("text behind", intact + "x", 100);
+  for (std::size_t size = 0; size < intact.size(); size += 7)
+    read("first " + number(size), intact.substr(0, size), 100);
+  for (std::size_t index = 0; index < intact.size(); index += 3) {
+    std::string damaged = intact;
+    damaged[index] = static_cast<char>(damaged[index] ^ 1);
+    read("changed byte " + number(index), damaged, 100);
   }
   // With a right checksum but values that can't be: as a state would be written that nobody can have.
-  const auto read_impossible = [&read](const std::string& name,
-                                       const invalidation::SequencerState& impossible) {
-    read(name, invalidation::write_snapshot(impossible), 100);
+  const auto read_inconsistent = [&read](const std::string& name,
+                                         const invalidation::SequencerState& inconsistent) {
+    read(name, invalidation::write_snapshot(inconsistent), 100);
   };
   invalidation::SequencerState changed = state;
   changed.applied = 58;
-  read_impossible("applied beyond seen", changed);
+  read_inconsistent("applied beyond seen", changed);
   changed = state;
   changed.applied = 43;
-  read_impossible("applied and pending", changed);
+  read_inconsistent("applied and pending", changed);
   changed = state;
   changed.out_of_order[44].selector.text.clear();
-  read_impossible("empty glob", changed);
+  read_inconsistent("empty glob", changed);
   changed = state;
   changed.out_of_order[57].selector.text = "a*b";
-  read_impossible("wildcard in a key", changed);
+  read_inconsistent("wildcard in a key", changed);
   changed = state;
   changed.out_of_order[57].selector.text = "a\nb";
-  read_impossible("line feed in a key", changed);
+  read_inconsistent("line feed in a key", changed);
   record.check();
 }
 
--- a/tests/golden/trace_line.h
+++ b/tests/golden/trace_line.h
@@ -23,7 +23,7 @@
 
 class TraceLine {
  public:
-  explicit TraceLine(std::string_view head) : text_(head) {}
+  explicit TraceLine(std::string_view title) : text_(title) {}
 
   template <typename Value>
   TraceLine& field(std::string_view label, const Value& value) {
