--- a/src/invalidation/selector.cpp
+++ b/src/invalidation/selector.cpp
@@ -12,77 +12,78 @@
 constexpr char kLastPrintable = '~';
 
 /// In the order of SelectorKind.
-constexpr std::array<std::string_view, 4> kKindWords{"key", "tag", "prefix", "glob"};
+constexpr std::array<std::string_view, 4> kKindNames{"key", "tag", "prefix", "glob"};
 
 bool is_printable(char byte) { return byte > ' ' && byte <= kLastPrintable; }
 bool is_wildcard(char byte) { return byte == '*' || byte == '?'; }
 
-std::optional<SelectorKind> kind_of(std::string_view word) {
-  const auto* const found = std::find(kKindWords.begin(), kKindWords.end(), word);
-  if (found == kKindWords.end()) return std::nullopt;
-  return static_cast<SelectorKind>(found - kKindWords.begin());
+std::optional<SelectorKind> parse_kind(std::string_view word) {
+  const auto* const found = std::find(kKindNames.begin(), kKindNames.end(), word);
+  if (found == kKindNames.end()) return std::nullopt;
+  return static_cast<SelectorKind>(found - kKindNames.begin());
 }
 
 /// An error whose message quotes the selector.
-SelectorError error_in(std::string_view selector, SelectorFault fault, const std::string& problem) {
+SelectorError make_error(std::string_view selector, SelectorFault fault, const std::string& problem) {
   return {fault, "purge selector '" + std::string(selector) + "': " + problem};
 }
 
 }  // namespace
 
-std::string_view name_of(SelectorKind kind) { return kKindWords[static_cast<std::size_t>(kind)]; }
+std::string_view name_of(SelectorKind kind) { return kKindNames[static_cast<std::size_t>(kind)]; }
 
 std::variant<Selector, SelectorError> parse_selector(std::string_view text) {
   const std::size_t colon = text.find(':');
   if (colon == std::string_view::npos) {
-    return error_in(text, SelectorFault::no_kind, "want KIND:TEXT (key, tag, prefix, glob)");
+    return make_error(text, SelectorFault::no_kind, "want KIND:TEXT (key, tag, prefix, glob)");
   }
   const std::string word(text.substr(0, colon));
-  const std::string_view rest = text.substr(colon + 1);
-  const std::optional<SelectorKind> kind = kind_of(word);
+  const std::string_view value = text.substr(colon + 1);
+  const std::optional<SelectorKind> kind = parse_kind(word);
   if (!kind) {
     const std::string problem = "unknown kind '" + word + "' (key, tag, prefix, glob)";
-    return error_in(text, SelectorFault::unknown_kind, problem);
+    return make_error(text, SelectorFault::unknown_kind, problem);
   }
-  if (rest.size() > kMaxTextBytes) {  // too long to be quoted
+  if (value.size() > kMaxTextBytes) {  // too long to be quoted
     return SelectorError{SelectorFault::too_long,
                          "purge selector of kind " + word + ": longer than 512 bytes"};
   }
-  if (rest.empty() && kind != SelectorKind::prefix) {
-    return error_in(text, SelectorFault::empty_text, "empty " + word);
+  if (value.empty() && kind != SelectorKind::prefix) {
+    return make_error(text, SelectorFault::empty_text, "empty " + word);
   }
-  if (!std::all_of(rest.begin(), rest.end(), is_printable)) {
-    return error_in(text, SelectorFault::unprintable, "space or unprintable byte");
+  if (!std::all_of(value.begin(), value.end(), is_printable)) {
+    return make_error(text, SelectorFault::unprintable, "space or unprintable byte");
   }
-  if (kind != SelectorKind::glob && std::any_of(rest.begin(), rest.end(), is_wildcard)) {
-    return error_in(text, SelectorFault::misplaced_wildcard, "'*' and '?' belong to glob only");
+  if (kind != SelectorKind::glob && std::any_of(value.begin(), value.end(), is_wildcard)) {
+    return make_error(text, SelectorFault::misplaced_wildcard, "'*' and '?' belong to glob only");
   }
-  return Selector{*kind, std::string(rest)};
+  return Selector{*kind, std::string(value)};
 }
 
 bool glob_matches(std::string_view glob, std::string_view key) {
-  std::size_t glob_at = 0;
-  std::size_t key_at = 0;
+  std::size_t glob_position = 0;
+  std::size_t key_position = 0;
   // The last star seen, and where the key goes on after the bytes that the star stands for. A mismatch lets
   // that star stand for one byte more; earlier stars need no second look.
-  std::size_t star = std::string_view::npos;
-  std::size_t resume_at = 0;
-  while (key_at < key.size()) {
-    if (glob_at < glob.size() && (glob[glob_at] == '?' || glob[glob_at] == key[key_at])) {
-      ++glob_at;
-      ++key_at;
-    } else if (glob_at < glob.size() && glob[glob_at] == '*') {
-      star = glob_at++;
-      resume_at = key_at;
-    } else if (star != std::string_view::npos) {
-      glob_at = star + 1;
-      key_at = ++resume_at;
+  std::size_t star_position = std::string_view::npos;
+  std::size_t resume_position = 0;
+  while (key_position < key.size()) {
+    if (glob_position < glob.size() &&
+        (glob[glob_position] == '?' || glob[glob_position] == key[key_position])) {
+      ++glob_position;
+      ++key_position;
+    } else if (glob_position < glob.size() && glob[glob_position] == '*') {
+      star_position = glob_position++;
+      resume_position = key_position;
+    } else if (star_position != std::string_view::npos) {
+      glob_position = star_position + 1;
+      key_position = ++resume_position;
     } else {
       return false;
     }
   }
-  while (glob_at < glob.size() && glob[glob_at] == '*') ++glob_at;
-  return glob_at == glob.size();
+  while (glob_position < glob.size() && glob[glob_position] == '*') ++glob_position;
+  return glob_position == glob.size();
 }
 
 bool selects(const Selector& selector, std::string_view key, const std::vector<std::string>& tags) {
--- a/src/invalidation/sequencer.cpp
+++ b/src/invalidation/sequencer.cpp
@@ -21,7 +21,7 @@
          number - state.applied > state.max_out_of_order;
 }
 
-void buffer(SequencerState& state, const InvalidationCommand& command, Effects& effects) {
+void buffer_command(SequencerState& state, const InvalidationCommand& command, Effects& effects) {
   if (is_too_far_ahead(state, command.number)) {
     effects.emplace_back(CommandDropped{command.number, DropReason::too_far_ahead});
   } else {
@@ -52,13 +52,13 @@
     return;
   }
   if (const auto found = state.out_of_order.find(command.number); found != state.out_of_order.end()) {
-    const bool is_same = found->second == command;
+    const bool is_duplicate = found->second == command;
     effects.emplace_back(
-        CommandDropped{command.number, is_same ? DropReason::duplicate : DropReason::conflict});
+        CommandDropped{command.number, is_duplicate ? DropReason::duplicate : DropReason::conflict});
     return;
   }
   if (command.number > state.applied + 1) {
-    buffer(state, command, effects);
+    buffer_command(state, command, effects);
     return;
   }
   apply(state, command, effects);
--- a/src/invalidation/snapshot.cpp
+++ b/src/invalidation/snapshot.cpp
@@ -15,24 +15,24 @@
 namespace {
 
 constexpr std::string_view kHeader = "dahliahall-purge-snapshot 1";
-constexpr std::string_view kChecksumWord = "checksum ";
+constexpr std::string_view kChecksumPrefix = "checksum ";
 constexpr std::size_t kChecksumDigits = 16;
-constexpr std::size_t kHeaderLines = 4;   // before the lines of the buffered commands
-constexpr std::size_t kCommandWords = 4;  // NUMBER ISSUED_MS KIND TEXT
+constexpr std::size_t kHeaderLines = 4;    // before the lines of the buffered commands
+constexpr std::size_t kCommandFields = 4;  // NUMBER ISSUED_MS KIND TEXT
 constexpr int kDecimal = 10;
 constexpr int kHexadecimal = 16;
 
-std::string hex_of(std::uint64_t value) {
+std::string to_hex(std::uint64_t value) {
   std::array<char, kChecksumDigits + 1> text{};
   std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(value));
   return {text.data(), kChecksumDigits};
 }
 
-std::uint64_t checksum(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
+std::uint64_t compute_checksum(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
 
 /// The number that the whole text is.
 template <typename Number>
-std::optional<Number> number_of(std::string_view text, int base = kDecimal) {
+std::optional<Number> parse_number(std::string_view text, int base = kDecimal) {
   const char* const text_end = text.data() + text.size();
   Number value{};
   const auto [end, error] = std::from_chars(text.data(), text_end, value, base);
@@ -40,17 +40,17 @@
   return value;
 }
 
-/// The words of a line, split at single spaces. The last of `max_words` is the rest of the line, which may be
-/// empty (the text of `prefix:`).
-std::vector<std::string_view> split_words(std::string_view line, std::size_t max_words) {
-  std::vector<std::string_view> words;
+/// The words of a line, split at single spaces. The last of `max_fields` is the rest of the line, which may
+/// be empty (the text of `prefix:`).
+std::vector<std::string_view> split_fields(std::string_view line, std::size_t max_fields) {
+  std::vector<std::string_view> fields;
   while (true) {
     const std::size_t space = line.find(' ');
-    if (space == std::string_view::npos || words.size() + 1 == max_words) {
-      words.push_back(line);
-      return words;
+    if (space == std::string_view::npos || fields.size() + 1 == max_fields) {
+      fields.push_back(line);
+      return fields;
     }
-    words.push_back(line.substr(0, space));
+    fields.push_back(line.substr(0, space));
     line.remove_prefix(space + 1);
   }
 }
@@ -67,23 +67,24 @@
 }
 
 /// `line`: from 1.
-SnapshotError error_in_line(std::size_t line, const std::string& problem) {
+SnapshotError make_line_error(std::size_t line, const std::string& problem) {
   return {"purge snapshot, line " + std::to_string(line) + ": " + problem};
 }
 
 /// The text before the checksum line, where the checksum is right.
 std::variant<std::string_view, SnapshotError> verify_checksum(std::string_view text) {
-  const std::size_t checksum_line = text.rfind(kChecksumWord);
-  if (checksum_line == std::string_view::npos || (checksum_line != 0 && text[checksum_line - 1] != '\n')) {
+  const std::size_t checksum_offset = text.rfind(kChecksumPrefix);
+  if (checksum_offset == std::string_view::npos ||
+      (checksum_offset != 0 && text[checksum_offset - 1] != '\n')) {
     return SnapshotError{"purge snapshot: no checksum line (torn?)"};
   }
-  const std::string_view body = text.substr(0, checksum_line);
-  const std::string_view digits = text.substr(checksum_line + kChecksumWord.size());
+  const std::string_view body = text.substr(0, checksum_offset);
+  const std::string_view digits = text.substr(checksum_offset + kChecksumPrefix.size());
   if (digits.size() != kChecksumDigits + 1 || digits.back() != '\n') {
     return SnapshotError{"purge snapshot: checksum line is torn"};
   }
-  const auto written = number_of<std::uint64_t>(digits.substr(0, kChecksumDigits), kHexadecimal);
-  if (!written || *written != checksum(body)) {
+  const auto stored_checksum = parse_number<std::uint64_t>(digits.substr(0, kChecksumDigits), kHexadecimal);
+  if (!stored_checksum || *stored_checksum != compute_checksum(body)) {
     return SnapshotError{"purge snapshot: checksum does not match (torn or changed)"};
   }
   return body;
@@ -106,18 +107,18 @@
  private:
   std::optional<SnapshotError> read_header() {
     if (lines_.empty() || lines_[0] != kHeader) {
-      return error_in_line(1, "want '" + std::string(kHeader) + "'");
+      return make_line_error(1, "want '" + std::string(kHeader) + "'");
     }
     const auto applied = header_number(1, "applied");
-    if (!applied) return error_in_line(2, "want 'applied N'");
+    if (!applied) return make_line_error(2, "want 'applied N'");
     const auto seen = header_number(2, "seen");
-    if (!seen || *seen < *applied) return error_in_line(3, "want 'seen N', N at least the applied number");
+    if (!seen || *seen < *applied) return make_line_error(3, "want 'seen N', N at least the applied number");
     const auto held = header_number(3, "held");
     if (!held || *held != lines_.size() - kHeaderLines) {
-      return error_in_line(4, "want 'held N', N the number of lines that follow");
+      return make_line_error(4, "want 'held N', N the number of lines that follow");
     }
     if (*held > state_.max_out_of_order) {
-      return error_in_line(4, "holds more than the bound of " + std::to_string(state_.max_out_of_order));
+      return make_line_error(4, "holds more than the bound of " + std::to_string(state_.max_out_of_order));
     }
     state_.applied = *applied;
     state_.highest_seen = *seen;
@@ -130,27 +131,28 @@
     const std::string_view line = lines_[index];
     const std::size_t space = line.find(' ');
     if (space == std::string_view::npos || line.substr(0, space) != name) return std::nullopt;
-    return number_of<std::uint64_t>(line.substr(space + 1));
+    return parse_number<std::uint64_t>(line.substr(space + 1));
   }
 
   std::optional<SnapshotError> read_command(std::size_t index) {
     const std::size_t line = index + 1;
-    const std::vector<std::string_view> words = split_words(lines_[index], kCommandWords);
-    if (words.size() != kCommandWords) return error_in_line(line, kWantCommand);
-    const auto number = number_of<Sequence>(words[0]);
-    const auto issued_ms = number_of<std::int64_t>(words[1]);
-    if (!number || !issued_ms) return error_in_line(line, kWantCommand);
+    const std::vector<std::string_view> fields = split_fields(lines_[index], kCommandFields);
+    if (fields.size() != kCommandFields) return make_line_error(line, kExpectedCommand);
+    const auto number = parse_number<Sequence>(fields[0]);
+    const auto issued_ms = parse_number<std::int64_t>(fields[1]);
+    if (!number || !issued_ms) return make_line_error(line, kExpectedCommand);
     if (*number <= state_.applied || *number > state_.highest_seen || state_.out_of_order.contains(*number)) {
-      return error_in_line(line, "number " + std::to_string(*number) + " is applied, unseen or twice");
+      return make_line_error(line, "number " + std::to_string(*number) + " is applied, unseen or twice");
     }
-    const auto selector = parse_selector(std::string(words[2]) + ":" + std::string(words[3]));
-    if (const auto* error = std::get_if<SelectorError>(&selector)) return error_in_line(line, error->message);
+    const auto selector = parse_selector(std::string(fields[2]) + ":" + std::string(fields[3]));
+    if (const auto* error = std::get_if<SelectorError>(&selector))
+      return make_line_error(line, error->message);
     const InvalidationCommand command{*number, std::get<Selector>(selector), UnixMs{*issued_ms}};
     state_.out_of_order.emplace(*number, command);
     return std::nullopt;
   }
 
-  static constexpr const char* kWantCommand = "want 'NUMBER ISSUED_MS KIND TEXT'";
+  static constexpr const char* kExpectedCommand = "want 'NUMBER ISSUED_MS KIND TEXT'";
 
   std::vector<std::string_view> lines_;
   SequencerState& state_;
@@ -167,8 +169,8 @@
     text += std::to_string(number) + " " + std::to_string(command.issued_at.count()) + " ";
     text.append(name_of(command.selector.kind)).append(" ").append(command.selector.text).append("\n");
   }
-  const std::string digits = hex_of(checksum(text));
-  return text.append(kChecksumWord).append(digits).append("\n");
+  const std::string digits = to_hex(compute_checksum(text));
+  return text.append(kChecksumPrefix).append(digits).append("\n");
 }
 
 std::variant<SequencerState, SnapshotError> read_snapshot(std::string_view text,
