--- a/src/invalidation/invalidation_log.cpp
+++ b/src/invalidation/invalidation_log.cpp
@@ -16,7 +16,7 @@
 }
 
 void InvalidationLog::prune_before(UnixMs oldest_servable) {
-  // Times of issue need not rise with the numbers: each command is looked at.
+  // Issue times need not increase with the sequence numbers, so every command is checked.
   const auto is_obsolete = [&](const InvalidationCommand& command) {
     return command.issued_at < oldest_servable;
   };
--- a/src/invalidation/key_index.h
+++ b/src/invalidation/key_index.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The keys that a cache holds with their tags, indexed so that an invalidation finds its keys without a scan
-/// of all of them: a hash map from tags to keys, and the keys in order, where a prefix, and the literal
-/// prefix of a glob, are one range. Source: issue 9; measured against `match_by_scan` in
-/// bench/invalidation_index_bench.cpp.
+/// Indexes the keys in a cache and their tags, so that an invalidation finds the selected keys without a scan
+/// of all keys. A hash map leads from each tag to its keys. An ordered set holds all keys; in it the keys
+/// with a given prefix, or with the literal prefix of a glob, form one contiguous range.
+/// bench/invalidation_index_bench.cpp compares `match` with `match_by_scan`.
 #pragma once
 
 #include <cstddef>
@@ -20,15 +20,15 @@
 /// An index of keys by key, tag and prefix.
 class KeyIndex {
  public:
-  /// Adds the key with these tags, of which duplicates count once; replaces the tags of a known key.
+  /// Adds the key with these tags and ignores duplicate tags. Replaces the tags of a key already present.
   void put(const std::string& key, const std::vector<std::string>& tags);
-  /// Removes the key, and each tag that no other key carries. Does nothing for an unknown key.
+  /// Removes the key, and each tag that no other key has. Does nothing if the key is absent.
   void erase(const std::string& key);
 
-  /// The selected keys, in byte order. O(log n + k) for a tag or prefix of k keys; a glob scans the range of
-  /// its literal prefix.
+  /// Returns the selected keys in byte order. A tag or prefix that selects k of n keys takes O(log n + k)
+  /// steps; a glob scans the range of its literal prefix.
   [[nodiscard]] std::vector<std::string> match(const Selector& selector) const;
-  /// The same by a scan of every key: the baseline of the benchmark and of tests.
+  /// Returns the same keys by a scan of all keys. Serves as the baseline of the benchmark and the tests.
   [[nodiscard]] std::vector<std::string> match_by_scan(const Selector& selector) const;
 
   [[nodiscard]] std::size_t key_count() const { return keys_.size(); }
--- a/src/invalidation/selector.cpp
+++ b/src/invalidation/selector.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxTextBytes = 512;
 constexpr char kLastPrintable = '~';
 
-/// In the order of SelectorKind.
+/// Indexed by SelectorKind.
 constexpr std::array<std::string_view, 4> kKindNames{"key", "tag", "prefix", "glob"};
 
 bool is_printable(char byte) { return byte > ' ' && byte <= kLastPrintable; }
@@ -23,7 +23,7 @@
   return static_cast<SelectorKind>(found - kKindNames.begin());
 }
 
-/// An error whose message quotes the selector.
+/// Returns an error whose message quotes the selector.
 SelectorError make_error(std::string_view selector, SelectorFault fault, const std::string& problem) {
   return {fault, "purge selector '" + std::string(selector) + "': " + problem};
 }
@@ -44,7 +44,7 @@
     const std::string problem = "unknown kind '" + word + "' (key, tag, prefix, glob)";
     return make_error(text, SelectorFault::unknown_kind, problem);
   }
-  if (value.size() > kMaxTextBytes) {  // too long to be quoted
+  if (value.size() > kMaxTextBytes) {  // the message doesn't quote a long text
     return SelectorError{SelectorFault::too_long,
                          "purge selector of kind " + word + ": longer than 512 bytes"};
   }
@@ -63,8 +63,8 @@
 bool glob_matches(std::string_view glob, std::string_view key) {
   std::size_t glob_position = 0;
   std::size_t key_position = 0;
-  // The last star seen, and where the key goes on after the bytes that the star stands for. A mismatch lets
-  // that star stand for one byte more; earlier stars need no second look.
+  // Position of the last star, and of the key after the bytes that this star matches. On a mismatch the last
+  // star matches one more byte; earlier stars need no backtracking.
   std::size_t star_position = std::string_view::npos;
   std::size_t resume_position = 0;
   while (key_position < key.size()) {
--- a/src/invalidation/sequencer.cpp
+++ b/src/invalidation/sequencer.cpp
@@ -8,14 +8,15 @@
 
 using Effects = std::vector<SequencerEffect>;
 
-/// Keeps one request out at a time: the feed answers it with everything from that number on.
+/// Requests the missing commands unless a request is pending: the feed answers with all commands from the
+/// requested number on.
 void request_gap(SequencerState& state, Effects& effects) {
   if (state.gap_requested) return;
   state.gap_requested = true;
   effects.emplace_back(RequestFrom{state.applied + 1});
 }
 
-/// Guards memory against a feed that runs far ahead or numbers wildly.
+/// Bounds memory if the feed is far ahead of this node or sends arbitrary sequence numbers.
 bool is_too_far_ahead(const SequencerState& state, Sequence number) {
   return state.out_of_order.size() >= state.max_out_of_order ||
          number - state.applied > state.max_out_of_order;
@@ -35,7 +36,7 @@
   state.applied = command.number;
 }
 
-/// Applies the buffered commands that follow the last one applied without a gap.
+/// Applies the buffered commands whose numbers follow the last applied number without a gap.
 void apply_buffered(SequencerState& state, Effects& effects) {
   auto next = state.out_of_order.begin();
   while (next != state.out_of_order.end() && next->first == state.applied + 1) {
@@ -63,8 +64,8 @@
   }
   apply(state, command, effects);
   apply_buffered(state, effects);
-  // Guards against losing commands that were dropped for the bound: a gap up to the highest number seen is
-  // requested.
+  // Commands above the buffer limit were dropped, so everything up to the highest number seen is requested
+  // again.
   if (state.highest_seen <= state.applied) {
     state.gap_requested = false;
   } else {
--- a/src/invalidation/snapshot.cpp
+++ b/src/invalidation/snapshot.cpp
@@ -17,7 +17,7 @@
 constexpr std::string_view kHeader = "dahliahall-purge-snapshot 1";
 constexpr std::string_view kChecksumPrefix = "checksum ";
 constexpr std::size_t kChecksumDigits = 16;
-constexpr std::size_t kHeaderLines = 4;    // before the lines of the buffered commands
+constexpr std::size_t kHeaderLines = 4;    // header, applied, seen, held; the buffered commands follow
 constexpr std::size_t kCommandFields = 4;  // NUMBER ISSUED_MS KIND TEXT
 constexpr int kDecimal = 10;
 constexpr int kHexadecimal = 16;
@@ -30,7 +30,7 @@
 
 std::uint64_t compute_checksum(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
 
-/// The number that the whole text is.
+/// Parses the whole text as a number.
 template <typename Number>
 std::optional<Number> parse_number(std::string_view text, int base = kDecimal) {
   const char* const text_end = text.data() + text.size();
@@ -40,8 +40,8 @@
   return value;
 }
 
-/// The words of a line, split at single spaces. The last of `max_fields` is the rest of the line, which may
-/// be empty (the text of `prefix:`).
+/// Splits a line at single spaces into at most `max_fields` fields. The last field is the rest of the line,
+/// which may be empty: the text of `prefix:` is.
 std::vector<std::string_view> split_fields(std::string_view line, std::size_t max_fields) {
   std::vector<std::string_view> fields;
   while (true) {
@@ -55,7 +55,7 @@
   }
 }
 
-/// The lines of a text that ends in a newline.
+/// Splits a text that ends in a newline into lines.
 std::vector<std::string_view> split_lines(std::string_view text) {
   std::vector<std::string_view> lines;
   while (!text.empty()) {
@@ -66,12 +66,12 @@
   return lines;
 }
 
-/// `line`: from 1.
+/// Returns an error that names the line. Line numbers start at 1.
 SnapshotError make_line_error(std::size_t line, const std::string& problem) {
   return {"purge snapshot, line " + std::to_string(line) + ": " + problem};
 }
 
-/// The text before the checksum line, where the checksum is right.
+/// Returns the text before the checksum line if the checksum matches.
 std::variant<std::string_view, SnapshotError> verify_checksum(std::string_view text) {
   const std::size_t checksum_offset = text.rfind(kChecksumPrefix);
   if (checksum_offset == std::string_view::npos ||
@@ -90,7 +90,7 @@
   return body;
 }
 
-/// Reads the lines of a snapshot into a state. Each reader returns an error, or none.
+/// Reads the lines of a snapshot into a state. Each read function returns an error, or no value on success.
 class SnapshotReader {
  public:
   SnapshotReader(std::vector<std::string_view> lines, SequencerState& state)
@@ -125,7 +125,7 @@
     return std::nullopt;
   }
 
-  /// The number of the line `NAME NUMBER`.
+  /// Returns the number in a line of the form `NAME NUMBER`.
   [[nodiscard]] std::optional<std::uint64_t> header_number(std::size_t index, std::string_view name) const {
     if (index >= lines_.size()) return std::nullopt;
     const std::string_view line = lines_[index];
