--- a/examples/consumer/main.cpp
+++ b/examples/consumer/main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The smallest proxy: one cache, one origin, one request.
+// A minimal use of the library: routes one request, with one cache and one origin.
 #include <edge_proxy/router.h>
 
 #include <iostream>
@@ -11,10 +11,10 @@
   settings.origin_kind = 1;
   settings.max_attempts = 4;
   settings.transfer_kb_per_s = 5000;
-  edge_proxy::RequestClass pages;
-  pages.latency_objective = 300ms;
-  pages.deadline = 2s;
-  settings.classes = {pages};
+  edge_proxy::RequestClass page_class;
+  page_class.latency_objective = 300ms;
+  page_class.deadline = 2s;
+  settings.classes = {page_class};
   edge_proxy::Router router(settings, 1);
 
   edge_proxy::Endpoint cache, origin;
@@ -30,7 +30,7 @@
   request.expires = 3s;
   for (const edge_proxy::Action& action : router.handle(1s, request)) {
     if (const auto* attempt = std::get_if<edge_proxy::Attempt>(&action)) {
-      std::cout << "ask " << attempt->endpoint << ", fill from " << attempt->source << '\n';
+      std::cout << "send to " << attempt->endpoint << ", fill from " << attempt->source << '\n';
       return 0;
     }
   }
