--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: MIT
-# All that CI checks: the linters, then the tests. Usage: tools/check.sh [build folder of the tests]
+# Runs the checks of CI: the linters, then the tests. Usage: tools/check.sh [build folder of the tests]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,20 +1,20 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: MIT
-# The linters: clang-format over all sources, doc comments of all headers, clang-tidy over src/ and
-# include/. Runs all of them, then fails if one of them failed. Usage: tools/lint.sh [build folder]
+# Runs the linters: clang-format on all sources, a check of the doc comments of all headers, and clang-tidy on
+# src/ and include/. All of them run; the script fails if any failed. Usage: tools/lint.sh [build folder]
 set -uo pipefail
 cd "$(dirname "$0")/.."
 build=${1:-build-lint}
 failed=()
 
-# Other releases format otherwise and have other checks: the verdict must not depend on the machine.
+# Other releases format differently and have other checks; the result must not depend on the machine.
 for tool in clang-format clang-tidy clang++; do
   "$tool" --version | grep -q 'version 14\.' || { echo "$tool 14 is needed (package of Debian 12)"; exit 1; }
 done
 
 check_format() { git ls-files -z '*.h' '*.cpp' | xargs -0 clang-format --dry-run -Werror; }
 
-# Every header says what it is for, and no doc comment names a parameter that is not there.
+# Every header must have an @file comment, and doc comments must not name parameters that don't exist.
 check_doc_comments() {
   local headers includes without
   headers=$(git ls-files 'src/*.h' 'include/*.h')
--- a/tools/tidy.sh
+++ b/tools/tidy.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: MIT
-# Runs clang-tidy with .clang-tidy over src/ and include/, several files at once; fails on any finding.
+# Runs clang-tidy with .clang-tidy on src/ and include/, several files in parallel; fails on any finding.
 # Usage: tools/tidy.sh [build folder [clang-tidy arguments]]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -10,7 +10,7 @@
 
 bash tools/tidy_database.sh "$build"
 
-# One file; its findings are printed at once, so that those of two files do not mix.
+# Checks one file and prints its findings in one piece, so that the output of parallel runs doesn't interleave.
 check_file() {
   local build=$1 file=$2 output status=0
   shift 2
@@ -22,6 +22,6 @@
 }
 export -f check_file
 
-# The largest files first: none of them is left to run alone at the end.
+# Starts with the largest files, so that no long check is still running alone at the end.
 git ls-files -z 'src/*.cpp' | xargs -0 ls -S |
   xargs -d '\n' -P "$jobs" -I '{}' bash -c 'check_file "$@"' check_file "$build" '{}' "$@"
--- a/tools/tidy_database.sh
+++ b/tools/tidy_database.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: MIT
-# Configures a build folder for clang-tidy: compile_commands.json and the generated protobuf headers, no
-# tests. Usage: tools/tidy_database.sh [build folder]
+# Configures a build folder for clang-tidy: creates compile_commands.json and the generated protobuf headers,
+# without the tests. Usage: tools/tidy_database.sh [build folder]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${1:-build-lint}
@@ -14,7 +14,7 @@
 [ "${#headers[@]}" -gt 0 ] || { echo "no generated protobuf headers in $build"; exit 1; }
 ninja -C "$build" --quiet "${headers[@]}"
 
-# A source that no target compiles would go unchecked.
+# Fails if a source belongs to no target, since clang-tidy would skip it.
 while IFS= read -r source; do
   grep -qF "\"$PWD/$source\"" "$build/compile_commands.json" ||
     { echo "$source is not part of any target in $build"; exit 1; }
