--- a/tests/golden/codec_golden_test.cpp
+++ b/tests/golden/codec_golden_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Golden records of the codecs: the bytes that each writes and the values that it reads, from whole, split,
-/// cut short and damaged input. All labels are literals: a renaming in the code leaves the records as they
-/// are.
+/// Golden records of the codecs. They hold the bytes that each codec writes and the values that it reads from
+/// whole, split, truncated and damaged input. Labels are literals, so that renaming a type or a member does
+/// not change a record.
 #include <gtest/gtest.h>
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
@@ -44,7 +44,7 @@
 using golden::GoldenRecord;
 using Lines = std::vector<std::string>;
 
-/// One line of text: a kind, then labelled values.
+/// Builds one line of a record from a kind and labelled values.
 class Line {
  public:
   explicit Line(std::string_view kind) : text_(kind) {}
@@ -69,7 +69,7 @@
   std::string text_;
 };
 
-/// The same input whole, byte by byte, and in pieces of seven bytes.
+/// Each input is read whole, byte by byte and in pieces of seven bytes.
 constexpr std::array<std::size_t, 3> kPieceSizes{1U << 30U, 1, 7};
 
 template <typename Read>
@@ -85,7 +85,8 @@
   }
 }
 
-/// Every beginning of the bytes, and the bytes with each one changed in two ways.
+/// Records what `read` returns for every prefix of the bytes, and for the bytes with the lowest or the
+/// highest bit of one byte inverted.
 template <typename Read>
 void record_damage(GoldenRecord& record, const std::string& name, const std::string& bytes,
                    const Read& read) {
@@ -526,8 +527,8 @@
   return text.GetString();
 }
 
-/// What each value is replaced with, one at a time. A value far beyond a small integer stands only in place
-/// of whole numbers that are not in a list: converting it there is not defined.
+/// Each JSON value is replaced with each of these values in turn. The integer above 32 bits replaces only
+/// integers outside arrays, because its conversion to the element type of an array is undefined.
 constexpr std::array<const char*, 7> kScalarReplacements{"null", "\"x\"", "-1", "0", "2.5", "true", "\"\""};
 constexpr std::array<const char*, 5> kContainerReplacements{"null", "\"x\"", "0", "[]", "{}"};
 constexpr const char* kAbove32Bits = "5000000000";
@@ -890,8 +891,8 @@
 
 using Environment = std::map<std::string, std::string>;
 
-/// What it reads as, and the keys that want a new start where that is compared with the whole configuration.
-/// Only lines that differ from those of the whole configuration are given.
+/// Parses a configuration and compares it with the full configuration. Returns the keys whose change needs a
+/// restart and the lines that the full configuration does not have, or the parse error.
 Lines config_differences(const std::string& json, const Environment& environment) {
   static const config::Config full = config::parse(full_config(), {});
   static const Lines full_lines = config_lines(full);
@@ -912,7 +913,7 @@
 TEST(GoldenCodec, FullAndMinimalConfigurationMatchRecord) {
   GoldenRecord record("config_in_full");
   for (const std::string& line : config_lines(config::parse(full_config(), {}))) record.add(line);
-  // As little as there may be: all else has its default.
+  // The minimal configuration: all other keys have their defaults.
   record.add("least");
   for (const std::string& line : config_lines(config::parse(
            R"({"name":"n1","listen":"a:1","bulletin":"b:2","settings":{"az":0,"azs":["z"],"kinds":["k"],)"
@@ -1003,7 +1004,8 @@
     ASSERT_NE(at, std::string::npos) << from;
     add(from + " -> " + to, text.replace(at, from.size(), to), {});
   }
-  // Each key in turn is missing or has another value. The discovery event in it has a record of its own.
+  // Each key in turn is missing or has another value. The discovery event is left out because
+  // DiscoveryEventsMatchRecord covers it.
   std::string plain = full;
   plain.replace(plain.find(kDiscoveryEvent), std::string_view(kDiscoveryEvent).size(), R"({"no":1})");
   for_each_change(plain,
@@ -1029,7 +1031,7 @@
   record.check();
 }
 
-// ---- Membership's messages ----
+// ---- Membership messages ----
 
 const char* name_of_member_status(membership::MemberStatus status) {
   switch (status) {
@@ -1169,7 +1171,7 @@
     record.add(std::string(name_of_member_status(static_cast<membership::MemberStatus>(state))) +
                " told as " + std::string(membership::name_of(static_cast<membership::MemberStatus>(state))));
   add({});
-  // What no reader takes.
+  // Messages that the decoder must reject, and the largest valid zone.
   const auto add_invalid = [&](const std::function<void(membership::Message&)>& change,
                                membership::MessageKind kind = membership::MessageKind::ping) {
     membership::Message message = membership_message(kind);
@@ -1222,7 +1224,7 @@
   record.check();
 }
 
-// ---- Consensus' messages ----
+// ---- Consensus messages ----
 
 constexpr consensus::Time kLease{5'000'000};
 
@@ -1368,7 +1370,7 @@
           snapshot};
 }
 
-// A message of Protocol Buffers, written here by hand: the reference for the generated code.
+// An independent encoder for Protocol Buffers, which is the reference for the generated code.
 std::string varint(std::uint64_t value) {
   std::string bytes;
   for (; value >= 128; value >>= 7U) bytes.push_back(static_cast<char>(value | 128U));
@@ -1393,7 +1395,7 @@
   };
   for (const consensus::Message& message : consensus_messages()) add(consensus::encode(message, kLease));
   add(consensus::encode(consensus::Message{consensus::LeaseRequest{1}}, consensus::Time{1}));
-  // What no reader takes.
+  // Messages that the decoder must reject.
   const std::string long_text(128 * 1024 + 1, 'x');
   for (const consensus::Message& message : std::vector<consensus::Message>{
            consensus::LeaseGrant{1, 1, consensus::Time{0}, 1}, consensus::CatchUpResponse{5, 4, {}},
@@ -1409,7 +1411,7 @@
            consensus::LogPosition{1, long_text}, consensus::PrepareReply{1, false, long_text},
            consensus::Snapshot{1, 1, long_text, "", {}, {}}})
     record.add("too long: " + consensus_read(consensus::encode(message, kLease)));
-  // The log's own, of every kind, and those before there is a log.
+  // Raft messages of every type, then the bootstrap messages that are sent before a log exists.
   const std::string entry = number_field(1, 3) + number_field(2, 1) + bytes_field(3, "data");
   const std::string server = number_field(1, 77) + bytes_field(2, "n1#77") + number_field(3, 1);
   const std::array<std::string, 6> kinds{
@@ -1468,7 +1470,7 @@
   record.check();
 }
 
-// ---- The simulator's lines ----
+// ---- Simulator lines ----
 
 const std::string kEnlist =
     R"({"what":"enlist","proxy_id":3,"rng_seed":18446744073709551615,"env":{"az":1,"azs":["hub","edge"],)"
@@ -1510,11 +1512,11 @@
   return lines;
 }
 
-/// Every form of line that goes out. The writer also knows `probe`, `read_list` and `journal_line`; the
-/// router asks for none of them.
+/// The kinds of output lines that the session must produce. The writer also supports `probe`, `read_list` and
+/// `journal_line`, but the router requests none of them in this session.
 constexpr const char* kExpectedForms = "answer_from bounce cancel done finish_error observe wake_at ";
 
-/// A session in which every form of event comes in, with each word that it may hold.
+/// Returns a session with every kind of input event and every enum value that an event may hold.
 Lines simulator_session() {
   Lines input{R"({"what":"clock","at_time":1000000})", kEnlist, kRegister, kRegistry, R"({"what":"eob"})"};
   const std::array<const char*, 9> outcomes{"delivered", "app_error", "shed",   "expired", "dial_failed",
@@ -1563,7 +1565,7 @@
   }
   input.push_back(R"({"what":"destroy","proxy_id":3})");
   input.push_back(kEnlist);
-  // It knows of nobody: what comes is rejected.
+  // The new router knows no endpoints, so it rejects the request.
   input.push_back(kRequest);
   input.push_back(R"({"what":"eob"})");
   return input;
@@ -1610,7 +1612,7 @@
       R"({"what":"destroy","proxy_id":3})"};
   for (const std::string& event : events) {
     for_each_change(event, [&](const std::string& change, const std::string& json) {
-      // A negative number of a part has no meaning as an unsigned one.
+      // These values are outside the range of their field (a part is unsigned) and have no defined result.
       if (change == "chunk is -1" || change == "lane is -1" || change == "lane is 5000000000") return;
       Lines input = start;
       if (&event != &events[0]) input.push_back(kRequest);
--- a/tests/golden/consensus_golden_test.cpp
+++ b/tests/golden/consensus_golden_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Golden records of consensus: drawn plays of reducers and of the replicated log in virtual time, and the
-// policy state machine, the leader's side and the member's lease by themselves.
+// Golden records of the consensus module: random runs of several members with their reducers and replicated
+// logs in virtual time, and separate runs of the policy state machine, the lease manager and the epoch lease.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -35,7 +35,7 @@
       settings.serve_when_partitioned = serve_when_partitioned;
     };
     world_ = std::make_unique<AgreedWorld>(count, voters, seed, configure, observer);
-    world_->snapshot_every = 6;  // of processes that start from now on
+    world_->snapshot_every = 6;  // applies to members that start after this line
   }
 
   void run(int events) {
@@ -50,8 +50,8 @@
     record_.check();
   }
 
-  /// A voter is added and another removed; a change is aborted at a follower; one that was down for long
-  /// takes a snapshot.
+  /// Adds a voter, removes another voter and aborts a change at a follower. A member that was down for a long
+  /// time then catches up from a snapshot.
   void run_voter_changes() {
     world_->run(4s);
     const std::size_t leader = world_->leader().value(), follower = leader == 0 ? 1 : 0;
@@ -62,7 +62,7 @@
     change_voters(follower);
     world_->run(1200ms);
     record_states();
-    world_->stop(last);  // a change waits for its answer
+    world_->stop(last);  // the change stays open until this member replies
     propose_policy(new_voter, "policy to abort");
     world_->run(500ms);
     world_->feed(new_voter, consensus::AbortCall{++last_call_});
@@ -74,7 +74,7 @@
       propose_policy(new_voter, "policy " + std::to_string(change));
       world_->run(400ms);
     }
-    // Those that start anew have what came before as a snapshot alone.
+    // After the restart these members have the earlier entries only as a snapshot.
     restart_nodes_before(last);
     record_states();
     recover();
@@ -138,7 +138,7 @@
                 world_->node(node).state->policy_state().epoch(), policy);
   }
 
-  /// Messages that this gives at once go out with the next call of the leader's log.
+  /// The messages in `output` are only recorded here. They are sent with the next call of the leader's log.
   void change_voters(std::size_t node) {
     const auto leader = world_->leader();
     if (!leader || *leader == node || !world_->runs(node)) return;
@@ -217,7 +217,7 @@
   GoldenRecord record_;
   std::mt19937_64 random_;
   std::size_t voters_;
-  bool serves_when_partitioned_;  // decides without a lease too: then two epochs may hold at once
+  bool serves_when_partitioned_;  ///< members without a lease decide too, so two epochs can be in use
   std::uint64_t last_call_ = 0;
   std::unique_ptr<AgreedWorld> world_;
 };
@@ -265,7 +265,7 @@
   consensus::PolicyStateMachine policy_state;
   consensus::Index index = 0;
   for (int step = 0; step < 500; ++step) {
-    index += random() % 3;  // an index that was applied already is passed over
+    index += random() % 3;  // an index that was already applied is ignored
     const consensus::Entry entry = random_entry(random, policy_state);
     if (random() % 20 == 0) {
       policy_state.advance_to(index);
@@ -286,7 +286,8 @@
   record.check();
 }
 
-/// The leader's lease manager by itself: what members say to it is drawn, what it appends is applied.
+/// Runs the lease manager of a leader alone. Messages from members are random; entries that it appends are
+/// applied to the policy state machine.
 class RandomLeaderRun {
  public:
   explicit RandomLeaderRun(std::uint64_t seed)
--- a/tests/golden/consensus_trace.cpp
+++ b/tests/golden/consensus_trace.cpp
@@ -70,8 +70,8 @@
   return list_of(entries, [](const auto& item) { return text_of(item.first) + ":" + text_of(item.second); });
 }
 
-/// Bytes of an encoded list of servers that mean something: a version, a count, and of each server its id,
-/// its address with a zero at the end and its role.
+/// Returns the number of bytes that an encoded list of servers uses: a version and a count, and for each
+/// server its id, its null-terminated address and its role.
 std::size_t used_bytes_of_servers(const std::string& encoded) {
   constexpr std::size_t kHeaderBytes = 1 + sizeof(std::uint64_t);
   if (encoded.size() < kHeaderBytes) return encoded.size();
@@ -84,8 +84,8 @@
   return std::min(used, encoded.size());
 }
 
-/// libraft leaves some bytes of its own entries as its allocator gave them: all eight of a barrier, and what
-/// pads a list of servers. They are zero in the record.
+/// libraft leaves some bytes of its own entries uninitialized: all 8 bytes of a barrier and the padding of a
+/// list of servers. They are set to zero for the record.
 std::string without_undefined_bytes(const std::string& bytes) {
   consensus::pb::Envelope envelope;
   if (!envelope.ParseFromString(bytes) || !envelope.raft().has_append_entries()) return bytes;
@@ -206,7 +206,7 @@
   }
 };
 
-/// None for a log line.
+/// Returns no text for a log line.
 struct DescribeEffect {
   std::optional<std::string> operator()(const consensus::SendMessage& effect) const {
     return TraceLine("Send").field("to", effect.to).verbatim("message", text_of(effect.message)).text();
--- a/tests/golden/consensus_trace.h
+++ b/tests/golden/consensus_trace.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Values of consensus as text for golden records: all fields, log texts left out.
+/// Formats values of the consensus module for golden records: all their fields, but no log messages.
 #pragma once
 
 #include <string>
@@ -18,15 +18,15 @@
 std::string text_of(const edge_proxy::consensus::Input& input);
 std::string text_of(const edge_proxy::consensus::LeaderActions& actions);
 
-/// Adds an input of a member's reducer, then each effect. An expired timer without any is left out:
-/// there are too many of them.
+/// Records an input of a member's reducer and the effects that it returned. An expired timer without effects
+/// is omitted because such inputs are too frequent.
 void add_step(GoldenRecord& record, const std::string& member, edge_proxy::consensus::Time now,
               const edge_proxy::consensus::Input& input,
               const std::vector<edge_proxy::consensus::Effect>& effects,
               const edge_proxy::consensus::State& state);
 
-/// Adds what came of a call of a member's log. Of bytes for its servers a checksum stands,
-/// with those that libraft leaves undefined set to zero.
+/// Records the output of a call of a member's Raft log. A message to another server is recorded as its size
+/// and checksum, computed with the bytes that libraft leaves undefined set to zero.
 void add_log_output(GoldenRecord& record, const std::string& member,
                     const edge_proxy::consensus::RaftLog::Output& output);
 
--- a/tests/golden/golden_record.cpp
+++ b/tests/golden/golden_record.cpp
@@ -72,7 +72,7 @@
     return;
   }
   const std::vector<std::string> stored = read_lines(path);
-  ASSERT_FALSE(stored.empty()) << "no record at " << path;
+  ASSERT_FALSE(stored.empty()) << "no stored record at " << path;
   for (std::size_t index = 0; index < std::max(current.size(), stored.size()); ++index) {
     ASSERT_EQ(line_or_end(stored, index), line_or_end(current, index))
         << name_ << ", stored line " << index + 1;
--- a/tests/golden/golden_record.h
+++ b/tests/golden/golden_record.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Golden records: what a reducer, a codec or a stored file gave at the time of recording, held against what
-/// it gives now. They show that a refactoring changed no behaviour.
+/// Golden records compare the current output of a reducer, a codec or a stored file with the output that was
+/// recorded earlier. They show that a refactoring does not change behaviour.
 ///
-/// A record is a list of text lines. Short records are stored whole; of longer ones a checksum of each block
-/// of lines is stored. Two environment variables help to work with them:
-///   GOLDEN_UPDATE=1   stores what is given now instead of comparing; for a wanted change of behaviour only.
-///   GOLDEN_DUMP=DIR   also writes each whole record to DIR/NAME.txt, so that two builds can be compared by
-///   diff.
+/// A record is a list of text lines. A short record is stored whole; a longer record is stored as one
+/// checksum per block of lines. Two environment variables control the comparison:
+///   GOLDEN_UPDATE=1   stores the current output instead of comparing it. Use it only for an intended change
+///                     of behaviour.
+///   GOLDEN_DUMP=DIR   also writes each whole record to DIR/NAME.txt, so that `diff` can compare two builds.
 #pragma once
 
 #include <cstddef>
@@ -19,13 +19,14 @@
 
 class GoldenRecord {
  public:
-  /// `name` is that of the file tests/golden/records/NAME.txt.
+  /// The record is stored in tests/golden/records/NAME.txt, where NAME is `name`.
   explicit GoldenRecord(std::string name);
 
-  /// Adds one line. It must hold no line feed; use quoted() for bytes.
+  /// Appends one line. The line must not contain a line feed; quoted() escapes arbitrary bytes.
   void add(std::string line);
 
-  /// Compares all lines so far with the stored record and fails the running test where they differ.
+  /// Compares the lines added so far with the stored record and fails the running test at the first
+  /// difference.
   void check() const;
 
  private:
@@ -35,10 +36,10 @@
   std::vector<std::string> lines_;
 };
 
-/// Bytes as text: printable ASCII as it is, all else as \xNN.
+/// Returns `bytes` as text: printable ASCII except the backslash is unchanged, every other byte becomes \xNN.
 [[nodiscard]] std::string quoted(std::string_view bytes);
 
-/// A number with all digits that tell it from its neighbours.
+/// Formats a number with 17 significant digits, which identify every double exactly.
 [[nodiscard]] std::string exact(double value);
 
 }  // namespace golden
--- a/tests/golden/membership_golden_test.cpp
+++ b/tests/golden/membership_golden_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Golden records of membership and of quota leases: drawn plays in virtual time, and the parts by themselves.
+// Golden records of the membership module and of quota leases: random runs of several members in virtual
+// time, and separate runs of the view, the broadcast queue and the quota leases.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -114,7 +115,7 @@
     }
   }
 
-  /// That place runs a second process under the name of another one.
+  /// Replaces `second_node` with a process that uses the name of `named_node`.
   void start_duplicate_name(std::size_t named_node, std::size_t second_node) {
     if (named_node == second_node || !world_->node(named_node).state) return;
     membership::Settings settings = world_->node(named_node).state->settings();
@@ -159,7 +160,7 @@
   RandomMembershipRun("membership_play_4", 6, 4).run(12);
 }
 
-/// New members that know the seeds alone, all of them at first unknown to each other.
+/// All members are new and know only the seeds at first.
 TEST(MembershipGolden, NewMembersThatKnowOnlySeedsMatchRecord) {
   GoldenRecord record("membership_join");
   MembershipWorld world(6, 5);
@@ -172,7 +173,7 @@
   record.check();
 }
 
-/// Within the newest two lives, so that not all is old after a while.
+/// The incarnation is one of the newest two process starts, so that later updates are not all outdated.
 membership::MemberUpdate random_update(std::mt19937_64& random, std::uint64_t newest_incarnation = 3) {
   membership::MemberUpdate update;
   update.name = MembershipWorld::name(random() % 12);
--- a/tests/golden/membership_trace.cpp
+++ b/tests/golden/membership_trace.cpp
@@ -83,7 +83,7 @@
   }
 };
 
-/// None for a log line.
+/// Returns no text for a log line.
 struct DescribeEffect {
   std::optional<std::string> operator()(const membership::SendDatagram& effect) const {
     return TraceLine("SendDatagram")
--- a/tests/golden/membership_trace.h
+++ b/tests/golden/membership_trace.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Membership's and quota leases' values as text for golden records: all fields, log texts left out.
+/// Formats values of the membership module and of quota leases for golden records: all their fields, but no
+/// log messages.
 #pragma once
 
 #include <string>
@@ -18,16 +19,17 @@
 std::string label_of(edge_proxy::membership::View::MergeResult merge_result);
 
 std::string text_of(const edge_proxy::membership::MemberUpdate& update);
-/// Updates of a full sync stand in the order of their text: their own is that of a hash table.
+/// The updates of a full sync are sorted by their text because the message has them in hash table order.
 std::string text_of(const edge_proxy::membership::Message& message);
 std::string text_of(const edge_proxy::membership::Input& input);
 std::string text_of(const edge_proxy::admission::QuotaLeases::QuotaShare& share);
 
-/// What the quota leases of one member show of themselves.
+/// Formats the observable state of the quota leases of one member.
 std::string state_of(const edge_proxy::admission::QuotaLeases& leases,
                      edge_proxy::admission::QuotaLeases::Time now);
 
-/// Adds an input of a member, then each effect, then what is persisted where that changed.
+/// Records an input of a member's reducer, the effects that it returned, and the persistent state if one of
+/// the effects is PersistState.
 void add_step(GoldenRecord& record, const std::string& member, edge_proxy::membership::Time now,
               const edge_proxy::membership::Input& input,
               const std::vector<edge_proxy::membership::Effect>& effects,
--- a/tests/golden/proxy_golden_test.cpp
+++ b/tests/golden/proxy_golden_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Golden records of the proxy's reducer: its inputs and the effects that come of them, in virtual time.
+// Golden records of the proxy reducer: its inputs and the effects that it returns, in virtual time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -34,7 +34,7 @@
          (complete ? "true" : "false") + R"(,"members":[)" + members + "]}}\n";
 }
 
-/// Plays a scenario over one cache, parent and origin, and checks its record.
+/// Runs a scenario, by default with one cache, one parent and one origin, and checks its record.
 void check_scenario(const std::string& name, const std::string& scenario,
                     const std::vector<std::string>& members = {"box-1", "up-1", "main"}) {
   GoldenRecord record("proxy_" + name);
@@ -331,7 +331,7 @@
     open_requests_.push_back(last_request_);
   }
 
-  /// One of the caches that were asked and are still connected answers.
+  /// Every cache that has an open connection for the chosen request replies to it.
   void send_reply() {
     if (open_requests_.empty()) return;
     const std::size_t index = random_below(std::min<std::uint64_t>(open_requests_.size(), 6));
@@ -387,7 +387,7 @@
   std::vector<std::uint64_t> open_requests_;
 };
 
-/// The configuration with hedged requests allowed.
+/// Returns the configuration with hedged requests enabled.
 std::string with_hedging(std::string text) {
   const std::string disabled = R"("second_copies":false)";
   return text.replace(text.find(disabled), disabled.size(), R"("second_copies":true)");
@@ -410,7 +410,7 @@
          R"("policy":{"voters":["n1","n2","n3"],"folder":"/x"},)");
 }
 
-/// Two other proxies of the cluster, played by hand.
+/// Sends the messages of two other proxies of the cluster.
 class ClusterScenario {
  public:
   ClusterScenario(VirtualTimeHarness& harness, std::uint64_t seed) : harness_(harness), random_(seed) {}
@@ -426,7 +426,7 @@
       run_scenario(harness_, "wait " + std::to_string(10 + random_() % 60));
     }
   }
-  /// It has come to lead the log, and is granted a lease by a majority.
+  /// Makes this proxy the leader of the log with three voters.
   void become_leader() {
     proxy::ConsensusOutput output;
     output.voters = {{"n1", 7}, {"n2", 8}, {"n3", 9}};
@@ -567,8 +567,8 @@
       harness,
       "ops-11 send POST /v1/peers/n3/forget\nops-12 send GET /v1/peers\n"
       "ops-14 send POST /v1/policy/voters/n4=11/add\nops-15 send POST /v1/policy/voters/n4/remove\n");
-  // No voter from here on: a voter that is told of a log ahead of its own asks for a timer in the past
-  // without end, which virtual time can't follow.
+  // This proxy is not a voter from here on. A voter that learns of a log ahead of its own log requests timers
+  // in the past without end, so virtual time would not advance.
   cluster.feed_consensus_input(consensus::BecameFollower{"n2", false});
   cluster.receive("n2", consensus::LeaseRevocation{cluster.term() + 1, 1});
   cluster.receive("n2", consensus::LogPosition{9, "n2"});
--- a/tests/golden/proxy_trace.cpp
+++ b/tests/golden/proxy_trace.cpp
@@ -369,7 +369,8 @@
 }
 std::string input_text(const proxy::LoopTimerExpired&) { return "timer_expired"; }
 std::string input_text(const proxy::ShutdownRequested&) { return "shutdown_requested"; }
-/// What a reload can change, and the settings; the whole of the configuration has tests of its own.
+/// Formats the settings and the other values that a reload can change. The codec records cover the whole
+/// configuration.
 std::string input_text(const proxy::Reloaded& input) {
   const Config& config = input.config;
   return RecordLine("reloaded")
--- a/tests/golden/proxy_trace.h
+++ b/tests/golden/proxy_trace.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Text of the proxy reducer's inputs and effects for golden records. The labels are literals of their own,
-/// so that a renamed type or member leaves the records as they are.
+/// Formats the inputs and effects of the proxy reducer for golden records. Labels are literals, so that
+/// renaming a type or a member does not change a record.
 #pragma once
 
 #include <string>
@@ -13,10 +13,10 @@
 namespace golden {
 
 [[nodiscard]] std::string text_of(const edge_proxy::proxy::Input& input);
-/// Empty for what is only a text for the log.
+/// Returns an empty text for an effect that only writes a log message.
 [[nodiscard]] std::string text_of(const edge_proxy::proxy::Effect& effect);
 
-/// Records an input of the reducer, and the effects that came of it.
+/// Records an input of the reducer and the effects that it returned.
 void record_proxy_step(GoldenRecord& record, edge_proxy::Time now, const edge_proxy::proxy::Input& input,
                        const std::vector<edge_proxy::proxy::Effect>& effects);
 
--- a/tests/golden/routing_golden_test.cpp
+++ b/tests/golden/routing_golden_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Golden records of the routing module: the events that routers are given and the actions that come of them,
-// over the worlds of the other tests and over random settings and events.
+// Golden records of the routing module: the events that routers handle and the actions that they return, in
+// the simulated worlds of the other tests and with random settings and events.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -28,11 +28,11 @@
   };
 }
 
-// ---- The worlds of the other tests ----
+// ---- Simulated worlds of the other tests ----
 
 void record_crowded(const std::string& name, CrowdedScenario scenario, std::uint64_t seed) {
   GoldenRecord record("routing_crowded_" + name);
-  scenario.large_object_kb = 6400;  // half as many requests as the plan's usual ones
+  scenario.large_object_kb = 6400;  // half as many requests as with the default
   scenario.seed = seed;
   scenario.observer = step_recorder(record);
   CrowdedWorld(scenario).run();
@@ -84,7 +84,7 @@
 
 // ---- Random settings and events ----
 
-/// Random numbers by arithmetic of its own: the same with each standard library.
+/// Draws random numbers without the standard distributions, whose results differ between standard libraries.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
@@ -104,8 +104,7 @@
   std::mt19937_64 engine_;
 };
 
-/// One router that is given all kinds of events. Its endpoints fail by turns, so that each comes to be
-/// ejected and to recover.
+/// Feeds all kinds of events to one router. The endpoints fail in turn, so that they are ejected and recover.
 class RandomRouting {
  public:
   RandomRouting(GoldenRecord& record, std::uint64_t seed)
@@ -246,7 +245,7 @@
         break;
       default:
         changed.state = EndpointState::running;
-        if (changed.kind == 0 && random_.chance(50)) {  // another one takes its place
+        if (changed.kind == 0 && random_.chance(50)) {  // a new endpoint replaces this one
           const Endpoint previous = changed;
           changed.id = "cache-new-" + std::to_string(++replacements_);
           changed.started = now_;
@@ -260,7 +259,7 @@
   }
 
   void change_phase() {
-    failing_ = endpoints_[random_.below(5)].id;  // a cache
+    failing_ = endpoints_[random_.below(5)].id;  // one of the five local caches
     failing_source_ = "parent-" + std::to_string(random_.below(3));
     failure_ = random_.one_of(std::array{AttemptResult::connection_lost, AttemptResult::unreachable,
                                          AttemptResult::connection_lost, AttemptResult::unreachable,
@@ -344,7 +343,7 @@
     if (slow_ && attempt.result == AttemptResult::served && random_.chance(70)) return;
     open_attempts_.erase(open_attempts_.begin() + static_cast<std::ptrdiff_t>(index));
     end_attempt(attempt, attempt.result, attempt.cache_status);
-    if (random_.chance(2)) end_attempt(attempt, attempt.result, attempt.cache_status);  // told twice
+    if (random_.chance(2)) end_attempt(attempt, attempt.result, attempt.cache_status);  // a duplicate outcome
   }
 
   void end_attempt(const OpenAttempt& attempt, AttemptResult result, CacheStatus cache_status) {
@@ -432,7 +431,7 @@
   Time timer_due_{0};
   int last_request_ = 0, replacements_ = 0;
   std::vector<OpenAttempt> open_attempts_;
-  std::map<std::string, int> attempt_counts_;  // by request
+  std::map<std::string, int> attempt_counts_;  // by request id
   std::string failing_, failing_source_;
   AttemptResult failure_ = AttemptResult::connection_lost;
   bool slow_ = false, long_pauses_ = false;
--- a/tests/golden/routing_trace.cpp
+++ b/tests/golden/routing_trace.cpp
@@ -179,7 +179,7 @@
   return "?";
 }
 
-// ---- Parts ----
+// ---- Nested values ----
 
 template <typename Value>
 void add_optional(RecordLine& line, std::string_view label, const std::optional<Value>& value) {
--- a/tests/golden/routing_trace.h
+++ b/tests/golden/routing_trace.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Text of the routing module's values for golden records. The labels are literals of their own, so that a
-/// renamed type or member leaves the records as they are.
+/// Formats values of the routing module for golden records. Labels are literals, so that renaming a type or a
+/// member does not change a record.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace golden {
 
-/// One line of a record: a title and labelled values.
+/// Builds one line of a record from a title and labelled values.
 class RecordLine {
  public:
   explicit RecordLine(std::string_view title) : text_(title) {}
@@ -36,7 +36,7 @@
   RecordLine& add(std::string_view label, Integer value) {
     return put(label, std::to_string(value));
   }
-  /// The value's own line, in brackets.
+  /// Adds the line of a nested value in brackets.
   RecordLine& add_inner(std::string_view label, const std::string& line) {
     return put(label, "[" + line + "]");
   }
@@ -54,10 +54,10 @@
 
 [[nodiscard]] std::string text_of(const edge_proxy::Settings& settings);
 [[nodiscard]] std::string text_of(const edge_proxy::Event& event);
-/// Empty for what is only a text for the log.
+/// Returns an empty text for an action that only writes a log message.
 [[nodiscard]] std::string text_of(const edge_proxy::Action& action);
 
-/// Records an event that a router was given, and the actions it gave.
+/// Records an event that a router handled and the actions that it returned.
 void record_routing_step(GoldenRecord& record, int router, edge_proxy::Time now,
                          const edge_proxy::Event& event, const std::vector<edge_proxy::Action>& actions);
 
--- a/tests/golden/stored_files_golden_test.cpp
+++ b/tests/golden/stored_files_golden_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Golden files: one of each kind that the program stores, byte by byte as it was written at the time of
-/// recording (tests/golden/stored/). The same content is written again and compared, and each stored file is
-/// read back: it stands for what an older version has left on a disk.
+/// Golden files: tests/golden/stored/ has one file of each kind that the program stores, with the bytes that
+/// were written at the time of recording. The tests write the same content again and compare the bytes. They
+/// also read each stored file, which represents a file that an older version left on the disk.
 extern "C" {
 #include <raft.h>
 }
@@ -60,7 +60,7 @@
   return bytes;
 }
 
-/// Compares what is written today with the stored file; with GOLDEN_UPDATE it is stored instead.
+/// Compares `bytes` with the stored file. With GOLDEN_UPDATE, `bytes` replace the stored file first.
 void expect_stored(const std::string& name, const std::string& bytes) {
   if (std::getenv("GOLDEN_UPDATE") != nullptr) write_file(std::string(GOLDEN_STORED) + "/" + name, bytes);
   EXPECT_EQ(golden::quoted(stored_file(name)), golden::quoted(bytes)) << name;
@@ -71,13 +71,13 @@
   void SetUp() override { ASSERT_NE(mkdtemp(directory_.data()), nullptr); }
   void TearDown() override { std::filesystem::remove_all(directory_); }
 
-  /// Lets the main loop run until the file is there; it is put in place whole.
+  /// Runs the main loop until the file exists. The file appears with its full content.
   [[nodiscard]] std::string wait_for_file(const std::string& name) const {
     for (int i = 0; i < 5000 && !std::filesystem::exists(directory_ + "/" + name); ++i) {
       g_main_context_iteration(nullptr, FALSE);
       g_usleep(1000);
     }
-    // What GIO has to say of the end of the write, before its file object goes.
+    // GIO reports the end of the write only now. The report must arrive before the file object is destroyed.
     for (int i = 0; i < 50; ++i) {
       g_main_context_iteration(nullptr, FALSE);
       g_usleep(200);
@@ -150,7 +150,7 @@
   for (const char* id : {"cache-a", "cache-b", "cache c", "d"})
     record.add(std::string(id) + " suspended=" + (reader.is_suspended(id) ? "yes" : "no"));
   EXPECT_EQ(reader.serialized_overrides(), *text);
-  // Lines that were cut off or that nobody knows are passed over.
+  // Truncated and unknown lines are ignored.
   for (const char* damaged : {"", "out", "out 5", "out 5 ", "out x a\nin 6 b\n", "odd 5 a\nout 7 cache-a",
                               "out 9 cache-a\nin 10 cache-a\n", "out -1 cache-b\n"}) {
     proxy::EndpointDirectory other;
@@ -162,7 +162,7 @@
   record.check();
 }
 
-// ---- Membership's store ----
+// ---- Membership store ----
 
 membership::MemberUpdate member_update(const std::string& name, membership::MemberStatus status,
                                        std::uint64_t value) {
@@ -230,10 +230,10 @@
     ASSERT_TRUE(identity) << error;
     record_identity(record, *identity);
     EXPECT_TRUE(log.empty());
-    // Its new incarnation is on the disk before it takes part.
+    // The new incarnation is on the disk before the member joins the cluster.
     expect_stored("membership_store_after_restart", read_file(directory_ + "/peers-n1"));
   }
-  // One of another cluster, and a damaged one, aren't used.
+  // A file of another cluster and a damaged file are not used.
   const std::string intact = stored_file("membership_store");
   for (std::size_t index = 0; index < intact.size(); index += 41) {
     std::string damaged = intact;
@@ -305,7 +305,7 @@
   record.check();
 }
 
-// ---- Consensus: journal and snapshot of voters, of a learner ----
+// ---- Consensus: journals and snapshots of voters and of a learner ----
 
 const char* name_of_step(consensus::Step step) {
   switch (step) {
@@ -373,8 +373,8 @@
   return "another input";
 }
 
-/// Gives libraft memory of zeros: it writes 8 bytes that it never set into each entry by which a new leader
-/// learns how far the log has come, and these entries go to the disk.
+/// Makes libraft allocate zeroed memory. libraft writes 8 uninitialized bytes into each barrier entry, by
+/// which a new leader learns the commit index, and these entries are stored on the disk.
 class ZeroedRaftMemory {
  public:
   ZeroedRaftMemory() {
@@ -396,7 +396,7 @@
   raft_heap heap_{};
 };
 
-/// Three voters on disks in memory, in virtual time; messages come in the order in which they went.
+/// Three voters with in-memory disks in virtual time. Messages arrive in the order in which they were sent.
 class Cluster {
  public:
   static constexpr std::size_t kSize = 3;
@@ -453,7 +453,7 @@
     return 0;
   }
 
-  std::size_t isolated = kSize;  ///< nothing goes from or to this one; kSize: none
+  std::size_t isolated = kSize;  ///< messages from and to this voter are dropped; kSize: none
 
  private:
   struct Node {
@@ -503,7 +503,7 @@
   for (const std::string& entry : records) record.add(file + " record " + golden::quoted(entry));
 }
 
-/// The stored files are opened as after a restart of all three, and go on.
+/// Opens the stored files as after a restart of all three voters and lets the voters continue.
 void restart_from(const std::string& prefix, unsigned snapshot_every, GoldenRecord& record) {
   Cluster cluster(snapshot_every, record);
   for (std::size_t index = 0; index < Cluster::kSize; ++index) {
@@ -527,7 +527,7 @@
     const std::size_t first = cluster.leader();
     cluster.append(first, {consensus::Step::propose, 0, "k1", 0, std::string("policy\0 1", 9), ""});
     cluster.run(std::chrono::seconds(1));
-    // Entries that no majority has are cut off again.
+    // Entries that no majority has stored are truncated.
     cluster.isolated = first;
     cluster.append(first, {consensus::Step::propose, 0, "lost", 0, "lost", ""});
     cluster.append(first, {consensus::Step::abort, 2, "", 0, "", "lost"});
@@ -557,7 +557,7 @@
     cluster.run(std::chrono::seconds(6));
     const std::size_t behind = (cluster.leader() + 1) % Cluster::kSize;
     for (int round = 0; round < 14; ++round) {
-      // One is so far behind that it gets a snapshot.
+      // One voter falls so far behind that it receives a snapshot.
       if (round == 4) cluster.isolated = behind;
       if (round == 12) cluster.isolated = Cluster::kSize;
       cluster.append(cluster.leader(), {consensus::Step::propose, 0, "k" + std::to_string(round), 0,
@@ -690,7 +690,7 @@
     damaged[index] = static_cast<char>(damaged[index] ^ 1);
     read("changed byte " + number(index), damaged, 100);
   }
-  // With a right checksum but values that can't be: as a state would be written that nobody can have.
+  // These snapshots have a valid checksum but inconsistent values, which no running sequencer can have.
   const auto read_inconsistent = [&read](const std::string& name,
                                          const invalidation::SequencerState& inconsistent) {
     read(name, invalidation::write_snapshot(inconsistent), 100);
--- a/tests/golden/trace_line.h
+++ b/tests/golden/trace_line.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Builds one line of a golden record from named fields. Labels are literals, so that renaming a type or a
-/// member does not change a record.
+/// TraceLine builds one line of a golden record from named fields. Labels are literals, so that renaming a
+/// type or a member does not change a record.
 #pragma once
 
 #include <chrono>
@@ -29,7 +29,7 @@
   TraceLine& field(std::string_view label, const Value& value) {
     return verbatim(label, text_of(value));
   }
-  /// A value that is the text of a line or a label already.
+  /// Adds a value that is already formatted, such as another line or a label.
   TraceLine& verbatim(std::string_view label, std::string_view value) {
     text_ += ' ';
     text_ += label;
@@ -43,7 +43,7 @@
   std::string text_;
 };
 
-/// All items in their order; `describe` gives the text of one.
+/// Formats all items in their order. `describe` returns the text of one item.
 template <typename Items, typename Describe>
 std::string list_of(const Items& items, Describe&& describe) {
   std::string text = "[";
