--- a/src/admission/fill_admission.cpp
+++ b/src/admission/fill_admission.cpp
@@ -48,8 +48,8 @@
 }
 
 void FillAdmission::record_cost(double cost) {
-  recent_costs_[fills_requested_ % recent_costs_.size()] = cost;
-  ++fills_requested_;
+  recent_costs_[costs_recorded_ % recent_costs_.size()] = cost;
+  ++costs_recorded_;
 }
 
 /// The credit, 0 to 1, that a fill earns by its cost relative to the newest requested fills. Time on links
@@ -57,7 +57,7 @@
 /// delay the small ones as well. So the cheapest of the newest fills get full credit, and equally cheap ones
 /// get a fraction each.
 double FillAdmission::credit_for(double cost, double admitted_ratio) const {
-  const std::size_t count = std::min(fills_requested_, recent_costs_.size());
+  const std::size_t count = std::min(costs_recorded_, recent_costs_.size());
   const auto recent_end = recent_costs_.begin() + static_cast<std::ptrdiff_t>(count);
   const double lowest_equal = (1 - kCostTolerance) * cost;
   const double highest_equal = (1 + kCostTolerance) * cost;
--- a/src/admission/fill_admission.h
+++ b/src/admission/fill_admission.h
@@ -61,7 +61,7 @@
   double credit_ = 1;  // number of fills that may be requested
   Time decayed_at_{0};
   std::array<double, kRecentCosts> recent_costs_{};  // ring buffer of the newest costs
-  std::size_t fills_requested_ = 0;
+  std::size_t costs_recorded_ = 0;
 };
 
 }  // namespace edge_proxy::admission
--- a/src/config/membership_config.cpp
+++ b/src/config/membership_config.cpp
@@ -15,7 +15,7 @@
 constexpr int kMinDatagramsPerS = 100;
 constexpr int kMaxDatagramsPerS = 1'000'000;
 constexpr int kProbeRoundsPerQuotaLease = 3;
-constexpr int kDescriptorsPerStream = 32;
+constexpr int kMinDescriptorsPerStream = 32;
 constexpr Time kMinInterval = std::chrono::milliseconds(1);
 constexpr Time kMaxInterval = std::chrono::hours(1);
 constexpr Time kMinQuotaLease = std::chrono::seconds(2);
@@ -133,7 +133,7 @@
       read_size(section, "expected", fleet_size, {1, static_cast<int>(settings.max_members)});
   // Streams may take only a small part of the descriptors, as these are not available to the upstream pool
   // (proxy/resource_limits.h).
-  const int max_streams = std::max(1, proxy.max_descriptors / kDescriptorsPerStream);
+  const int max_streams = std::max(1, proxy.max_descriptors / kMinDescriptorsPerStream);
   config.max_streams =
       read_in_range(section, "streams", std::min(config.max_streams, max_streams), {1, max_streams});
   config.max_datagrams_per_s = read_in_range(section, "datagrams_per_s", config.max_datagrams_per_s,
--- a/src/consensus/raft_context.cpp
+++ b/src/consensus/raft_context.cpp
@@ -22,16 +22,16 @@
 void RaftContext::on_storage_failure(RaftStorage::Failure failure, const std::string& storage_error) {
   if (!error.empty()) return;
   error = storage_error;
-  const bool took_part = failure == RaftStorage::Failure::io;
+  const bool was_participating = failure == RaftStorage::Failure::io;
   log("policy storage failed: " + error + "; this proxy takes no part in the log" +
-      (took_part ? " from now on" : ""));
+      (was_participating ? " from now on" : ""));
 }
 
 void RaftContext::run_deferred_callbacks() {
   while (!deferred_callbacks.empty()) {
-    const auto next = std::move(deferred_callbacks.front());
+    const auto callback = std::move(deferred_callbacks.front());
     deferred_callbacks.pop_front();
-    next();
+    callback();
   }
 }
 
--- a/src/consensus/raft_messages.cpp
+++ b/src/consensus/raft_messages.cpp
@@ -33,10 +33,10 @@
   to.set_previous_term(from.prev_log_term);
   to.set_commit_index(from.leader_commit);
   for (const raft_entry& entry : std::span(from.entries, from.n_entries)) {
-    pb::LogEntry& written = *to.add_entries();
-    written.set_term(entry.term);
-    written.set_type(entry.type);
-    written.set_data(to_string(entry.buf));
+    pb::LogEntry& log_entry = *to.add_entries();
+    log_entry.set_term(entry.term);
+    log_entry.set_type(entry.type);
+    log_entry.set_data(to_string(entry.buf));
   }
 }
 
@@ -86,15 +86,15 @@
   RaftPtr<char> batch(static_cast<char*>(raft_malloc(size)));
   if (!entries || !batch) return false;
   char* data = batch.get();
-  raft_entry* read = entries.get();
+  raft_entry* entry_out = entries.get();
   for (const pb::LogEntry& entry : from.entries()) {
-    read->term = entry.term();
-    read->type = static_cast<unsigned short>(entry.type());
-    read->buf = {data, entry.data().size()};
-    read->batch = batch.get();
+    entry_out->term = entry.term();
+    entry_out->type = static_cast<unsigned short>(entry.type());
+    entry_out->buf = {data, entry.data().size()};
+    entry_out->batch = batch.get();
     std::memcpy(data, entry.data().data(), entry.data().size());
     data += entry.data().size();
-    ++read;
+    ++entry_out;
   }
   to.entries = entries.release();
   static_cast<void>(batch.release());  // owned by the entries
--- a/src/routing/attempt_feedback.cpp
+++ b/src/routing/attempt_feedback.cpp
@@ -40,12 +40,12 @@
 FillKind AttemptFeedback::fill_kind_of(const AttemptRecord& attempt) const {
   if (!attempt.has_source()) return FillKind::none;
   if (attempt.is_cached_only) return FillKind::parent_cached;
-  return deps_.endpoints[attempt.source].role == Role::origin ? FillKind::origin : FillKind::parent;
+  return dependencies_.endpoints[attempt.source].role == Role::origin ? FillKind::origin : FillKind::parent;
 }
 
 void AttemptFeedback::decrement_in_flight(const AttemptRecord& attempt) {
-  --deps_.endpoints[attempt.endpoint].in_flight;
-  if (attempt.has_source()) --deps_.endpoints[attempt.source].in_flight;
+  --dependencies_.endpoints[attempt.endpoint].in_flight;
+  if (attempt.has_source()) --dependencies_.endpoints[attempt.source].in_flight;
 }
 
 void AttemptFeedback::record_outcome(Time now, const PendingRequest& pending, AttemptRecord& attempt,
@@ -53,11 +53,11 @@
   attempt.is_open = false;
   attempt.is_malformed = outcome.result == AttemptResult::malformed_response;
   decrement_in_flight(attempt);
-  EndpointStats& endpoint = deps_.endpoints[attempt.endpoint];
+  EndpointStats& endpoint = dependencies_.endpoints[attempt.endpoint];
   const FillKind fill_kind = fill_kind_of(attempt);
-  deps_.fills.record_attempt_ended(now, fill_kind);
+  dependencies_.fills.record_attempt_ended(now, fill_kind);
   if (endpoint.role == Role::cache && outcome.report && outcome.report->link_utilization) {
-    deps_.fills.record_link_utilization(*outcome.report->link_utilization);
+    dependencies_.fills.record_link_utilization(*outcome.report->link_utilization);
   }
   endpoint.health.record_attempt(outcome.result == AttemptResult::error);
   record_result({.now = now,
@@ -65,7 +65,7 @@
                  .attempt = attempt,
                  .outcome = outcome,
                  .endpoint = endpoint,
-                 .source = deps_.endpoints[attempt.source],
+                 .source = dependencies_.endpoints[attempt.source],
                  .fill_kind = fill_kind});
 }
 
@@ -76,7 +76,7 @@
       break;
     case AttemptResult::cache_miss:
       if (ended.fill_kind == FillKind::none || ended.fill_kind == FillKind::parent_cached) {
-        deps_.fills.record_cache_miss(ended.fill_kind);
+        dependencies_.fills.record_cache_miss(ended.fill_kind);
       } else {
         record_failed(ended);
       }
@@ -103,7 +103,7 @@
   const PendingRequest& pending = ended.pending;
   EndpointStats& endpoint = ended.endpoint;
   if (!pending.is_size_known) {
-    deps_.work.record(class_index(pending.request), to_seconds(ended.outcome.duration));
+    dependencies_.work.record(class_index(pending.request), to_seconds(ended.outcome.duration));
   }
   const double relative_latency = relative_latency_of(ended.outcome, pending);
   const bool is_cache_hit = is_hit(ended.outcome.cache_status);
@@ -114,11 +114,11 @@
   } else {
     endpoint.limit.increase(endpoint.in_flight);
   }
-  if (endpoint.role == Role::cache) deps_.slow_start.record_served(Role::cache, pending.work);
+  if (endpoint.role == Role::cache) dependencies_.slow_start.record_served(Role::cache, pending.work);
 
   if (ended.fill_kind == FillKind::none) return;
   if (is_cache_hit) {
-    deps_.fills.record_hit(ended.fill_kind);
+    dependencies_.fills.record_hit(ended.fill_kind);
   } else {
     record_served_fill(ended, relative_latency);
   }
@@ -128,21 +128,22 @@
   const Outcome& outcome = ended.outcome;
   EndpointStats& source = ended.source;
   const bool is_in_time = relative_latency <= 1;
-  if (source.role == Role::parent) deps_.slow_start.record_served(Role::parent, ended.pending.work);
+  if (source.role == Role::parent) dependencies_.slow_start.record_served(Role::parent, ended.pending.work);
   if (outcome.cache_status != CacheStatus::unknown) source.health.record_success();
   if (!ended.attempt.is_latency_recorded) source.health.record_latency(relative_latency);
   if (is_in_time) source.limit.increase(source.in_flight);
-  deps_.fills.record_filled(ended.fill_kind, is_in_time, outcome.cache_status);
+  dependencies_.fills.record_filled(ended.fill_kind, is_in_time, outcome.cache_status);
   if (ended.attempt.is_overdue) return;  // record_overdue_attempts() has counted it
   const Time beyond_transfer = std::max(Time{0}, outcome.duration - from_seconds(ended.pending.work));
-  deps_.fills.record_fill_time(ended.pending, is_in_time, outcome.first_byte.value_or(beyond_transfer));
+  dependencies_.fills.record_fill_time(ended.pending, is_in_time,
+                                       outcome.first_byte.value_or(beyond_transfer));
 }
 
 /// Records an error, a rejection, or a cache miss although the attempt allowed a fill.
 void AttemptFeedback::record_failed(const EndedAttempt& ended) {
   const bool is_status_unknown = ended.outcome.cache_status == CacheStatus::unknown;
   if (is_status_unknown && ended.outcome.result == AttemptResult::error &&
-      has_outlier_error_rate(deps_.endpoints, ended.endpoint)) {
+      has_outlier_error_rate(dependencies_.endpoints, ended.endpoint)) {
     blame_endpoint(ended.endpoint);
     return;
   }
@@ -150,7 +151,7 @@
     blame_endpoint(ended.endpoint);
     return;
   }
-  if (!ended.attempt.is_overdue) deps_.fills.record_rejected(ended.fill_kind);
+  if (!ended.attempt.is_overdue) dependencies_.fills.record_rejected(ended.fill_kind);
   blame_endpoint_or_source(ended);
 }
 
@@ -173,8 +174,9 @@
     if (!attempt.is_open || attempt.is_latency_recorded) continue;
     if (now - attempt.sent_at < hedge_delay(pending.latency_objective)) continue;
     attempt.is_latency_recorded = true;
-    deps_.endpoints[attempt.endpoint].health.record_latency(kSilentAttemptLatency);
-    if (attempt.has_source()) deps_.endpoints[attempt.source].health.record_latency(kSilentAttemptLatency);
+    dependencies_.endpoints[attempt.endpoint].health.record_latency(kSilentAttemptLatency);
+    if (attempt.has_source())
+      dependencies_.endpoints[attempt.source].health.record_latency(kSilentAttemptLatency);
   }
 }
 
@@ -182,19 +184,19 @@
   OverdueAttempts overdue;
   for (AttemptRecord& attempt : pending.attempts) {
     if (!attempt.is_open) continue;
-    EndpointStats& endpoint = deps_.endpoints[attempt.endpoint];
-    EndpointStats& source = deps_.endpoints[attempt.source];  // the endpoint itself without a fill
+    EndpointStats& endpoint = dependencies_.endpoints[attempt.endpoint];
+    EndpointStats& source = dependencies_.endpoints[attempt.source];  // the endpoint itself without a fill
     if (endpoint.limit.is_reached(endpoint.in_flight) || source.limit.is_reached(source.in_flight)) {
       overdue.is_at_capacity = true;
     }
     if (std::exchange(attempt.is_overdue, true)) continue;
     source.limit.decrease();
     endpoint.health.record_latency(kWorstLatency);
-    deps_.fills.record_overdue(fill_kind_of(attempt));
+    dependencies_.fills.record_overdue(fill_kind_of(attempt));
     if (!attempt.has_source()) continue;
     overdue.has_newly_overdue_fill = true;
     endpoint.limit.decrease(kSharedBlameRatio);
-    deps_.fills.record_fill_time(pending, false, now - attempt.sent_at);
+    dependencies_.fills.record_fill_time(pending, false, now - attempt.sent_at);
   }
   return overdue;
 }
--- a/src/routing/attempt_feedback.h
+++ b/src/routing/attempt_feedback.h
@@ -30,7 +30,7 @@
 
 class AttemptFeedback {
  public:
-  explicit AttemptFeedback(const FeedbackDependencies& dependencies) : deps_(dependencies) {}
+  explicit AttemptFeedback(const FeedbackDependencies& dependencies) : dependencies_(dependencies) {}
 
   /// Records the outcome of an open attempt and closes the attempt.
   void record_outcome(Time now, const PendingRequest& pending, AttemptRecord& attempt,
@@ -62,7 +62,7 @@
   void record_failed(const EndedAttempt& ended);
   static void blame_endpoint_or_source(const EndedAttempt& ended);
 
-  FeedbackDependencies deps_;
+  FeedbackDependencies dependencies_;
 };
 
 }  // namespace edge_proxy::routing
--- a/src/routing/attempt_planner.h
+++ b/src/routing/attempt_planner.h
@@ -36,7 +36,7 @@
 
 class AttemptPlanner {
  public:
-  explicit AttemptPlanner(const PlannerDependencies& dependencies) : deps_(dependencies) {}
+  explicit AttemptPlanner(const PlannerDependencies& dependencies) : dependencies_(dependencies) {}
 
   /// Returns the route of the next attempt, or nothing if no attempt is possible. `work` is the size of the
   /// request for slow start, in seconds of transfer.
@@ -58,9 +58,9 @@
   [[nodiscard]] SourceChoice choose_source(Time now, const PendingRequest& pending, double work);
   [[nodiscard]] std::optional<std::size_t> choose_cache(Time now, const PendingRequest& pending,
                                                         double work) const;
-  [[nodiscard]] bool is_below_limit(std::size_t endpoint) const;
+  [[nodiscard]] bool is_below_concurrency_limit(std::size_t endpoint) const;
 
-  PlannerDependencies deps_;
+  PlannerDependencies dependencies_;
 };
 
 }  // namespace edge_proxy::routing
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -12,7 +12,7 @@
     for (EndpointStats& stats : endpoints_) stats.endpoint.state = EndpointState::removed;
   }
   for (const Endpoint& endpoint : list.endpoints) update_endpoint(endpoint);
-  for (std::size_t index = 0; index < endpoints_.size(); ++index) remove_if_unused(index);
+  for (std::size_t index = 0; index < endpoints_.size(); ++index) free_if_unused(index);
 }
 
 void EndpointTable::update_endpoint(const Endpoint& endpoint) {
@@ -45,12 +45,12 @@
 
 void EndpointTable::remove_reference(std::size_t index) {
   --endpoints_[index].references;
-  remove_if_unused(index);
+  free_if_unused(index);
 }
 
 /// Frees the entry of a removed endpoint once no pending request refers to it, for reuse by a new endpoint.
 /// This bounds the memory when endpoints are replaced again and again.
-void EndpointTable::remove_if_unused(std::size_t index) {
+void EndpointTable::free_if_unused(std::size_t index) {
   const EndpointStats& stats = endpoints_[index];
   if (stats.endpoint.state != EndpointState::removed || stats.references > 0) return;
   if (index_by_id_.erase(stats.endpoint.id) == 0) return;  // already freed
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -65,7 +65,7 @@
   void update_endpoint(const Endpoint& endpoint);
   std::size_t find_or_add(const std::string& id);
   [[nodiscard]] Role role_of(const Endpoint& endpoint) const;
-  void remove_if_unused(std::size_t index);
+  void free_if_unused(std::size_t index);
 
   const Settings& settings_;
   std::vector<EndpointStats> endpoints_;
--- a/tests/support/scenario.cpp
+++ b/tests/support/scenario.cpp
@@ -16,7 +16,7 @@
   for (int shift = 24; shift >= 0; shift -= 8) out.push_back(static_cast<char>(value >> shift & 0xffU));
   return out;
 }
-std::string thrift_string(const std::string& value) {
+std::string length_prefixed(const std::string& value) {
   return u32_bytes(static_cast<std::uint32_t>(value.size())) + value;
 }
 std::uint32_t read_u32(const std::string& bytes, std::size_t at) {
@@ -27,9 +27,9 @@
 }
 
 std::string thrift_message(int type, const std::string& method, int seqid, const std::string& arguments) {
-  const std::string payload = u32_bytes(0x80010000U | static_cast<unsigned>(type)) + thrift_string(method) +
+  const std::string payload = u32_bytes(0x80010000U | static_cast<unsigned>(type)) + length_prefixed(method) +
                               u32_bytes(static_cast<std::uint32_t>(seqid)) + arguments + std::string(1, '\0');
-  return thrift_string(payload);
+  return length_prefixed(payload);
 }
 
 std::string hex_id(int number) {
@@ -42,13 +42,13 @@
 
 /// A message that a peer received.
 struct ReceivedMessage {
-  std::string word;
+  std::string kind;
   std::string id;  // seqid, request id or tag of a health check
   Values values;
 };
 
 std::ostream& operator<<(std::ostream& out, const ReceivedMessage& message) {
-  out << message.word << ' ' << message.id;
+  out << message.kind << ' ' << message.id;
   for (const auto& [name, value] : message.values) out << ' ' << name << '=' << value.substr(0, 80);
   return out;
 }
@@ -56,7 +56,7 @@
 /// Reads a Thrift reply whose layout is known; it is not a general Thrift parser.
 ReceivedMessage read_frame(const std::string& frame) {
   std::size_t at = 4;
-  const auto next = [&] {
+  const auto read_string = [&] {
     const std::uint32_t size = read_u32(frame, at);
     std::string value = frame.substr(std::min(at + 4, frame.size()), size);
     at += 4 + size;
@@ -64,11 +64,11 @@
   };
   const int type = frame.size() > 3 ? frame[3] : 0;
   ReceivedMessage message;
-  const std::string method = next();
+  const std::string method = read_string();
   message.id = std::to_string(read_u32(frame, at));
   at += 4;
   if (type == 3) {
-    message.word = "exception";
+    message.kind = "exception";
     if (method == "process") message.values["unreadable"] = "1";
     return message;
   }
@@ -76,16 +76,16 @@
   at += 3;
   at += 3;  // the header of the first field in the nested struct
   if (field == 0) {
-    message.values["body"] = next();
+    message.values["body"] = read_string();
     at += 3;
   }
   at += 2;
   for (std::uint32_t left = read_u32(frame, std::exchange(at, at + 4)); left > 0; --left) {
-    const std::string name = next();
-    message.values[name] = next();
+    const std::string name = read_string();
+    message.values[name] = read_string();
   }
   const bool is_ready = field == 0 && frame.at(at + 3) == 1;
-  message.word = field == 1          ? "refused"
+  message.kind = field == 1          ? "refused"
                  : field == 2        ? "failed"
                  : method == "probe" ? (is_ready ? "ready" : "unready")
                                      : "served";
@@ -175,7 +175,8 @@
       harness_.send(peer, rest(input) + "\r\n");
     } else if (word == "raw") {
       std::string bytes;
-      for (std::string pair; input >> pair;) bytes.push_back(static_cast<char>(std::stoi(pair, nullptr, 16)));
+      for (std::string hex_byte; input >> hex_byte;)
+        bytes.push_back(static_cast<char>(std::stoi(hex_byte, nullptr, 16)));
       send_or_cork(peer, bytes);
     } else if (is_operator(peer)) {
       harness_.send(peer, word + " " + rest(input) + " HTTP/1.1\r\nHost: edge\r\n\r\n");
@@ -233,20 +234,20 @@
     }
     std::string map =
         std::string("\x0d\0\1\x0b\x0b", 5) + u32_bytes(static_cast<std::uint32_t>(fields.size()));
-    for (const auto& [name, value] : fields) map += thrift_string(name) + thrift_string(value);
+    for (const auto& [name, value] : fields) map += length_prefixed(name) + length_prefixed(value);
     send_or_cork(
-        peer, thrift_message(1, "process", number, map + std::string("\x0b\0\2", 3) + thrift_string(body)));
+        peer, thrift_message(1, "process", number, map + std::string("\x0b\0\2", 3) + length_prefixed(body)));
   }
 
   /// Splits the bytes that the peer has received into messages.
   void read_messages(const std::string& peer) {
-    std::string& bytes = bytes_[peer] += harness_.take_received(peer);
+    std::string& bytes = unparsed_bytes_[peer] += harness_.take_received(peer);
     while (true) {
       ReceivedMessage message;
       if (is_discovery(peer)) {
         const std::size_t end = bytes.find("\r\n\r\n");
         if (end == std::string::npos) return;
-        message.word = bytes.rfind("GET /bulletins ", 0) == 0 ? "get" : "unknown";
+        message.kind = bytes.rfind("GET /bulletins ", 0) == 0 ? "get" : "unknown";
         const std::size_t at = bytes.find("Last-Event-ID: ") + 15;
         message.values["last"] = bytes.substr(at, bytes.find("\r\n", at) - at);
         bytes.erase(0, end + 4);
@@ -255,7 +256,7 @@
         if (end == std::string::npos) return;
         const std::size_t length = std::stoul(bytes.substr(at + 16));
         if (bytes.size() < end + 4 + length) return;
-        message.word = bytes.substr(9, 3);
+        message.kind = bytes.substr(9, 3);
         message.values["body"] = "\n" + bytes.substr(end + 4, length);
         bytes.erase(0, end + 4 + length);
       } else if (is_member(peer)) {
@@ -264,8 +265,8 @@
         std::istringstream input(bytes.substr(0, end));
         std::string fields;
         std::size_t length = 0;
-        input >> message.word >> message.id >> fields >> length;
-        const bool has_body = message.word == "serve";
+        input >> message.kind >> message.id >> fields >> length;
+        const bool has_body = message.kind == "serve";
         if (has_body && bytes.size() < end + 4 + length) return;
         message.values = fields_of(fields);
         if (has_body) message.values["body"] = bytes.substr(end + 2, length);
@@ -317,7 +318,7 @@
     })) << "no message was received";
     const ReceivedMessage message = messages.front();
     messages.pop_front();
-    EXPECT_EQ(message.word, word) << "received: " << message;
+    EXPECT_EQ(message.kind, word) << "received: " << message;
     if (is_operator(peer)) {
       for (std::string line; input >> line;)
         EXPECT_NE(message.values.at("body").find("\n" + line + "\n"), std::string::npos)
@@ -355,7 +356,7 @@
 
   ProxyHarness& harness_;
   std::map<std::string, std::string> corked_;
-  std::map<std::string, std::string> bytes_;
+  std::map<std::string, std::string> unparsed_bytes_;
   std::map<std::string, std::deque<ReceivedMessage>> received_messages_;
 };
 
@@ -381,10 +382,10 @@
 
 std::string member_json(const std::string& id, const std::string& address, const std::string& phase,
                         long long up_since_ms) {
-  const bool box = id.rfind("box", 0) == 0;
-  const std::string flavor = box ? "small-box" : id == "main" ? "origin" : "parent";
+  const bool is_cache = id.rfind("box", 0) == 0;
+  const std::string flavor = is_cache ? "small-box" : id == "main" ? "origin" : "parent";
   return R"({"id":")" + id + R"(","host_port":")" + address + R"(","locality":")" +
-         (box ? "edge-1" : "north") + R"(","flavor":")" + flavor + R"(","cell":0,"phase":")" + phase +
+         (is_cache ? "edge-1" : "north") + R"(","flavor":")" + flavor + R"(","cell":0,"phase":")" + phase +
          R"(","size":4,"up_since_ms":)" + std::to_string(up_since_ms) + "}";
 }
 
