--- a/src/admission/fill_admission.h
+++ b/src/admission/fill_admission.h
@@ -13,16 +13,16 @@
 /// With hundreds of routers, the requests in flight of a single router do not show this overload. Only
 /// somewhat more fills are admitted than recently completed in time, the cheapest first. This covers a slow
 /// origin, an invalidation of many groups, a saturated link and lost parents. Drawback: some fills are denied
-/// even if only few are requested.
+/// even at low demand.
 ///
-/// All counts decay exponentially, with a time constant of about a second.
+/// All counts decay exponentially, with a time constant of one second.
 class FillAdmission {
  public:
   using Time = std::chrono::microseconds;
 
-  /// Whether a fill may be requested. `cost` is the time for which the fill occupies the shared resource,
-  /// divided by its value, in any unit common to all fills; it must be greater than 0. `max_ratio` is the
-  /// upper bound on the fraction of fills that are admitted, 0 to 1.
+  /// Whether to admit a fill. `cost` is the time for which the fill occupies the
+  /// shared resource, divided by its value, in any unit common to all fills; it must be greater than 0.
+  /// `max_ratio` is the upper bound on the fraction of fills that are admitted, 0 to 1.
   bool admit(Time now, double cost, double max_ratio);
 
   /// Decays the counts to `now`. It must be called before the results of an attempt that ends at `now` are
@@ -34,7 +34,7 @@
   void record_in_time() { in_time_ += 1; }            ///< the fill was in time
   void record_rejected() { rejected_ += 1; }          ///< the fill was late, rejected or failed
   void record_timeout() { timed_out_ += 1; }          ///< no response within the latency objective
-  void record_hit();                                  ///< an admitted fill did not use the source
+  void record_hit();  ///< an admitted fill did not use the source: its credit is returned
 
   // Results of attempts without a fill from this source.
   void record_denied() { denied_ += 1; }                    ///< a cache miss for which no fill was requested
@@ -58,7 +58,7 @@
   double cached_ = 0;
   double cached_timed_out_ = 0;
 
-  double credit_ = 1;  // number of fills that may be requested
+  double credit_ = 1;  // number of fills that may still be admitted
   Time decayed_at_{0};
   std::array<double, kRecentCosts> recent_costs_{};  // ring buffer of the newest costs
   std::size_t costs_recorded_ = 0;
--- a/src/config/membership_config.cpp
+++ b/src/config/membership_config.cpp
@@ -101,14 +101,15 @@
 void read_intervals(const Fields& section, membership::Settings& settings) {
   settings.probe_interval = read_interval(section, "probe_every", settings.probe_interval);
   settings.probe_timeout = read_interval(section, "probe_timeout", settings.probe_timeout);
-  // A longer timeout could start indirect probes after the end of the probe interval.
+  // Indirect probes start after probe_timeout; they need at least as much time before the probe interval
+  // ends.
   if (settings.probe_timeout * 2 > settings.probe_interval) {
     section.fail("probe_timeout", "should be half of probe_every at most");
   }
   settings.min_suspicion_timeout = read_interval(section, "suspicion_least", settings.min_suspicion_timeout);
   settings.full_sync_interval = read_interval(section, "exchange_every", settings.full_sync_interval);
   settings.reconnect_interval = read_interval(section, "seek_every", settings.reconnect_interval);
-  // Keeps the lease from expiring between two probe rounds, even with max_members members.
+  // The default lease does not expire between two probe rounds, even with max_members members.
   const Time probe_rounds_duration =
       kProbeRoundsPerQuotaLease * settings.probe_interval * static_cast<int>(settings.max_members);
   settings.quota_lease =
@@ -131,7 +132,7 @@
   const auto fleet_size = static_cast<std::size_t>(std::max(1, proxy.fleet_size));
   settings.expected_members =
       read_size(section, "expected", fleet_size, {1, static_cast<int>(settings.max_members)});
-  // Streams may take only a small part of the descriptors, as these are not available to the upstream pool
+  // Streams may use only a small part of the descriptors: those are not available to the upstream pool
   // (proxy/resource_limits.h).
   const int max_streams = std::max(1, proxy.max_descriptors / kMinDescriptorsPerStream);
   config.max_streams =
--- a/src/consensus/raft_messages.cpp
+++ b/src/consensus/raft_messages.cpp
@@ -77,10 +77,10 @@
   return true;
 }
 
-/// The data of all entries is stored in one block, the batch: libraft frees the entries of a message
-/// together, even if it already has some of them.
+/// Returns false if there is not enough memory. The data of all entries is stored in one block, the batch:
+/// libraft frees the entries of a message together, even if its log already contains some of them.
 bool read_entries(const pb::AppendEntries& from, raft_append_entries& to) {
-  std::size_t size = 1;
+  std::size_t size = 1;  // raft_malloc(0) may return null
   for (const pb::LogEntry& entry : from.entries()) size += entry.data().size();
   auto entries = allocate_zeroed<raft_entry>(to.n_entries);
   RaftPtr<char> batch(static_cast<char*>(raft_malloc(size)));
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -120,7 +120,7 @@
   const Reachability before = std::exchange(member.reachability, reachability);
   member.reachability_since = context_.now;
   if (before == Reachability::unknown && reachability == Reachability::direct) return;
-  context_.log("peer way name=" + member.update.name + " way=" + std::string(name_of(reachability)) +
+  context_.log("peer reachability name=" + member.update.name + " way=" + std::string(name_of(reachability)) +
                " before=" + std::string(name_of(before)));
 }
 
--- a/src/membership/refutation.h
+++ b/src/membership/refutation.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Handles updates of this member's own name: refutes suspicions with a higher incarnation, rejoins after it
-/// was forgotten, and detects other processes that use its name.
+/// Handles membership updates that carry this member's own name: refutes suspicions with a higher
+/// incarnation, rejoins in a new epoch after an operator has forgotten this member, and detects other
+/// processes that use its name.
 #pragma once
 
 #include <functional>
--- a/src/routing/attempt_planner.cpp
+++ b/src/routing/attempt_planner.cpp
@@ -10,8 +10,9 @@
 namespace edge_proxy::routing {
 namespace {
 
-/// Returns the endpoints (or sources) of the earlier attempts, which the next attempt excludes. An endpoint
-/// whose response was malformed is not excluded: the request has run there, so the endpoint has the copy.
+/// Returns the indices of the endpoints (or sources) of the earlier attempts, which the next attempt
+/// excludes. An endpoint whose response was malformed is not excluded: it has processed the request, so it
+/// has the copy.
 std::vector<std::size_t> earlier_indices(const PendingRequest& pending,
                                          std::size_t AttemptRecord::*index_field) {
   std::vector<std::size_t> indices;
@@ -51,17 +52,19 @@
   auto endpoint = choose_cache(now, pending, work);
   if (!endpoint && dependencies_.settings.direct_to_sources) endpoint = source;
   if (!endpoint) return std::nullopt;
-  // Without a source, because all are full, the attempt is served only from what the cache holds.
+  // Without a source, because none can be selected or the fill is not admitted, the attempt is served only
+  // from what the cache holds.
   return Route{.endpoint = *endpoint,
                .source = source.value_or(*endpoint),
                .is_cached_only = is_cached_only,
                .work = work};
 }
 
-/// If no parent can be selected, the fill goes to the origin while the origin answers in time: it may have
-/// capacity when parents are lost or warming up. If admission denies a fill from the parents, the fill does
-/// not go to the origin instead: the origin also serves the parents' misses, and a fill that bypasses the
-/// parents leaves no copy for the other locations. A parent may still serve what it has cached.
+/// If no parent can be selected, the fill goes to the origin while the origin is below its concurrency limit
+/// (late responses lower it): it may have capacity when parents are lost or warming up. If admission denies a
+/// fill from the parents, the fill does not go to the origin instead: the origin also serves the parents'
+/// misses, and a fill that bypasses the parents leaves no copy for the other locations. A parent may still
+/// serve what it has cached.
 AttemptPlanner::SourceChoice AttemptPlanner::choose_source(Time now, const PendingRequest& pending,
                                                            double work) {
   const auto origin = dependencies_.endpoints.origin();
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -49,7 +49,7 @@
 }
 
 /// Frees the entry of a removed endpoint once no pending request refers to it, for reuse by a new endpoint.
-/// This bounds the memory when endpoints are replaced again and again.
+/// This bounds the memory when endpoints are replaced repeatedly.
 void EndpointTable::free_if_unused(std::size_t index) {
   const EndpointStats& stats = endpoints_[index];
   if (stats.endpoint.state != EndpointState::removed || stats.references > 0) return;
--- a/src/routing/popularity.h
+++ b/src/routing/popularity.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Popularity of parts of objects. Assigns the rank (gold, silver, bronze) at which caches store a part, from
-/// this router's own requests in a sliding window. Prevents parts that are requested once from displacing
-/// frequently requested parts in the caches.
+/// Popularity of parts of objects. Assigns each part a tier (gold, silver, bronze), and with it the rank at
+/// which caches store the part, from this router's own requests in a sliding window. Prevents parts that are
+/// requested once from displacing frequently requested parts in the caches.
 #pragma once
 
 #include <cstddef>
--- a/tests/support/scenario.h
+++ b/tests/support/scenario.h
@@ -5,13 +5,20 @@
 /// against the started program over loopback.
 ///
 ///     # a comment
-///     CLIENT send NUMBER CLASS [field=value ...] [body=TEXT]   a request; seqid and ids are derived from
-///     NUMBER CLIENT send giveUp NUMBER | probe NUMBER | dance NUMBER  other calls; the service has no method
-///     "dance" CLIENT send raw HEX CLIENT expect served|refused|failed|exception|ready|unready NUMBER
-///     [field=value ...] [body=TEXT] MEMBER send WORD NUMBER [field=value,... [BODY]]         a response;
-///     WORD is a status of the protocol MEMBER send raw TEXT                                     CR LF is
-///     appended MEMBER expect serve|cancel NUMBER [field=value ...] [body=TEXT] MEMBER expect gauges bulletin
-///     send head | comment | JSON | raw TEXT           \\n stands for CR LF bulletin expect get last=NUMBER
+///     CLIENT send NUMBER CLASS [field=value ...] [body=TEXT]
+///                                a request; seqid and ids are derived from NUMBER
+///     CLIENT send giveUp NUMBER | probe NUMBER | dance NUMBER
+///                                other calls; the service has no method "dance"
+///     CLIENT send raw HEX
+///     CLIENT expect served|refused|failed|exception|ready|unready NUMBER [field=value ...] [body=TEXT]
+///     MEMBER send WORD NUMBER [field=value,... [BODY]]
+///                                a response; WORD is a status of the protocol
+///     MEMBER send raw TEXT       CR LF is appended
+///     MEMBER expect serve|cancel NUMBER [field=value ...] [body=TEXT]
+///     MEMBER expect gauges
+///     bulletin send head | comment | JSON | raw TEXT
+///                                a backslash and n in the raw TEXT stand for CR LF
+///     bulletin expect get last=NUMBER
 ///     PEER expect nothing | closed
 ///     PEER close [reset]         closes or resets the peer's connections
 ///     PEER close half            shuts down the peer's side of its connections
