--- a/src/proxy/admin/admin_call.cpp
+++ b/src/proxy/admin/admin_call.cpp
@@ -8,10 +8,10 @@
 namespace edge_proxy::proxy {
 namespace {
 
-/// Stands in a path for the name of an endpoint, member or voter, which may hold slashes.
+/// Matches the name of an endpoint, member or voter in a path; the name may contain slashes.
 constexpr char kTargetPlaceholder = '*';
 
-/// One admin call: the method and path by which it is made.
+/// The method and path of an admin operation.
 struct AdminRoute {
   std::string_view method;
   std::string_view path;
@@ -32,8 +32,8 @@
     {"POST", "/v1/policy/voters/*/remove", AdminOperation::remove_voter},
 }};
 
-/// The name that the path holds in the place of the pattern's placeholder, empty where the pattern has none;
-/// nothing where the path does not match.
+/// Returns the part of the path that matches the placeholder of the pattern; empty if the pattern has none,
+/// and nullopt if the path does not match.
 std::optional<std::string_view> match_path(std::string_view path, std::string_view pattern) {
   const std::size_t placeholder = pattern.find(kTargetPlaceholder);
   if (placeholder == std::string_view::npos) {
--- a/src/proxy/admin/admin_call.h
+++ b/src/proxy/admin/admin_call.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The calls that operators can make at the admin address, and how each is read from its HTTP request.
+/// The calls that operators can make at the admin address, and their parsing from HTTP requests.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace edge_proxy::proxy {
 
-/// What operators can ask for.
+/// The operations of the admin interface.
 enum class AdminOperation {
   ready,
   metrics,
@@ -22,17 +22,17 @@
   abort_policy,
   add_voter,
   remove_voter,
-  unknown,      ///< no call has this path
-  wrong_method  ///< the path is known, but not with this method
+  unknown,      ///< no operation has this path
+  wrong_method  ///< the path exists, but not with this method
 };
 
 struct AdminCall {
   AdminOperation operation = AdminOperation::unknown;
-  std::string target;  ///< the endpoint, member or voter that the path names
-  std::string body;    ///< of put_policy
+  std::string target;  ///< name of the endpoint, member or voter in the path
+  std::string body;    ///< set for put_policy
 };
 
-/// Finds the call in the table of admin calls.
+/// Looks up the operation by path and method.
 [[nodiscard]] AdminCall read_admin_call(const codec::HttpCall& call);
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/admin/admin_connections.cpp
+++ b/src/proxy/admin/admin_connections.cpp
@@ -18,7 +18,7 @@
   return connections_.size() >= static_cast<std::size_t>(context_.limits.admin_connections);
 }
 
-/// The oldest that has no answer yet, or else the oldest: ids rise with time.
+/// Returns the oldest connection without a response, or else the oldest: connection ids increase with time.
 ConnectionId AdminConnections::connection_to_evict() const {
   const auto unanswered = std::find_if(connections_.begin(), connections_.end(),
                                        [](const auto& entry) { return !entry.second.answered_at; });
@@ -29,7 +29,8 @@
   AdminConnection& sender = connections_.at(connection);
   sender.reader.feed(bytes);
   if (const auto call = sender.reader.next()) return read_admin_call(*call);
-  if (sender.reader.is_broken() && !sender.answered_at) reply(connection, kHttpBadRequest, "unreadable\n");
+  if (sender.reader.is_broken() && !sender.answered_at)
+    reply(connection, kHttpBadRequest, "unreadable\n");
   return std::nullopt;
 }
 
@@ -62,7 +63,7 @@
   for (const auto& [id, reason] : expired) end(id, reason, true);
 }
 
-/// Why the connection is to be closed, where it is.
+/// Returns the reason to close the connection; none if it has not expired.
 std::optional<CloseReason> AdminConnections::expiry_of(const AdminConnection& connection) const {
   if (connection.answered_at) {
     if (context_.now - *connection.answered_at < kDrainTimeout) return std::nullopt;
--- a/src/proxy/admin/admin_connections.h
+++ b/src/proxy/admin/admin_connections.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The connections at the admin address: one call each.
+/// The connections at the admin address. Each carries one call.
 #pragma once
 
 #include <cstddef>
@@ -15,25 +15,24 @@
 
 namespace edge_proxy::proxy {
 
-/// Reads calls from the admin connections and writes the answers.
+/// Parses the calls of the admin connections and writes the responses.
 class AdminConnections {
  public:
   explicit AdminConnections(Context& context) : context_(context) {}
 
-  /// Guards the descriptors against callers that connect and send nothing: the oldest connection makes room
-  /// for a new one.
+  /// Adds a connection. At the limit an old connection is closed first, so that callers that connect and send
+  /// nothing cannot hold all descriptors.
   void on_accepted(ConnectionId connection);
   [[nodiscard]] bool owns(ConnectionId connection) const { return connections_.contains(connection); }
-  /// The call, once it is complete. One that can't be read is answered here.
+  /// Returns the call once it is complete. A malformed call is answered here.
   std::optional<AdminCall> on_bytes(ConnectionId connection, std::string_view bytes);
-  /// Writes the answer; the connection ends once the other side has read it.
+  /// Writes the response and shuts down the sending side; the caller closes the connection after reading it.
   void reply(ConnectionId connection, int status, std::string_view body);
-  /// The connection ends; `close_connection`: this side closes it.
+  /// Removes a connection; `close_connection`: whether the proxy closes it, and not the caller.
   void end(ConnectionId connection, CloseReason reason, bool close_connection);
-  /// Closes connections whose call did not come in kAdminCallTimeout, or whose answer was not taken in
-  /// kDrainTimeout.
+  /// Closes connections whose call did not arrive within kAdminCallTimeout, or that the caller did not close
+  /// within kDrainTimeout after the response.
   void sweep();
-  /// Closes all connections.
   void stop();
 
  private:
--- a/src/proxy/admin/admin_handler.cpp
+++ b/src/proxy/admin/admin_handler.cpp
@@ -24,7 +24,7 @@
   is_target_known_ = changed.has_value();
   if (!changed) return {};
   dependencies_.context.log(std::string(is_suspension ? "suspended" : "resumed") + " member=" + call.target);
-  // A process that is started later reads them.
+  // Processes that start later load the overrides from disk.
   dependencies_.context.effects.emplace_back(PersistOverrides{endpoints.serialized_overrides()});
   return *changed;
 }
--- a/src/proxy/admin/admin_handler.h
+++ b/src/proxy/admin/admin_handler.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Carries out the calls that operators make at the admin address, and answers them.
+/// Executes the calls that operators make at the admin address, and answers them.
 #pragma once
 
 #include <optional>
@@ -17,10 +17,10 @@
 
 namespace edge_proxy::proxy {
 
-/// Decides on the answer to each call; the parts that it depends on do the work.
+/// Delegates the work of each call to other parts of the proxy and composes the response.
 class AdminHandler {
  public:
-  /// What it reads its answers from, or acts on.
+  /// The parts that the calls read or change.
   struct Dependencies {
     Context& context;
     AdminConnections& admin_connections;
@@ -33,12 +33,12 @@
   };
   explicit AdminHandler(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
-  /// Suspends or resumes the endpoint that the call names; nothing for other calls. Returns the endpoints
-  /// whose state has changed: all parts have to be notified of them before the call is answered.
+  /// Suspends or resumes the endpoint that the call names; other calls have no effect here. Returns the
+  /// endpoints whose state has changed; the caller must notify all parts of them before it answers the call.
   codec::EndpointUpdate execute(const AdminCall& call, Time now);
-  /// Carries out any other call and answers it, after execute(): a success is reported once all is done.
-  /// Changes of the policy are answered later, by PolicyController::take_replies(). `ready`: whether the
-  /// proxy can serve.
+  /// Executes all other calls and answers the call. Must be called after execute() and its notifications, so
+  /// that a success is reported only once it is complete. Policy changes are answered later by
+  /// PolicyController::take_replies(). `ready`: whether the proxy is ready for traffic.
   void reply(ConnectionId connection, const AdminCall& call, bool ready);
 
  private:
@@ -47,16 +47,16 @@
     std::string body;
   };
 
-  /// The answer to a call that is answered at once; none to one that waits for the policy's log.
+  /// Returns the response to a call that is answered at once; none if the call changes the policy.
   [[nodiscard]] std::optional<Reply> reply_to(const AdminCall& call, bool ready);
-  /// `not_found_body`: the body where there is no such report.
+  /// `not_found_body`: the response body if there is no report.
   [[nodiscard]] static Reply report_reply(std::optional<std::string> report, std::string not_found_body);
   [[nodiscard]] Reply forget_member(const std::string& name);
   [[nodiscard]] std::string metrics() const;
   void change_policy(ConnectionId connection, const AdminCall& call);
 
   Dependencies dependencies_;
-  bool is_target_known_ = false;  // whether the endpoint that the last call named was ever listed
+  bool is_target_known_ = false;  // whether the endpoint of the last suspend or resume call was ever listed
 };
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/admin/http_status.h
+++ b/src/proxy/admin/http_status.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The HTTP status codes with which admin calls are answered.
+/// The HTTP status codes of the admin interface.
 #pragma once
 
 namespace edge_proxy::proxy {
--- a/src/proxy/admin/metric.h
+++ b/src/proxy/admin/metric.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// One figure among those that the proxy exposes at its admin address.
+/// A metric that the proxy exposes at its admin address.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,12 @@
 namespace edge_proxy::proxy {
 
 enum class MetricKind {
-  counter,  ///< counts from the start of the process
-  gauge     ///< the value at the moment of the call
+  counter,  ///< counts events since the start of the process
+  gauge     ///< current value at the time of the call
 };
 
 struct Metric {
-  std::string name;  ///< without the prefix that all figures share
+  std::string name;  ///< without the common prefix
   std::uint64_t value = 0;
   MetricKind kind = MetricKind::gauge;
 };
--- a/src/proxy/admin/metrics.cpp
+++ b/src/proxy/admin/metrics.cpp
@@ -10,7 +10,7 @@
 
 std::string_view suffix_of(MetricKind kind) { return kind == MetricKind::counter ? "|c" : "|g"; }
 
-/// How the requests of one class ended.
+/// Adds the numbers of final answers to the requests of one class.
 void add_class_metrics(std::vector<Metric>& metrics, const PendingRequests& requests,
                        std::size_t request_class) {
   const auto& answers = requests.answer_counts()[request_class];
--- a/src/proxy/admin/metrics.h
+++ b/src/proxy/admin/metrics.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The body of the answer to `GET /v1/metrics` (docs/operations.md lists the figures).
+/// The response body of `GET /v1/metrics` (docs/operations.md lists the metrics).
 #pragma once
 
 #include <span>
@@ -14,11 +14,11 @@
 
 namespace edge_proxy::proxy {
 
-/// The figures on requests, attempts and endpoints, in the order in which they are listed.
+/// Returns the metrics of requests, attempts and endpoints in the order of the response.
 [[nodiscard]] std::vector<Metric> collect_request_metrics(const PendingRequests& requests,
                                                           const UpstreamPool& upstream, const Router& router);
 
-/// One line for each figure: `svc.NAME:VALUE|c` for a counter, `|g` for a gauge.
+/// Returns one line for each metric: `svc.NAME:VALUE|c` for a counter, `|g` for a gauge.
 [[nodiscard]] std::string format_metrics(std::span<const Metric> metrics);
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/admin/stats_log.h
+++ b/src/proxy/admin/stats_log.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Log lines on the attempts and requests of each second, for whoever looks for a bottleneck.
+/// Logs statistics of the attempts and requests of each second, for the analysis of bottlenecks.
 #pragma once
 
 #include <cstddef>
@@ -13,37 +13,37 @@
 
 namespace edge_proxy::proxy {
 
-/// Counts through a second and logs the sums at its end.
+/// Counts events for a second and logs the sums at its end.
 class StatsLog {
  public:
-  /// Events since the last line.
+  /// Numbers of events in the current second.
   struct SecondCounters {
     int accepted = 0;
     int attempts = 0;
     int served = 0;
     int served_locally = 0;
     int rejected = 0;
-    int rejected_early = 0;  ///< without asking the router
+    int rejected_early = 0;  ///< rejected by the admission checks, without the router
     int failed = 0;
     bool operator==(const SecondCounters&) const = default;
   };
-  /// Values at the moment of the line.
+  /// Current values at the time of the log line.
   struct Gauges {
     std::size_t pending_requests = 0;
     std::size_t attempts_in_flight = 0;
     Router::Stats router;
     std::size_t endpoints = 0;
-    std::size_t table_entries = 0;  ///< beside those of the router
+    std::size_t table_entries = 0;  ///< entries in tables other than the router's
     int connections = 0;
   };
 
   SecondCounters counters;
 
-  /// Counts an attempt that is over. One that was not served is logged, so that its request can be followed
-  /// by its id through all proxies. Guards the log against a fault that ends hundreds of them a second: no
-  /// more than kMaxFailedAttemptLinesPerSecond are, and the sums are logged all the same.
+  /// Counts a completed attempt. An attempt that was not served is also logged, so that its request can be
+  /// traced by its id through all proxies. A fault may fail hundreds of attempts per second, so at most
+  /// kMaxFailedAttemptLinesPerSecond such lines are written; the sums are not limited.
   void log_attempt(Context& context, const AttemptCompletion& attempt, AttemptResult result);
-  /// Logs the second that is over and starts the next.
+  /// Logs the sums of the current second and resets them.
   void log_second(Context& context, const Gauges& gauges);
 
  private:
--- a/src/proxy/client/client_call_handler.cpp
+++ b/src/proxy/client/client_call_handler.cpp
@@ -8,10 +8,10 @@
 namespace edge_proxy::proxy {
 namespace {
 
-/// Guards caches against work for a client that has cancelled already: its request and the cancel were read
-/// together. No answer is owed.
+/// Removes each request whose cancel was read together with it, so that no cache works for a client that no
+/// longer waits. A cancelled request gets no answer.
 void drop_cancelled_requests(std::vector<ClientCall>& calls) {
-  std::set<CallId> cancelled;  // by the calls behind the one looked at
+  std::set<CallId> cancelled;  // by calls that follow the current one
   for (std::size_t index = calls.size(); index-- > 0;) {
     if (const auto* cancel = std::get_if<CancelRequest>(&calls[index])) {
       cancelled.insert(cancel->id);
@@ -28,11 +28,11 @@
   std::vector<ClientCall> calls = dependencies_.connections.on_bytes(client, bytes);
   drop_cancelled_requests(calls);
   for (ClientCall& call : calls) {
-    // One of the calls before may have ended the connection.
+    // An earlier call may have closed the connection.
     if (dependencies_.connections.protocol(client) == nullptr) break;
     std::visit([&](auto& typed_call) { handle(client, typed_call); }, call);
   }
-  // Guards the other connections against a stream that can't be read any further: it alone is closed.
+  // A malformed stream closes only its own connection.
   if (dependencies_.connections.is_broken(client)) close_malformed_stream(client);
 }
 
@@ -83,7 +83,8 @@
   dependencies_.connections.reply(client, protocol.unknown_method_reply(call));
 }
 
-/// Ends a connection whose stream can't be followed any further, so that the client can still read why.
+/// Drains a connection whose stream can't be parsed any further; the client can still read the last reply,
+/// which names the reason.
 void ClientCallHandler::close_malformed_stream(ConnectionId client) {
   std::string last_reply = dependencies_.connections.protocol(client)->malformed_stream_reply();
   cancel(dependencies_.connections.drain(client, CloseReason::bad_frame, std::move(last_reply)));
--- a/src/proxy/client/client_call_handler.h
+++ b/src/proxy/client/client_call_handler.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What clients call for, answered here or handed on: the calls of a connection in their order, and what
-/// becomes of its requests when the connection ends.
+/// Handles the calls of client connections in the order of their arrival. Readiness checks and unknown
+/// methods are answered here; requests and cancels are passed to the dispatcher. When a connection closes,
+/// its pending requests are cancelled.
 #pragma once
 
 #include <string>
@@ -30,9 +31,9 @@
   explicit ClientCallHandler(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
   void on_bytes(ConnectionId client, std::string_view bytes);
-  /// The connection failed or was ended by the client: its requests are cancelled.
+  /// Handles a connection that failed or that the client closed: cancels its requests.
   void on_closed(ConnectionId client, CloseReason reason);
-  /// Ends the connections that should have ended by now, and cancels their requests.
+  /// Closes the connections whose time limits have expired, and cancels their requests.
   void close_expired();
 
  private:
--- a/src/proxy/client/client_connections.cpp
+++ b/src/proxy/client/client_connections.cpp
@@ -6,11 +6,11 @@
 namespace edge_proxy::proxy {
 namespace {
 
-// Ranks of connections for which others make room; see eviction_rank().
+// Ranks of connections in the order of eviction; see eviction_rank().
 constexpr int kNeverUsedRank = 1;
 constexpr int kIdleRank = 2;
 constexpr int kNewRank = 3;
-constexpr int kBusyRank = 4;  // never spared
+constexpr int kBusyRank = 4;  // never evicted
 
 }  // namespace
 
@@ -20,7 +20,7 @@
   client.protocol = make_thrift_protocol();
   client.opened_at = client.active_at = context_.now;
   client.message_started_at = context_.now;
-  // Guards the descriptors that the connections to the caches need.
+  // The limit keeps descriptors free for the connections to the caches.
   const bool is_full =
       connections_.size() - draining_.size() >= static_cast<std::size_t>(context_.limits.client_connections);
   const std::optional<ConnectionId> evicted = is_full ? connection_to_evict() : std::nullopt;
@@ -31,9 +31,10 @@
   while (connections_.size() > max_connections) close_oldest_draining();
 }
 
-/// Guards the clients that send requests against those that open connections by the hundred and say nothing:
-/// who has sent nothing for a while goes first, then the longest idle, which can ask again on a new one. A
-/// connection that has only just come up goes late: its first request may be on the way.
+/// Clients that open hundreds of connections without sending anything must not displace those that send
+/// requests. Connections without a message after kFirstByteTimeout are evicted first, then idle ones, the
+/// longest idle first, since their clients can reconnect. New connections are evicted last, since their first
+/// request may be in transit.
 int ClientConnections::eviction_rank(const ClientConnection& client) const {
   if (client.draining_for || !is_idle(client)) return kBusyRank;
   if (client.has_sent_message) return kIdleRank;
@@ -66,8 +67,7 @@
 std::vector<ClientCall> ClientConnections::on_bytes(ConnectionId id, std::string_view bytes) {
   ClientConnection& client = connections_.at(id);
   if (client.draining_for) {
-    // Guards the memory and the time of all against a client that goes on sending on a connection that
-    // drains.
+    // A client that keeps sending on a draining connection would use up memory and processing time.
     client.discarded_bytes += bytes.size();
     if (client.discarded_bytes > kMaxDiscardedBytes) close(id, *client.draining_for, ClosedBy::proxy);
     return {};
@@ -196,7 +196,7 @@
     return Expiry{*client.draining_for, CloseMode::close};
   }
   if (exceeds_unread_limits(client, inactive)) return Expiry{CloseReason::backlog, CloseMode::close};
-  // Guards the descriptors against clients that send nothing, or half a message, and stay.
+  // Clients that send nothing or an incomplete message must not hold descriptors.
   const bool awaits_message = client.message_started_at.count() != 0 && client.open_calls.empty();
   if (awaits_message && context_.now - client.message_started_at >= kMessageTimeout) {
     return Expiry{CloseReason::no_message, CloseMode::drain};
@@ -205,7 +205,7 @@
   return std::nullopt;
 }
 
-/// Guards the memory and the descriptors against clients that ask and never read.
+/// Clients that send requests but never read the replies must not hold memory and descriptors.
 bool ClientConnections::exceeds_unread_limits(const ClientConnection& client, Time inactive) const {
   if (client.unsent_bytes > context_.limits.disconnect_unsent_bytes) return true;
   return client.is_writing && client.open_calls.empty() && inactive >= context_.limits.unread_timeout;
--- a/src/proxy/client/client_connections.h
+++ b/src/proxy/client/client_connections.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The clients' connections: bytes in, calls out; replies in, bytes out. Which connections are kept, and
-/// which end for idleness, for a backlog or to make room, is decided here.
+/// The connections of the clients: parses received bytes into calls and writes replies. Decides which
+/// connections are closed because they are idle, have too many unread replies or must make room for new ones.
 #pragma once
 
 #include <cstdint>
@@ -23,38 +23,43 @@
 
   void on_accepted(ConnectionId id);
   [[nodiscard]] bool owns(ConnectionId id) const { return connections_.contains(id); }
-  /// The calls that are complete by now. On a malformed stream the calls before the fault are still answered.
+  /// Returns the calls that the bytes complete. On a malformed stream these are the calls before the error,
+  /// which are still answered.
   std::vector<ClientCall> on_bytes(ConnectionId id, std::string_view bytes);
-  /// Whether its stream can't be read any further, and nothing has been done about it yet.
+  /// Whether the stream can't be parsed any further and the connection is not draining yet.
   [[nodiscard]] bool is_broken(ConnectionId id) const;
 
-  /// None where the connection has ended, or is draining.
+  /// Returns null if the connection is closed or draining.
   ClientProtocol* protocol(ConnectionId id);
   void reply(ConnectionId id, std::string bytes);
   void on_write_drained(ConnectionId id);
-  /// Whether the client has so many open calls, or has left so much unread, that nothing more is accepted.
+  /// Whether the client has too many open calls or too many unread bytes for another request to be accepted.
   [[nodiscard]] bool is_backed_up(ConnectionId id) const;
 
   void add_open_call(ConnectionId id, CallId call, const std::string& request);
-  /// Forgets an open call; the id of its request, or an empty one.
+  /// Removes an open call and returns the id of its request; empty if there is no such call.
   std::string remove_open_call(ConnectionId id, CallId call);
 
-  /// Whether the client has an open call of that id.
   [[nodiscard]] bool has_open_call(ConnectionId id, CallId call) const;
-  /// Ends a connection so that the client can read all that was written, a last reply included; the requests
-  /// that were open on it. Every end that is decided here goes this way. Guards replies against the reset
-  /// that follows a close over unread bytes: what still comes is discarded until the client closes too.
+  /// Closes a connection in such a way that the client can read everything that was written, including the
+  /// last reply. Returns the requests that were open on it. Bytes that still arrive are discarded until the
+  /// client closes too: a close with unread bytes would send a reset, which may destroy unread replies.
+  /// close() is used instead only for clients that do not read, to free a descriptor and at the end of a
+  /// shutdown.
   std::vector<std::string> drain(ConnectionId id, CloseReason reason, std::string last_reply = {});
 
-  /// The client has closed the connection, or it is closed at once; the requests that were open on it.
+  /// Removes a connection that the client closed, or closes it at once. Returns the requests that were open
+  /// on it.
   std::vector<std::string> close(ConnectionId id, CloseReason reason, ClosedBy closed_by);
-  /// Ends the connections that should have ended by now; the requests that were open there.
+  /// Closes the connections whose time limits have expired or whose unread replies exceed a limit. Returns
+  /// the requests that were open on those closed at once.
   std::vector<std::string> close_expired();
-  /// Drains all that are owed no reply and on which nothing has happened for a moment.
+  /// Drains the connections that have no pending reply and have been inactive for a quiet period.
   void drain_quiet();
-  /// Closes all that are owed no reply, though not all was read that was written.
+  /// Closes all connections without open calls, even if the client has not read all replies.
   void disconnect_idle();
-  /// The system gave no descriptor for a connection: the client that can best be spared is closed at once.
+  /// Frees a descriptor after the system had none for a new connection: closes the oldest draining connection
+  /// or else the first candidate for eviction at once.
   void free_descriptor();
   [[nodiscard]] bool empty() const { return connections_.empty(); }
 
@@ -62,8 +67,8 @@
   struct ClientConnection {
     std::unique_ptr<ClientProtocol> protocol;
     Time opened_at{0}, active_at{0};
-    Time message_started_at{0};     ///< of a message that is not complete yet; 0: there is none
-    bool has_sent_message = false;  ///< a complete message has come
+    Time message_started_at{0};  ///< start of the incomplete message, or of the wait for the first; 0: none
+    bool has_sent_message = false;  ///< whether a complete message has been received
     std::optional<CloseReason> draining_for;
     std::size_t discarded_bytes = 0;
     std::uint64_t request_count = 0;
@@ -75,8 +80,8 @@
   [[nodiscard]] static bool is_idle(const ClientConnection& client) {
     return client.open_calls.empty() && !client.is_writing;
   }
-  /// Why and how a connection should end by now.
   enum class CloseMode : std::uint8_t { drain, close };
+  /// The reason and the way in which an expired connection is closed.
   struct Expiry {
     CloseReason reason;
     CloseMode mode;
@@ -84,9 +89,9 @@
   [[nodiscard]] std::optional<Expiry> expiry_of(const ClientConnection& client) const;
   [[nodiscard]] bool exceeds_unread_limits(const ClientConnection& client, Time inactive) const;
   [[nodiscard]] ConnectionId connection_with_most_unsent() const;
-  /// How well a connection can be spared for a new one: the lowest goes first.
+  /// The order of eviction: connections of the lowest rank are closed first.
   [[nodiscard]] int eviction_rank(const ClientConnection& client) const;
-  /// The one that makes room for another, if there is one.
+  /// Returns the connection to close in favour of a new one; none if all are busy.
   [[nodiscard]] std::optional<ConnectionId> connection_to_evict() const;
   void close_oldest_draining();
 
--- a/src/proxy/client/client_protocol.h
+++ b/src/proxy/client/client_protocol.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What clients ask for and are replied, whatever protocol they speak. Another protocol is added by another
-/// ClientProtocol.
+/// The calls of clients and the replies to them, independent of the protocol. Each protocol is an
+/// implementation of ClientProtocol.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 /// Identifies one call on its connection.
 using CallId = std::int32_t;
 
-/// Names and values, in the order of the message.
+/// Names and values in the order in which they appear in the message.
 using ClientFields = std::vector<std::pair<std::string, std::string>>;
 
 /// A request for a part of an object.
@@ -26,11 +26,11 @@
   CallId id = 0;
   ClientFields fields;
   std::string body;
-  bool readable = true;  ///< false: the call is a request for an object, but malformed
+  bool readable = true;  ///< false if the method is that of an object request but its arguments are malformed
 };
-/// The client waits no longer for a call's reply.
+/// Reports that the client no longer waits for the reply to a call.
 struct CancelRequest {
-  CallId id = 0;  ///< of the cancelled call
+  CallId id = 0;  ///< identifies the cancelled call
 };
 /// Asks whether the proxy is ready for traffic.
 struct ReadinessCheck {
@@ -44,27 +44,27 @@
 };
 using ClientCall = std::variant<ObjectRequest, CancelRequest, ReadinessCheck, UnknownMethod>;
 
-/// One connection's protocol: bytes to calls, replies to bytes. No I/O, no clock.
+/// Parses the calls of one connection and serializes the replies. It uses neither I/O nor a clock.
 class ClientProtocol {
  public:
   virtual ~ClientProtocol() = default;
-  /// Reads bytes, however split; the calls that are complete by now.
+  /// Parses received bytes, which may be split anywhere, and returns the calls that they complete.
   virtual std::vector<ClientCall> feed(std::string_view bytes) = 0;
-  /// The stream can't be read any further.
+  /// Whether the stream is malformed and can't be parsed any further.
   [[nodiscard]] virtual bool is_broken() const = 0;
-  /// A message has begun that is not complete yet.
+  /// Whether an incomplete message has been received.
   [[nodiscard]] virtual bool has_partial_message() const = 0;
 
   virtual std::string served_reply(CallId call, std::string_view body, const ClientFields& fields) = 0;
   virtual std::string rejected_reply(CallId call, const ClientFields& fields) = 0;
   virtual std::string failed_reply(CallId call) = 0;
   virtual std::string readiness_reply(CallId call, bool is_ready) = 0;
-  /// The last reply on a malformed stream.
+  /// Returns the last reply that is written to a malformed stream.
   virtual std::string malformed_stream_reply() = 0;
   virtual std::string unknown_method_reply(const UnknownMethod& call) = 0;
 };
 
-/// Framed Thrift in the strict binary encoding.
+/// Returns an implementation for framed Thrift in the strict binary encoding.
 std::unique_ptr<ClientProtocol> make_thrift_protocol();
 
 }  // namespace edge_proxy::proxy
--- a/src/proxy/client/pending_requests.cpp
+++ b/src/proxy/client/pending_requests.cpp
@@ -9,20 +9,21 @@
 
 using namespace std::chrono_literals;
 
-// The client's limit runs from when it sent the request, and the answer has to travel as well.
+// The client's limit starts when it sends the request, and the answer needs time to arrive.
 constexpr Time kReplyTransitTime = 10ms;
-constexpr std::size_t kMaxTextBytes = 128;  // of a key or an entity tag
+constexpr std::size_t kMaxTextBytes = 128;  // applies to idempotency keys and entity tags
 constexpr std::size_t kMaxBodyBytes = 48'000;
 constexpr std::uint64_t kMaxPart = 1'000'000;
 constexpr std::int64_t kMaxGroup = 255;
-// Bound of a client's limit, and of the largest object's transfer time, in deadlines of the class.
+// Upper bound of a client's limit and of the transfer time of an object, in multiples of the class's
+// deadline.
 constexpr int kMaxDeadlines = 4;
 constexpr double kMaxSizeWithoutTransferRateKb = 1e9;
 constexpr std::size_t kIdDigits = 16;
-constexpr char kAsciiDelete = 0x7f;  // ASCII; the first character behind the printable ones
+constexpr char kAsciiDelete = 0x7f;  // follows the last printable character
 
-/// Whether a client's text can stand in a line to a cache as it is. Guards against a request whose fields
-/// would read there as other fields, or as a command of their own.
+/// Whether a client's text can be written to a cache line without escaping. Other characters would allow a
+/// request to inject fields or commands.
 bool is_plain_text(std::string_view text) {
   return !text.empty() && text.size() <= kMaxTextBytes &&
          std::all_of(text.begin(), text.end(), [](char character) {
@@ -44,18 +45,18 @@
   return value;
 }
 
-/// Looks a call's fields up by their names.
+/// Looks up the fields of a call by name.
 class FieldReader {
  public:
   explicit FieldReader(const ClientFields& fields) : fields_(fields) {}
-  /// The value of the first field of that name; empty where there is none.
+  /// Returns the value of the first field of that name; empty if there is none.
   [[nodiscard]] std::string_view text(std::string_view name) const {
     for (const auto& [key, value] : fields_) {
       if (key == name) return value;
     }
     return {};
   }
-  /// For a number that may be left out.
+  /// Returns the value of an optional numeric field; "0" if it is absent.
   [[nodiscard]] std::string_view text_or_zero(std::string_view name) const {
     const std::string_view value = text(name);
     return value.empty() ? "0" : value;
@@ -65,7 +66,7 @@
   const ClientFields& fields_;
 };
 
-/// A request's numbers, as its fields have them.
+/// The numeric fields of a request.
 struct RequestNumbers {
   std::chrono::milliseconds limit{0};  ///< how long the client waits
   std::uint64_t part = 0;
@@ -73,7 +74,7 @@
   double size_kb = 0;
 };
 
-/// None where one is malformed, or out of the bounds that hold for all classes.
+/// Returns none if a number is malformed or exceeds the bounds that apply to all classes.
 std::optional<RequestNumbers> read_numbers(const FieldReader& fields) {
   const auto limit = parse_number<std::int64_t>(fields.text("limit"));
   const auto part = parse_number<std::uint64_t>(fields.text_or_zero("piece"));
@@ -98,14 +99,14 @@
 
 }  // namespace
 
-/// Guards the router's estimates against sizes that no object has.
+/// Returns the largest plausible size of an object; larger sizes would distort the router's estimates.
 double PendingRequests::max_size_kb(const RequestClass& request_class) const {
   if (settings_.transfer_kb_per_s <= 0) return kMaxSizeWithoutTransferRateKb;
   const double max_transfer_s = kMaxDeadlines * std::chrono::duration<double>(request_class.deadline).count();
   return max_transfer_s * settings_.transfer_kb_per_s;
 }
 
-/// Whether its texts are well-formed, and its size is one that an object of the class can have.
+/// Whether the texts are well-formed and the size is plausible for an object of the class.
 bool PendingRequests::is_valid(const PendingRequest& pending, const RequestClass& request_class) const {
   const bool has_valid_key =
       pending.key.empty() ? request_class.idempotency != Idempotency::with_key : is_plain_text(pending.key);
--- a/src/proxy/client/pending_requests.h
+++ b/src/proxy/client/pending_requests.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The requests that were accepted and not answered yet: read from clients' calls, given their final answers,
-/// counted. What becomes of them is decided elsewhere.
+/// The requests that were accepted and not answered yet. They are parsed from the calls of clients, receive
+/// exactly one final answer and are counted here; the router decides on their answers.
 #pragma once
 
 #include <cstdint>
@@ -17,31 +17,31 @@
 
 namespace edge_proxy::proxy {
 
-/// A request that was accepted and not answered yet. Texts are the bytes that the client sent.
+/// A request that was accepted and not answered yet. Its strings are the bytes that the client sent.
 struct PendingRequest {
   ConnectionId client = 0;
   CallId call_id = 0;
-  std::string verb;               ///< its class
-  std::string item;               ///< its object
-  std::string piece;              ///< the part of the object; empty: the first
+  std::string verb;               ///< name of the request class
+  std::string item;               ///< id of the object
+  std::string piece;              ///< part of the object; empty: the first
   std::string key;                ///< idempotency key; empty: none
-  std::string client_entity_tag;  ///< of the copy that the client holds; empty: none
+  std::string client_entity_tag;  ///< entity tag of the client's copy; empty: none
   std::string body;
   Request request;
   int attempt_count = 0;
-  std::uint64_t accepted_epoch = 0;  ///< of the policy, under which it was accepted
+  std::uint64_t accepted_epoch = 0;  ///< policy epoch under which the request was accepted
 };
 
-/// What a served request is answered with.
+/// The content of the answer to a served request.
 struct ServedResponse {
   std::string_view body;
   std::optional<std::string_view> entity_tag;
-  bool not_modified = false;  ///< the copy that the client holds is still good
+  bool not_modified = false;  ///< whether the client's copy is still valid
 };
 
 class PendingRequests {
  public:
-  /// Final answers since the start, of one class.
+  /// Numbers of final answers to requests of one class since the process started.
   struct AnswerCounts {
     std::size_t served = 0;
     std::size_t rejected = 0;
@@ -51,36 +51,37 @@
   PendingRequests(Context& context, ClientConnections& clients, const Settings& settings)
       : context_(context), clients_(clients), settings_(settings), answer_counts_(settings.classes.size()) {}
 
-  /// The request that a call asks for; none where a field is missing, malformed or out of bounds. Moves the
-  /// call's body out on success. `answer_deadline`: when it has to be answered at the latest, where anything
-  /// but the client's own limit sets that.
+  /// Parses the request of a call; returns none if a field is missing, malformed or out of bounds. On
+  /// success, the body is moved out of the call. `answer_deadline`: the latest time of the answer, if the
+  /// shutdown sets one in addition to the client's limit.
   std::optional<PendingRequest> read(ConnectionId client, ObjectRequest& call,
                                      std::optional<Time> answer_deadline) const;
-  /// Whether the memory for bodies has room for its body.
+  /// Whether the body of the request fits into the memory for bodies.
   [[nodiscard]] bool has_room_for(const PendingRequest& request) const {
     return body_bytes_ + request.body.size() <= context_.limits.body_bytes;
   }
   void add(PendingRequest request);
   PendingRequest* find(const std::string& request);
-  /// No answer is owed any more. Returns whether one was.
+  /// Removes a request without an answer. Returns whether it was pending.
   bool remove(const std::string& request);
   [[nodiscard]] std::size_t open_count() const { return pending_.size(); }
 
-  // Final answers, for a request that is still owed one; else nothing happens.
+  // The following functions give a pending request its final answer; other ids are ignored.
   void served(const std::string& request, const codec::CacheResponse& answer);
   void served(const std::string& request, const ServedResponse& response);
-  /// `retry_after`: when to send it again, at most the settings' bound; 0: the client is not told.
+  /// `retry_after`: the delay after which the client may retry, capped by the settings; 0: none is sent.
   void rejected(const std::string& request, Time retry_after);
   void failed(const std::string& request);
 
-  /// The place of a call's class in the settings; past their end where there is none of that name.
+  /// Returns the index of the call's request class in the settings, or the number of classes if there is no
+  /// class of that name.
   [[nodiscard]] std::size_t class_of(const ObjectRequest& call) const;
 
-  // Answers to calls that are not accepted.
+  // The following functions answer calls that were not accepted.
   void reject_unaccepted(ConnectionId client, const ObjectRequest& call);
   void fail_unaccepted(ConnectionId client, const ObjectRequest& call);
 
-  /// By class, in the order of the settings.
+  /// Returns the counts by class in the order of the settings.
   [[nodiscard]] const std::vector<AnswerCounts>& answer_counts() const { return answer_counts_; }
   [[nodiscard]] const std::string& class_name(std::size_t request_class) const {
     return settings_.classes[request_class].name;
@@ -102,7 +103,7 @@
   ClientConnections& clients_;
   const Settings& settings_;
   std::map<std::string, PendingRequest> pending_;
-  std::size_t body_bytes_ = 0;  // of all pending requests
+  std::size_t body_bytes_ = 0;  // total of all pending requests
   std::vector<AnswerCounts> answer_counts_;
 };
 
--- a/src/proxy/client/request_admission.cpp
+++ b/src/proxy/client/request_admission.cpp
@@ -25,13 +25,14 @@
 AdmissionResult RequestAdmission::admit(ConnectionId client, ObjectRequest& call) {
   if (const auto reason = check_connection(client, call)) return *reason;
   if (const auto reason = check_policy(call)) return *reason;
-  // Guards what is accepted late against the end of the process: it would never be answered.
+  // The answer deadline ensures that requests accepted during a shutdown are answered before the process
+  // exits.
   PendingRequests& pending_requests = dependencies_.pending_requests;
   std::optional<PendingRequest> request =
       pending_requests.read(client, call, dependencies_.shutdown.answer_deadline());
   if (!request) return RejectionReason::malformed_request;
   if (pending_requests.find(request->request.id) != nullptr) return RejectionReason::duplicate_request_id;
-  // Guards the memory against clients that send more than can be passed on.
+  // Clients may send bodies faster than they can be forwarded, which must not exhaust the memory.
   if (!pending_requests.has_room_for(*request)) return RejectionReason::body_memory_exhausted;
   return std::move(*request);
 }
@@ -39,13 +40,13 @@
 std::optional<RejectionReason> RequestAdmission::check_connection(ConnectionId client,
                                                                   const ObjectRequest& call) const {
   if (dependencies_.clients.has_open_call(client, call.id)) return RejectionReason::duplicate_call_id;
-  // Guards against clients that ask for more than they may or read: these rejections take next to no work.
+  // Rejections of backed-up clients are cheap, since they happen before the request is parsed.
   if (dependencies_.clients.is_backed_up(client)) return RejectionReason::client_backed_up;
   if (!dependencies_.shutdown.accepts_requests()) return RejectionReason::shutting_down;
   return std::nullopt;
 }
 
-/// Guards the rule that a policy holds everywhere or nowhere.
+/// Without a lease no request is accepted: a policy must apply to all proxies or to none.
 std::optional<RejectionReason> RequestAdmission::check_policy(const ObjectRequest& call) {
   if (!dependencies_.policy.can_decide()) {
     dependencies_.policy.count_rejected();
--- a/src/proxy/client/request_admission.h
+++ b/src/proxy/client/request_admission.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The checks that a client's request passes before it is accepted. Each rejection has a reason of its own.
+/// The checks that a client's request must pass before it is accepted. Each failed check has its own reason.
 #pragma once
 
 #include <cstddef>
@@ -16,27 +16,27 @@
 
 namespace edge_proxy::proxy {
 
-/// Why a request was not accepted, in the order of the checks.
+/// The reasons for a rejection, in the order of the checks.
 enum class RejectionReason : std::uint8_t {
-  duplicate_call_id,        ///< two calls under one id: an answer could not be told from the other's
-  client_backed_up,         ///< the client asks for more than it may or reads
-  shutting_down,            ///< no answer would be ready before the process ends
-  no_policy_lease,          ///< without a lease on the active epoch nothing is decided
-  class_refused_by_policy,  ///< requests of this class are refused everywhere for now
+  duplicate_call_id,        ///< an open call has the same id, so that the answers would be ambiguous
+  client_backed_up,         ///< the client has too many open calls or unread bytes
+  shutting_down,            ///< the answer might not be ready before the process exits
+  no_policy_lease,          ///< the proxy holds no lease on the active policy epoch
+  class_refused_by_policy,  ///< the policy in force rejects all requests of this class
   malformed_request,        ///< a field is missing, malformed or out of bounds
-  duplicate_request_id,     ///< a request of this id is pending
-  body_memory_exhausted     ///< the bodies of pending requests take up all memory that they may
+  duplicate_request_id,     ///< a request with this id is pending
+  body_memory_exhausted     ///< the bodies of pending requests have reached their limit
 };
 
-/// How the client learns of a rejection.
+/// The reply by which the client learns of a rejection.
 enum class RejectionReply : std::uint8_t {
-  try_later,    ///< it can send the request again without harm
-  failed,       ///< no assurance
-  close_stream  ///< its stream can't be followed any further
+  try_later,    ///< the client can safely retry
+  failed,       ///< nothing is said about a retry
+  close_stream  ///< the stream is malformed and its connection is closed
 };
 [[nodiscard]] RejectionReply reply_to(RejectionReason reason);
 
-/// The request to be accepted, or why it isn't.
+/// The request to accept, or the reason for its rejection.
 using AdmissionResult = std::variant<PendingRequest, RejectionReason>;
 
 class RequestAdmission {
@@ -49,9 +49,9 @@
   };
   explicit RequestAdmission(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
-  /// Runs the checks; the cheap ones come first. On success the call's body has moved into the result.
+  /// Runs the checks, cheap ones first. On success, the body is moved from the call into the result.
   [[nodiscard]] AdmissionResult admit(ConnectionId client, ObjectRequest& call);
-  /// The classes, by their place in the settings, that the policy in force refuses.
+  /// Sets the classes that the policy in force rejects, as indexes into the settings.
   void set_refused_classes(std::set<std::size_t> refused_classes) {
     refused_classes_ = std::move(refused_classes);
   }
--- a/src/proxy/client/thrift_protocol.cpp
+++ b/src/proxy/client/thrift_protocol.cpp
@@ -5,7 +5,7 @@
 namespace edge_proxy::proxy {
 namespace {
 
-// Field numbers of the declared exceptions in the result of the method `process`.
+// Field ids of the declared exceptions in the result of the method `process`.
 constexpr std::int16_t kTryLater = 1;
 constexpr std::int16_t kAborted = 2;
 
@@ -74,7 +74,7 @@
 
   codec::FrameReader frames_;
   bool is_broken_ = false;
-  CallId malformed_call_ = 0;  // as far as it can be read
+  CallId malformed_call_ = 0;  // sequence id of the malformed frame as far as it can be parsed
 };
 
 }  // namespace
--- a/src/proxy/cluster/decision_epochs.h
+++ b/src/proxy/cluster/decision_epochs.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The policy epoch under which this proxy decides now, and the one before, under which requests that were
-/// accepted then may still begin attempts for a moment.
+/// The current policy epoch of this proxy and the previous one, under which requests accepted at that time
+/// may start attempts for a short time.
 #pragma once
 
 #include <chrono>
@@ -12,21 +12,22 @@
 
 namespace edge_proxy::proxy {
 
-/// No attempt of a request begins later than this after its epoch has ended here.
+/// A request may start attempts for less than this time after its epoch has ended on this proxy.
 constexpr Time kAttemptsAfterEpoch = std::chrono::milliseconds(300);
 
-/// Two epochs and when the earlier one ended; it knows of no lease but by the times handed in.
+/// Stores the two epochs and the end time of the previous one. The lease expiry is passed in by the caller.
 class DecisionEpochs {
  public:
   [[nodiscard]] std::optional<consensus::Epoch> current() const { return current_; }
-  /// From `now` on another epoch holds, or none. `lease_expires_at`: of the lease on the epoch before; 0
-  /// where there was none. Guards the next epoch against a loop that stalled: the one before ended when its
-  /// lease did, not when that was seen.
+  /// Sets the epoch that is current from `now` on; none: no epoch is. `lease_expires_at`: the expiry of the
+  /// lease on the previous epoch; 0 if there was none. After an event loop stall the previous epoch counts as
+  /// ended when its lease expired, not when the expiry was noticed, so that it does not overlap with the next
+  /// epoch.
   void change(std::optional<consensus::Epoch> epoch, Time lease_expires_at, Time now);
-  /// The terms of the current epoch can't be applied here: nothing is decided.
+  /// Removes the current epoch, because its terms can't be applied on this proxy. New requests are rejected.
   void clear_current() { current_.reset(); }
-  /// Whether an attempt of a request that was accepted under this epoch may begin. `lease_expires_at`: of the
-  /// lease on the current epoch, which may have expired without change() having been called.
+  /// Whether a request that was accepted under this epoch may start an attempt. `lease_expires_at`: the
+  /// expiry of the lease on the current epoch, which may have passed without a call of change().
   [[nodiscard]] bool can_attempt(consensus::Epoch accepted_under, Time lease_expires_at, Time now) const;
 
  private:
--- a/src/proxy/cluster/membership_adapter.cpp
+++ b/src/proxy/cluster/membership_adapter.cpp
@@ -14,8 +14,8 @@
 
 void MembershipAdapter::start(const membership::Identity& identity) {
   if (!settings_ || state_) return;
-  // The random draws differ with each start and each disk: guards against proxies of one seed that ping in
-  // step.
+  // The disk id and the incarnation make the random sequence unique, so that proxies with the same configured
+  // seed do not ping in lockstep.
   state_.emplace(*settings_, identity, seed_ ^ identity.disk_id ^ identity.incarnation, context_.now);
   context_.log("peers ready name=" + settings_->name + " address=" + settings_->address + " disk=" +
                std::to_string(identity.disk_id) + " incarnation=" + std::to_string(identity.incarnation) +
--- a/src/proxy/cluster/membership_adapter.h
+++ b/src/proxy/cluster/membership_adapter.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Connects the reducer of the membership protocol (SWIM) to the proxy's: its effects and timers become the
-/// proxy's, and admin calls reach it. Without the section `peers` of the configuration it holds nothing and
-/// does nothing.
+/// Embeds the reducer of the membership protocol (SWIM) into the reducer of the proxy: forwards its effects
+/// and timers, and gives admin calls access to it. Without the section `peers` of the configuration it has no
+/// state, and its functions have no effect.
 #pragma once
 
 #include <cstdint>
@@ -23,44 +23,44 @@
  public:
   MembershipAdapter(Context& context, const config::Config& config);
 
-  /// The sockets are bound and the identity is stored: from now on this proxy is a member.
+  /// Makes this proxy a member; to be called once the sockets are bound and the identity is stored.
   void start(const membership::Identity& identity);
-  /// Before start() it does nothing.
+  /// Inputs before start() are ignored.
   void handle(const membership::Input& input);
   void run_timers();
-  /// When run_timers() has something to do next; none where there is no timer.
+  /// Returns the time at which run_timers() must be called next; none if there is no timer.
   [[nodiscard]] std::optional<Time> next_due() const;
-  /// The part of its even share of the quota that this proxy may use from now on, where that has changed: to
-  /// be called before anything is decided, since a lease may have expired meanwhile. `cluster_size` and
-  /// `zone_size`: proxies of the cluster and of this location, by the settings.
+  /// Returns the quota share that this proxy may use from now on, relative to an even share, if it has
+  /// changed. Must be called before any decision, since a quota lease may have expired. `cluster_size` and
+  /// `zone_size`: the configured numbers of proxies in the cluster and in this location.
   [[nodiscard]] std::optional<QuotaChanged> take_changed_quota(int cluster_size, int zone_size);
   /// Leaves the cluster and closes the sockets.
   void stop();
 
-  /// Sends bytes of another part of the proxy to the member of this name.
+  /// Sends a message of another part of the proxy to the named member.
   void send_user_message(const std::string& to, std::string bytes) {
     handle(membership::SendUserMessage{to, std::move(bytes)});
   }
-  /// The messages that other members have sent since the last call.
+  /// Returns the messages received from other members since the last call.
   [[nodiscard]] std::vector<membership::UserMessageReceived> take_user_messages() {
     return std::exchange(user_messages_, {});
   }
-  /// Differs from an earlier value where members() may have changed.
+  /// Returns a number that changes whenever members() may have changed.
   [[nodiscard]] std::uint64_t revision() const { return state_ ? state_->view().revision() : 0; }
-  /// The registered members by name, and whether each is alive.
+  /// Returns the registered members by name, with whether each is alive.
   [[nodiscard]] std::map<std::string, bool> members() const;
 
   // ---- Admin calls ----
-  /// JSON; none where the configuration has no peers, or before start().
+  /// Returns JSON; none if the configuration has no peers, and before start().
   [[nodiscard]] std::optional<std::string> report() const;
-  /// The figures `peers.*`; empty where there is no report.
+  /// Returns the metrics `peers.*`; empty if there is no report.
   [[nodiscard]] std::vector<Metric> metrics() const;
   enum class ForgetResult {
-    forgotten,  ///< now or before
+    forgotten,  ///< the member has been removed now or earlier
     unknown,    ///< there is no such member
-    reachable   ///< refused: it is not dead
+    reachable   ///< the call is rejected because the member is not dead
   };
-  /// Removes a dead member from the registered ones.
+  /// Removes a dead member from the registered members.
   [[nodiscard]] ForgetResult forget(const std::string& name);
 
  private:
@@ -83,8 +83,8 @@
   std::optional<membership::State> state_;
   std::vector<membership::UserMessageReceived> user_messages_;
   bool must_persist_ = false;
-  bool is_quota_announced_ = false;  // take_changed_quota() has returned one
-  bool is_quota_outdated_ = true;    // the share may have changed
+  bool is_quota_announced_ = false;  // whether take_changed_quota() has returned a share
+  bool is_quota_outdated_ = true;    // whether the share may have changed
   admission::QuotaLeases::QuotaShare quota_share_;
 };
 
--- a/src/proxy/cluster/policy_controller.cpp
+++ b/src/proxy/cluster/policy_controller.cpp
@@ -11,12 +11,12 @@
 namespace edge_proxy::proxy {
 namespace {
 
-/// Bits for the request numbers within one incarnation.
+/// Number of low bits that count requests within one incarnation.
 constexpr unsigned kRequestNumberBits = 20;
-/// One of so many messages that can't be decoded is logged.
+/// One of this many undecodable messages is logged.
 constexpr std::uint64_t kUndecodableLogInterval = 1000;
 
-/// Throws FieldError, which names the key.
+/// Parses the body of a proposal. Throws FieldError, which names the key.
 consensus::ProposeCall read_proposal(ConnectionId connection, const std::string& body) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
@@ -99,15 +99,15 @@
   }
 }
 
-/// Guards the log against a member that sends such messages again and again.
+/// Logs only a fraction of the messages, since a member may send undecodable ones continuously.
 void PolicyController::log_undecodable_message(const std::string& from, bool lease_settings_differ) {
   if (undecodable_messages_++ % kUndecodableLogInterval != 0) return;
-  context_.log("policy refused from=" + from +
-               (lease_settings_differ ? " its leases are other than here: peers of a cluster need the same"
+  context_.log("policy message rejected from=" + from +
+               (lease_settings_differ ? " lease settings differ: all peers of a cluster need the same"
                                       : " malformed"));
 }
 
-/// Guards the request path against work that grows with the number of members.
+/// Skips unchanged members, so that the cost per request does not grow with the number of members.
 void PolicyController::update_members() {
   if (!state_ || members_revision_ == membership_.revision()) return;
   members_revision_ = membership_.revision();
@@ -131,17 +131,18 @@
 
 void PolicyController::forward(consensus::EpochChanged& effect) {
   epochs_.change(effect.epoch, lease_expires_at(), context_.now);
-  // The router has the terms already where a lease on the same epoch comes back.
+  // After a new lease on the same epoch the router already has the terms.
   if (effect.epoch && applied_epoch_ != effect.epoch) apply_terms(effect);
 }
 
-/// The policy was checked before it was prepared, here as well; a proxy that was down then sees it only now.
+/// Each proxy checks a policy during its preparation, but one that was down at that time parses it here for
+/// the first time, and it may fail.
 void PolicyController::apply_terms(const consensus::EpochChanged& change) {
   try {
     changed_terms_ = read_policy_terms(change.policy, startup_settings_);
     applied_epoch_ = change.epoch;
   } catch (const FieldError& error) {
-    context_.log("policy unusable here, nothing is decided: " + std::string(error.what()));
+    context_.log("policy cannot be applied, requests are rejected: " + std::string(error.what()));
     epochs_.clear_current();
   }
 }
--- a/src/proxy/cluster/policy_controller.h
+++ b/src/proxy/cluster/policy_controller.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// Connects the consensus reducer to the proxy's: its effects become the proxy's, its messages go by way of
-/// the membership protocol, admin calls reach it, and requests are decided under the epoch of its policy.
-/// Without the section `policy` of the configuration it holds nothing, and all is decided by the settings.
+/// Embeds the consensus reducer into the reducer of the proxy: forwards its effects, sends its messages by
+/// the membership protocol, gives admin calls access to it and provides the policy epoch of each decision.
+/// Without the section `policy` of the configuration it has no state, and the startup settings apply.
 #pragma once
 
 #include <cstdint>
@@ -28,45 +28,45 @@
   PolicyController(Context& context, MembershipAdapter& membership, const config::Config& config);
 
   [[nodiscard]] bool is_enabled() const { return settings_.has_value(); }
-  /// From now on it takes part. Its request numbers are above those of any earlier process with a lower
-  /// incarnation.
+  /// Joins the consensus protocol. Request numbers are higher than those of earlier processes, which had
+  /// lower incarnations.
   void start(const membership::Identity& identity);
-  /// Before start() it does nothing.
+  /// Inputs before start() are ignored.
   void handle(const consensus::Input& input);
-  /// Before start() the log's inputs are kept for it.
+  /// Inputs from the Raft log that arrive before start() are handled by start().
   void handle(const ConsensusOutput& output);
-  /// A member has sent this by way of the membership protocol.
+  /// Handles a message that a member has sent by the membership protocol.
   void on_user_message(const membership::UserMessageReceived& received);
   void run_timers();
-  /// When run_timers() has something to do next; none before start().
+  /// Returns the time at which run_timers() must be called next; none before start().
   [[nodiscard]] std::optional<Time> next_due() const;
-  /// Takes over who is registered and alive, where that has changed.
+  /// Passes the registered members to the consensus reducer if they have changed.
   void update_members();
 
-  /// The epoch under which a request may be decided now; none: no request may be.
+  /// Returns the epoch under which new requests are accepted; none: they are rejected.
   [[nodiscard]] std::optional<consensus::Epoch> epoch() const;
   [[nodiscard]] bool can_decide() const { return !is_enabled() || epoch().has_value(); }
-  /// Whether an attempt may still begin, of a request that was accepted under that epoch.
+  /// Whether a request that was accepted under that epoch may start an attempt.
   [[nodiscard]] bool can_attempt(consensus::Epoch accepted_under) const;
-  /// The terms that hold from now on, where they have changed: to be applied before anything is decided.
+  /// Returns the terms in force if they have changed. They must be applied before any decision.
   [[nodiscard]] std::optional<PolicyTerms> take_changed_terms() {
     return std::exchange(changed_terms_, std::nullopt);
   }
-  /// A request was rejected since nothing may be decided.
+  /// Counts a request that was rejected because the proxy held no lease.
   void count_rejected() { ++rejected_; }
   [[nodiscard]] bool is_tracing() const { return is_tracing_; }
 
   // ---- Admin calls, answered by take_replies() ----
-  /// `body`: JSON with `key`, `base` (the epoch that the change builds on) and `policy`.
+  /// `body`: JSON with `key`, `base` (the epoch that the change is based on) and `policy`.
   void propose(ConnectionId connection, const std::string& body);
   void abort(ConnectionId connection);
   void change_voter(ConnectionId connection, const std::string& name, bool add);
-  /// The answers since the last call; `call` is the connection.
+  /// Returns the replies since the last call; their field `call` is the connection.
   [[nodiscard]] std::vector<consensus::AdminReply> take_replies() { return std::exchange(replies_, {}); }
 
-  /// JSON; none where no policy is configured, or before start().
+  /// Returns JSON; none if no policy is configured, and before start().
   [[nodiscard]] std::optional<std::string> report() const;
-  /// The figures `policy.*`; empty where there is no report.
+  /// Returns the metrics `policy.*`; empty if there is no report.
   [[nodiscard]] std::vector<Metric> metrics() const;
 
  private:
@@ -98,13 +98,13 @@
   bool is_tracing_ = false;
   std::optional<consensus::State> state_;
   std::vector<consensus::Input> inputs_before_start_;
-  std::uint64_t members_revision_ = 0;  // of the members that state_ has
+  std::uint64_t members_revision_ = 0;  // revision of the members last passed to state_
   std::optional<PolicyTerms> changed_terms_;
   DecisionEpochs epochs_;
-  std::optional<consensus::Epoch> applied_epoch_;  // whose terms the router has
+  std::optional<consensus::Epoch> applied_epoch_;  // the epoch of the last applied terms
   std::uint64_t rejected_ = 0;
   std::uint64_t undecodable_messages_ = 0;
-  std::map<std::string, std::uint64_t> voters_;  // ids by name
+  std::map<std::string, std::uint64_t> voters_;  // Raft ids by member name
   std::uint64_t raft_id_ = 0;
   std::vector<consensus::AdminReply> replies_;
 };
--- a/src/proxy/cluster/policy_report.cpp
+++ b/src/proxy/cluster/policy_report.cpp
@@ -33,7 +33,7 @@
   json.EndArray();
 }
 
-/// Ids as text: a number in JSON may lose bits on its way through a reader.
+/// Writes ids as strings, because JSON parsers may lose precision in 64-bit numbers.
 void write_voters(JsonWriter& json, const std::map<std::string, std::uint64_t>& voters) {
   json.Key("voters");
   json.StartObject();
@@ -41,7 +41,7 @@
   json.EndObject();
 }
 
-/// The change that is under way, where there is one.
+/// Writes the change in progress, if any.
 void write_change(JsonWriter& json, const consensus::PolicyStateMachine& policy) {
   if (!policy.change()) return;
   json.Key("change");
@@ -52,7 +52,7 @@
   json.EndObject();
 }
 
-/// On the leader: which members are ready for a change, and which it waits for.
+/// Writes, on the leader only, the members that are ready for a change and those that still block it.
 void write_lease_manager(JsonWriter& json, const consensus::State& state, Time now) {
   if (!state.lease_manager()) return;
   write_names(json, "prepared", state.lease_manager()->ready_members());
--- a/src/proxy/cluster/policy_report.h
+++ b/src/proxy/cluster/policy_report.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// What operators are shown of the policy and its log. No I/O.
+/// The report and the metrics of the policy and its log for operators. This file uses no I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,19 @@
 
 namespace edge_proxy::proxy {
 
-/// What the report shows beside the state of the consensus reducer.
+/// The contents of the report that are not part of the consensus reducer's state.
 struct PolicyReportContext {
-  std::optional<consensus::Epoch> decision_epoch;      ///< none: nothing is decided
-  std::uint64_t raft_id = 0;                           ///< this proxy's own
-  const std::map<std::string, std::uint64_t>& voters;  ///< ids by name
+  std::optional<consensus::Epoch> decision_epoch;      ///< none: requests are rejected
+  std::uint64_t raft_id = 0;                           ///< Raft id of this proxy
+  const std::map<std::string, std::uint64_t>& voters;  ///< Raft ids by member name
   Time now{0};
 };
 
-/// The body of the answer to `GET /v1/policy`: one JSON object and a line feed.
+/// Returns the response body of `GET /v1/policy`: one JSON object and a line feed.
 [[nodiscard]] std::string policy_report(const consensus::State& state, const PolicyReportContext& context);
 
-/// The figures `policy.*`. `rejected`: requests that were rejected since nothing was decided.
+/// Returns the metrics `policy.*`. `rejected`: the number of requests rejected because the proxy held no
+/// lease.
 [[nodiscard]] std::vector<Metric> policy_metrics(const consensus::State& state, bool is_deciding,
                                                  std::uint64_t rejected);
 
--- a/src/proxy/cluster/policy_terms.cpp
+++ b/src/proxy/cluster/policy_terms.cpp
@@ -15,11 +15,12 @@
 constexpr std::size_t kMaxEndpointIdBytes = 256;
 constexpr int kMaxAttempts = 64;
 
-/// Guards against a misspelt key that would be passed over: a policy is applied wholly, or rejected.
+/// Rejects unknown keys, so that a misspelt key is not silently ignored: a policy is applied completely or
+/// not at all.
 void check_keys(const Json& object, const Fields& fields, std::initializer_list<std::string_view> known) {
   for (const auto& member : object.GetObject()) {
     const std::string_view key(member.name.GetString(), member.name.GetStringLength());
-    if (std::find(known.begin(), known.end(), key) == known.end()) fields.fail(key, "is no key of a policy");
+    if (std::find(known.begin(), known.end(), key) == known.end()) fields.fail(key, "is not a policy key");
   }
 }
 
@@ -29,7 +30,7 @@
   request_class.latency_objective = fields.time("aim", request_class.latency_objective);
   if (request_class.latency_objective <= Time{0} ||
       request_class.latency_objective > request_class.deadline) {
-    fields.fail("aim", "should be more than 0, and the deadline at most");
+    fields.fail("aim", "should be more than 0 and at most the deadline");
   }
   request_class.priority_weight = fields.number("worth", request_class.priority_weight);
   request_class.late_weight = fields.number("late_worth", request_class.late_weight);
@@ -48,7 +49,7 @@
     const std::string name(member.name.GetString(), member.name.GetStringLength());
     const auto is_named = [&name](const RequestClass& candidate) { return candidate.name == name; };
     const auto found = std::find_if(classes.begin(), classes.end(), is_named);
-    if (found == classes.end()) fields.fail(name, "is no class of this proxy's");
+    if (found == classes.end()) fields.fail(name, "is not a request class of this proxy");
     read_class(member.value, fields.object(name.c_str()), static_cast<std::size_t>(found - classes.begin()),
                terms);
   }
@@ -58,11 +59,11 @@
   const Json* ids = root.find("caches_out");
   if (ids == nullptr) return;
   if (!ids->IsArray() || ids->Size() > kMaxSuspendedEndpoints) {
-    root.fail("caches_out", "should be a list of 1,024 at most");
+    root.fail("caches_out", "should be a list of at most 1,024 ids");
   }
   for (const auto& id : ids->GetArray()) {
     if (!id.IsString() || id.GetStringLength() == 0 || id.GetStringLength() > kMaxEndpointIdBytes) {
-      root.fail("caches_out", "should hold ids of caches");
+      root.fail("caches_out", "should contain only ids of caches");
     }
     terms.suspended_endpoints.emplace(id.GetString(), id.GetStringLength());
   }
--- a/src/proxy/cluster/policy_terms.h
+++ b/src/proxy/cluster/policy_terms.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 /// @file
-/// The terms of a policy: those settings that a running proxy takes over together (docs/consensus.md, "The
+/// The terms of a policy: the settings that a running proxy replaces in one step (docs/consensus.md, "The
 /// policy").
 #pragma once
 
@@ -13,13 +13,13 @@
 namespace edge_proxy::proxy {
 
 struct PolicyTerms {
-  Settings settings;  ///< those of the start, with what the policy sets in their place
-  std::set<std::size_t> refused_classes;
-  std::set<std::string> suspended_endpoints;  ///< by the whole cluster
+  Settings settings;                          ///< the startup settings with the changes of the policy
+  std::set<std::size_t> refused_classes;      ///< indexes into the settings
+  std::set<std::string> suspended_endpoints;  ///< suspended on all proxies of the cluster
 };
 
-/// Throws FieldError, which names the key, where this proxy could not apply the policy. An empty text sets
-/// nothing.
+/// Parses a policy. Throws FieldError, which names the key, if this proxy can't apply the policy. An empty
+/// text changes no settings.
 PolicyTerms read_policy_terms(const std::string& text, const Settings& startup_settings);
 
 }  // namespace edge_proxy::proxy
