--- a/tests/proxy/cancelled_clients_test.cpp
+++ b/tests/proxy/cancelled_clients_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Clients that have gone: after a cancel, the end of their half or a reset nothing is sent for them any more.
-// In virtual time here, over real connections in instants_test.cpp.
+// Tests that no request is sent to a cache for a client that has cancelled it or has closed, half-closed or
+// reset its connection. These tests run in virtual time; instants_test.cpp uses real connections.
 #include <gtest/gtest.h>
 
 #include "support/virtual_time_harness.h"
@@ -13,11 +13,11 @@
   return config.replace(config.find(key), key.size(), R"("cancelling":false)");
 }
 
-TEST(GoneClients, ARequestAndItsCancelReadTogetherAreNotServed) {
-  VirtualTimeHarness stage;
-  stage.deliver_unsplit();
-  run_scenario(stage, R"(
-    # a connection to the cache is up
+TEST(CancelledClients, RequestReadTogetherWithItsCancelIsNotSent) {
+  VirtualTimeHarness harness;
+  harness.deliver_unsplit();
+  run_scenario(harness, R"(
+    # establishes a connection to the cache
     bert send 9 pages
     box-1 expect serve 9
     box-1 send HIT 9 ver=a b
@@ -34,9 +34,9 @@
   )");
 }
 
-TEST(GoneClients, ACancelOfAnEarlierNumberLeavesALaterRequestAlone) {
-  VirtualTimeHarness stage;
-  run_scenario(stage, R"(
+TEST(CancelledClients, CancelBeforeARequestWithTheSameCallIdHasNoEffect) {
+  VirtualTimeHarness harness;
+  run_scenario(harness, R"(
     anna cork
     anna send giveUp 1
     anna send 1 pages
@@ -45,10 +45,10 @@
   )");
 }
 
-TEST(GoneClients, WhatWaitsForAConnectionIsNotWrittenForThem) {
+TEST(CancelledClients, QueuedRequestsOfCancelledClientsAreNotSent) {
   for (auto* edit : {static_cast<std::string (*)(std::string)>(nullptr), &without_cancels}) {
-    VirtualTimeHarness stage({"box-1", "up-1", "main"}, 192, edit);
-    run_scenario(stage, R"(
+    VirtualTimeHarness harness({"box-1", "up-1", "main"}, 192, edit);
+    run_scenario(harness, R"(
       box-1 set delayed_connect
       anna send 1 pages
       bert send 2 pages
@@ -67,9 +67,9 @@
   }
 }
 
-TEST(GoneClients, AFurtherAttemptThatIsArmedIsNotMade) {
-  VirtualTimeHarness stage;
-  run_scenario(stage, R"(
+TEST(CancelledClients, ScheduledRetryIsNotSentAfterTheClientCloses) {
+  VirtualTimeHarness harness;
+  run_scenario(harness, R"(
     anna send 1 pages
     box-1 expect serve 1
     # the next attempt comes 10 ms after this one ended
@@ -80,25 +80,26 @@
   )");
 }
 
-TEST(GoneClients, HundredsThatLeaveAtOnceLeaveNothingBehind) {
-  VirtualTimeHarness stage({"box-1", "up-1", "main"}, 192, without_cancels);
-  run_scenario(stage, "box-1 set delayed_connect");
+TEST(CancelledClients, QueuedRequestsOfHundredClosedClientsAreNotSent) {
+  VirtualTimeHarness harness({"box-1", "up-1", "main"}, 192, without_cancels);
+  run_scenario(harness, "box-1 set delayed_connect");
   for (int i = 1; i <= 100; ++i)
-    run_scenario(stage, "c-" + std::to_string(i) + " send " + std::to_string(i) + " pages");
+    run_scenario(harness, "c-" + std::to_string(i) + " send " + std::to_string(i) + " pages");
   for (int i = 1; i <= 100; ++i)
-    run_scenario(stage, "c-" + std::to_string(i) + (i % 2 == 0 ? " close reset" : " close"));
-  run_scenario(stage, "box-1 set normal\nbox-1 expect nothing\nanna send 101 pages\nbox-1 expect serve 101");
+    run_scenario(harness, "c-" + std::to_string(i) + (i % 2 == 0 ? " close reset" : " close"));
+  run_scenario(harness,
+               "box-1 set normal\nbox-1 expect nothing\nanna send 101 pages\nbox-1 expect serve 101");
 }
 
-TEST(GoneClients, NoCancelIsWrittenWhereTheSettingsAllowNone) {
-  VirtualTimeHarness stage({"box-1", "up-1", "main"}, 192, without_cancels);
-  run_scenario(stage, R"(
+TEST(CancelledClients, CancelIsNotSentIfTheSettingsDisableIt) {
+  VirtualTimeHarness harness({"box-1", "up-1", "main"}, 192, without_cancels);
+  run_scenario(harness, R"(
     anna send 1 pages
     box-1 expect serve 1
     anna send giveUp 1
     bert send 2 pages
     box-1 expect serve 2
-    # nor where the time is up
+    # nor when the client's limit expires
     wait 2600
     bert expect refused 2
     box-1 expect nothing
--- a/tests/proxy/largest_requests_test.cpp
+++ b/tests/proxy/largest_requests_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The largest requests of a class get their part of the answers, whatever is short: see crowded_world.h.
+// Tests that the requests for the largest objects of a class are answered in proportion to the other requests
+// of the class under several kinds of overload. crowded_world.h describes the simulation.
 #include <gtest/gtest.h>
 
 #include "support/crowded_world.h"
@@ -7,39 +8,42 @@
 namespace edge_proxy::test {
 namespace {
 
-/// The operators' terms: of the tenth of a class's requests with the largest objects (under 400 of them: the
-/// quarter), that part of the class's own share is answered, in time or late.
-void largest_get_at_least(double part, const CrowdedScenario& drawn) {
-  CrowdedScenario plan = drawn;
-  for (plan.seed = 1; plan.seed <= 8; ++plan.seed) {
-    const CrowdedResult result = CrowdedWorld(plan).run();
-    for (std::size_t c = 0; c < result.all.size(); ++c) {
-      EXPECT_GE(result.all[c], 0.3) << "class " << c << ", seed " << plan.seed << ": it says nothing";
-      EXPECT_GE(result.largest[c], part * result.all[c]) << "class " << c << ", seed " << plan.seed;
+/// Checks the operators' requirement for several seeds: of the tenth of a class's requests with the largest
+/// objects (the quarter if there are fewer than 400 requests), at least `min_ratio` of the class's answered
+/// share is answered, in time or late.
+void expect_largest_share_at_least(double min_ratio, const CrowdedScenario& base) {
+  CrowdedScenario scenario = base;
+  for (scenario.seed = 1; scenario.seed <= 8; ++scenario.seed) {
+    const CrowdedResult result = CrowdedWorld(scenario).run();
+    for (std::size_t request_class = 0; request_class < result.all.size(); ++request_class) {
+      EXPECT_GE(result.all[request_class], 0.3) << "class " << request_class << ", seed " << scenario.seed
+                                                << ": too few answers for a valid comparison";
+      EXPECT_GE(result.largest[request_class], min_ratio * result.all[request_class])
+          << "class " << request_class << ", seed " << scenario.seed;
     }
   }
 }
 
-TEST(LargestRequests, OnQuietDays) {
-  largest_get_at_least(2.0 / 3, {.load = 0.5});
-  largest_get_at_least(2.0 / 3, {.load = 0.5, .large_object_kb = 9000});
+TEST(LargestRequests, GetTwoThirdsOfTheClassShareUnderNormalLoad) {
+  expect_largest_share_at_least(2.0 / 3, {.load = 0.5});
+  expect_largest_share_at_least(2.0 / 3, {.load = 0.5, .large_object_kb = 9000});
 }
 
-TEST(LargestRequests, UnderABurst) {
-  largest_get_at_least(0.5, {.load = 1.2});
-  largest_get_at_least(0.5, {.load = 1.5, .large_object_kb = 6000});
+TEST(LargestRequests, GetHalfOfTheClassShareUnderOverload) {
+  expect_largest_share_at_least(0.5, {.load = 1.2});
+  expect_largest_share_at_least(0.5, {.load = 1.5, .large_object_kb = 6000});
 }
 
-TEST(LargestRequests, WhenAllCopiesGoVoid) {
-  // Guards them against a gate on fills that lets through the cheapest and never the others.
-  largest_get_at_least(0.5, {.load = 0.6, .copies_lost = true});
-  largest_get_at_least(0.5, {.load = 1.0, .parent_capacity = 0.5, .copies_lost = true});
+TEST(LargestRequests, GetHalfOfTheClassShareAfterTheLossOfAllCopies) {
+  // The limit on fills must not admit only the cheapest fills.
+  expect_largest_share_at_least(0.5, {.load = 0.6, .copies_lost = true});
+  expect_largest_share_at_least(0.5, {.load = 1.0, .parent_capacity = 0.5, .copies_lost = true});
 }
 
-TEST(LargestRequests, WhenTheParentsCanDoAnEighthAsWell) {
-  largest_get_at_least(0.5, {.load = 0.8, .parent_capacity = 0.125, .copies_lost = true});
-  largest_get_at_least(0.5,
-                       {.load = 0.8, .parent_capacity = 0.125, .copies_lost = true, .large_object_kb = 8000});
+TEST(LargestRequests, GetHalfOfTheClassShareWithParentsAtAnEighthOfTheirCapacity) {
+  expect_largest_share_at_least(0.5, {.load = 0.8, .parent_capacity = 0.125, .copies_lost = true});
+  expect_largest_share_at_least(
+      0.5, {.load = 0.8, .parent_capacity = 0.125, .copies_lost = true, .large_object_kb = 8000});
 }
 
 }  // namespace
--- a/tests/proxy/reducer_test.cpp
+++ b/tests/proxy/reducer_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The reducer in virtual time. The scenarios' language is described in scenario.h.
+// Tests the reducer of the proxy in virtual time. scenario.h describes the language of the scenarios.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -15,18 +15,18 @@
 
 void run_scenario(const std::string& scenario,
                   const std::vector<std::string>& members = {"box-1", "up-1", "main"}) {
-  VirtualTimeHarness stage(members);
-  run_scenario(stage, scenario);
+  VirtualTimeHarness harness(members);
+  run_scenario(harness, scenario);
 }
 
-std::string roster(int no, const std::string& members, bool complete = false) {
-  return R"(bulletin send {"no":)" + std::to_string(no) + R"(,"roster":{"revision":2,"complete":)" +
+std::string endpoint_list_event(int number, const std::string& members, bool complete = false) {
+  return R"(bulletin send {"no":)" + std::to_string(number) + R"(,"roster":{"revision":2,"complete":)" +
          (complete ? "true" : "false") + R"(,"members":[)" + members + "]}}\n";
 }
 
-// ---- The ordinary path ----
+// ---- Served requests ----
 
-TEST(Edge, ARequestIsServedWithItsTextsUnchanged) {
+TEST(Reducer, RequestFieldsReachTheCacheUnchanged) {
   run_scenario(R"(
     anna send 1 pages piece=5 ver=tag9 unique=k1
     box-1 expect serve 1 profile=pages thing=0000000000000001 nth=5 seen=tag9 replay=k1 from=up-1 max=2490 rank=1 oldest=8000 mode=collapse+refresh
@@ -36,16 +36,17 @@
   )");
 }
 
-TEST(Edge, AnAnswersBytesAreKept) {
-  VirtualTimeHarness stage;
-  run_scenario(stage, "anna send 1 pages\nbox-1 expect serve 1");
+TEST(Reducer, ResponseBodyReachesTheClientUnchanged) {
+  VirtualTimeHarness harness;
+  run_scenario(harness, "anna send 1 pages\nbox-1 expect serve 1");
   std::string body = "a\r\nb c=,\0 serve 9 - 0\r\n";
   body += std::string(1000, '\xff');
-  stage.send("box-1", "0000000000000001 HIT ver=t1 " + std::to_string(body.size()) + "\r\n" + body + "\r\n");
-  EXPECT_NE(stage.take_received("anna").find(body), std::string::npos);
+  harness.send("box-1",
+               "0000000000000001 HIT ver=t1 " + std::to_string(body.size()) + "\r\n" + body + "\r\n");
+  EXPECT_NE(harness.take_received("anna").find(body), std::string::npos);
 }
 
-TEST(Edge, AClientsCopyThatHoldsIsToldSo) {
+TEST(Reducer, ValidClientCopyIsAnsweredNotModified) {
   run_scenario(R"(
     anna send 1 pages ver=t1
     box-1 expect serve 1 seen=t1
@@ -54,7 +55,7 @@
   )");
 }
 
-TEST(Edge, AClientWithoutACopyIsNotToldThatItHolds) {
+TEST(Reducer, NotModifiedResponseWithoutClientCopyIsRetried) {
   run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
@@ -65,7 +66,7 @@
   )");
 }
 
-TEST(Edge, AnOrderGoesToTheOriginThroughACacheWithItsKeyAndBody) {
+TEST(Reducer, UncacheableRequestReachesTheCacheWithKeyBodyAndOrigin) {
   run_scenario(R"(
     anna send 1 order unique=5c0f6e1a body=two books
     box-1 expect serve 1 profile=order replay=5c0f6e1a from=main !mode body=two books
@@ -74,7 +75,7 @@
   )");
 }
 
-TEST(Edge, AnswersComeInAnyOrder) {
+TEST(Reducer, ResponsesInAnotherOrderReachTheirRequests) {
   run_scenario(R"(
     anna send 1 pages
     anna send 2 pages
@@ -87,9 +88,9 @@
   )");
 }
 
-// ---- One final answer ----
+// ---- Rejected, expired and cancelled requests ----
 
-TEST(Edge, WhatTheModuleGivesUpIsAnsweredAtOnceWithATimeToStayAway) {
+TEST(Reducer, RequestWithoutFurtherAttemptsIsRejectedAtOnceWithRetryAfter) {
   run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
@@ -99,7 +100,7 @@
   )");
 }
 
-TEST(Edge, AnOrderThatMayHaveRunIsNotSentTwiceAfterItsKeysMemory) {
+TEST(Reducer, LostKeyedRequestIsNotRetriedAfterTheDeduplicationWindow) {
   run_scenario(R"(
     anna send 1 order unique=k limit=3000
     box-1 expect serve 1
@@ -111,7 +112,7 @@
   )");
 }
 
-TEST(Edge, ASilentAttemptIsAnsweredBeforeTheClientLeaves) {
+TEST(Reducer, UnansweredAttemptIsRejectedBeforeTheClientLimit) {
   run_scenario(R"(
     anna send 1 order unique=k limit=1000
     box-1 expect serve 1
@@ -120,13 +121,13 @@
     wait 10
     anna expect refused 1
     box-1 expect cancel 1
-    # and a late answer is dropped
+    # a late answer is dropped
     box-1 send HIT 1 ver=a late
     anna expect nothing
   )");
 }
 
-TEST(Edge, AfterAGiveUpNoAnswerIsGivenAndTheAttemptIsCancelled) {
+TEST(Reducer, CancelledRequestGetsNoAnswerAndItsAttemptIsCancelled) {
   run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
@@ -134,14 +135,14 @@
     box-1 expect cancel 1
     box-1 send HIT 1 ver=a late
     anna expect nothing
-    # an unknown one is passed over
+    # a cancel of an unknown call is ignored
     anna send giveUp 99
     anna send 2 pages
     box-1 expect serve 2
   )");
 }
 
-TEST(Edge, AClientThatHangsUpHasItsAttemptsCancelled) {
+TEST(Reducer, ClosedClientConnectionCancelsItsAttempts) {
   run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
@@ -151,18 +152,18 @@
   )");
 }
 
-// ---- Endings ----
+// ---- Failed attempts and connections ----
 
-TEST(Edge, AMissGoesOnToAnotherCacheAsNeverRun) {
-  VirtualTimeHarness stage({"box-1", "box-2", "up-1", "up-2", "main"});
-  run_scenario(stage, "anna send 1 pages\nwait 1");
-  const std::string first = stage.take_received("box-1").empty() ? "box-2" : "box-1";
+TEST(Reducer, CacheMissIsRetriedAtAnotherCache) {
+  VirtualTimeHarness harness({"box-1", "box-2", "up-1", "up-2", "main"});
+  run_scenario(harness, "anna send 1 pages\nwait 1");
+  const std::string first = harness.take_received("box-1").empty() ? "box-2" : "box-1";
   const std::string other = first == "box-1" ? "box-2" : "box-1";
-  run_scenario(stage, first + " send NONE 1\n" + other + " expect serve 1\n" + other +
-                          " send HIT 1 ver=a b\n" + "anna expect served 1 body=b\n");
+  run_scenario(harness, first + " send NONE 1\n" + other + " expect serve 1\n" + other +
+                            " send HIT 1 ver=a b\n" + "anna expect served 1 body=b\n");
 }
 
-TEST(Edge, ARefusedConnectionIsProofThatAnOrderNeverRan) {
+TEST(Reducer, RefusedConnectionRejectsAKeyedRequestAtOnce) {
   run_scenario(R"(
     box-1 close refusing
     anna send 1 order unique=k
@@ -171,7 +172,7 @@
   )");
 }
 
-TEST(Edge, AConnectionThatDoesNotComeUpIsGivenUpInTime) {
+TEST(Reducer, UnansweredConnectTimesOut) {
   run_scenario(R"(
     box-1 set silent
     anna send 1 pages
@@ -183,14 +184,14 @@
   )");
 }
 
-TEST(Edge, AnAnswerThatCannotBeReadEndsThatConnectionAlone) {
+TEST(Reducer, MalformedResponseClosesOnlyItsConnection) {
   run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
     box-1 send raw what is this
     edge expect log reason=bad_answer
     wait 20
-    # it is safe to repeat, its copy is there, and the cache is not to blame
+    # the request is idempotent and the cache is not ejected, so the attempt is repeated there
     box-1 expect serve 1
     box-1 send HIT 1 ver=a b
     anna expect served 1 body=b
@@ -199,18 +200,18 @@
   )");
 }
 
-TEST(Edge, ASpoiltAnswerTakesNoOtherRequestWithIt) {
-  // Guards against many requests on one connection, all lost with one answer that can't be read.
-  VirtualTimeHarness stage;
+TEST(Reducer, MalformedResponseLosesNoOtherRequest) {
+  // One malformed response must not lose other requests that share the connection.
+  VirtualTimeHarness harness;
   run_scenario(
-      stage,
+      harness,
       "anna send 1 video\nbox-1 expect serve 1\nanna send 2 video\nbox-1 expect serve 2\n" +
           std::string("anna send 3 video\nbox-1 expect serve 3\nanna send 4 video\nbox-1 expect serve 4\n") +
           "box-1 send HIT 1 ver=a b\nbox-1 send HIT 2 ver=a b\nbox-1 send HIT 3 ver=a b\n" +
           "box-1 send HIT 4 ver=a b\nanna expect served 1\nanna expect served 2\nanna expect served 3\n" +
           "anna expect served 4\n");
-  // Two connections at least are up and free now.
-  run_scenario(stage, R"(
+  // At least two connections are established and idle now.
+  run_scenario(harness, R"(
     anna send 5 video
     box-1 expect serve 5
     anna send 6 order unique=k
@@ -224,8 +225,8 @@
   )");
 }
 
-TEST(Edge, AConnectionWithWorkGivenUpAndNothingHeardTakesNothingNew) {
-  // Guards against a vanished machine: its old connections stay open and silent.
+TEST(Reducer, SilentConnectionWithTimedOutAttemptsGetsNoNewRequest) {
+  // The connections to a machine that has vanished stay open but silent.
   run_scenario(R"(
     anna send 1 pages limit=600
     box-1 expect serve 1
@@ -242,8 +243,8 @@
   )");
 }
 
-TEST(Edge, AConnectionThatDoesNotComeUpEndsTheSilentOnesToThatMember) {
-  // Guards against work that waits on a vanished machine until its clients leave.
+TEST(Reducer, ConnectTimeoutClosesSilentConnectionsToThatEndpoint) {
+  // Requests on a machine that has vanished must not wait until their clients time out.
   run_scenario(R"(
     anna send 1 video limit=5000
     box-1 expect serve 1
@@ -261,7 +262,7 @@
   )");
 }
 
-TEST(Edge, IdleConnectionsAreClosedBeforeTheCacheDoes) {
+TEST(Reducer, IdleEndpointConnectionIsClosedBeforeTheCacheClosesIt) {
   run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
@@ -273,15 +274,15 @@
   )");
 }
 
-// ---- The list of members ----
+// ---- Endpoint lists ----
 
-TEST(Edge, ReadinessWaitsForTheList) {
+TEST(Reducer, ProxyIsReadyOnlyAfterACompleteEndpointList) {
   run_scenario(R"(
     anna send probe 1
     anna expect unready 1
     bulletin expect get last=0
     bulletin send head
-    )" + roster(1, member_json("box-1", "box-1:1") + "," + member_json("main", "main:1"), true) +
+    )" + endpoint_list_event(1, member_json("box-1", "box-1:1") + "," + member_json("main", "main:1"), true) +
                    R"(
     anna send probe 2
     anna expect ready 2
@@ -289,84 +290,87 @@
                {});
 }
 
-TEST(Edge, NothingThatStillWaitsGoesToADrainingCache) {
-  // Guards the rule on drains: a request queued behind a connection that comes up late.
-  VirtualTimeHarness stage;
-  run_scenario(stage, "bulletin send head\nbox-1 set silent\nanna send 1 pages\n" +
-                          roster(2, member_json("box-1", "box-1:1", "leaving")) +
-                          "anna expect refused 1\nwait 2000\n" + "box-1 expect nothing\n");
+TEST(Reducer, QueuedRequestIsNotSentToADrainingCache) {
+  // The request is queued while its connection is being established, and the cache starts draining meanwhile.
+  VirtualTimeHarness harness;
+  run_scenario(harness, "bulletin send head\nbox-1 set silent\nanna send 1 pages\n" +
+                            endpoint_list_event(2, member_json("box-1", "box-1:1", "leaving")) +
+                            "anna expect refused 1\nwait 2000\n" + "box-1 expect nothing\n");
 }
 
-TEST(Edge, NothingThatStillWaitsNamesADrainingSource) {
-  VirtualTimeHarness stage;
-  run_scenario(stage, "bulletin send head\nbox-1 set silent\nanna send 1 pages\n" +
-                          roster(2, member_json("up-1", "up-1:1", "leaving")) + "anna expect refused 1\n");
+TEST(Reducer, QueuedRequestWithADrainingSourceIsRejected) {
+  VirtualTimeHarness harness;
+  run_scenario(harness, "bulletin send head\nbox-1 set silent\nanna send 1 pages\n" +
+                            endpoint_list_event(2, member_json("up-1", "up-1:1", "leaving")) +
+                            "anna expect refused 1\n");
 }
 
-TEST(Edge, ADrainingCacheFinishesWhatItHas) {
-  VirtualTimeHarness stage;
+TEST(Reducer, DrainingCacheCompletesItsRequests) {
+  VirtualTimeHarness harness;
   run_scenario(
-      stage,
+      harness,
       "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1\n" +
-          roster(2, member_json("box-1", "box-1:1", "leaving")) +
+          endpoint_list_event(2, member_json("box-1", "box-1:1", "leaving")) +
           "box-1 send HIT 1 ver=a b\nanna expect served 1\nwait 200\nedge expect log reason=member_left\n");
 }
 
-TEST(Edge, ANewCacheAtAnOldAddressGetsConnectionsOfItsOwn) {
-  VirtualTimeHarness stage;
+TEST(Reducer, NewCacheAtAReusedAddressGetsItsOwnConnections) {
+  VirtualTimeHarness harness;
   run_scenario(
-      stage, "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1\nbox-1 send HIT 1 ver=a b\n" +
-                 roster(2, member_json("box-1", "box-1:1", "left") + "," + member_json("box-9", "box-1:1")) +
-                 "edge expect log closed kind=member conn=4 reason=member_left\nanna expect served 1\n" +
-                 "anna send 2 pages\nbox-1 expect serve 2\nbox-1 send HIT 2 ver=a b\nanna expect served 2\n");
+      harness,
+      "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1\nbox-1 send HIT 1 ver=a b\n" +
+          endpoint_list_event(
+              2, member_json("box-1", "box-1:1", "left") + "," + member_json("box-9", "box-1:1")) +
+          "edge expect log closed kind=member conn=4 reason=member_left\nanna expect served 1\n" +
+          "anna send 2 pages\nbox-1 expect serve 2\nbox-1 send HIT 2 ver=a b\nanna expect served 2\n");
 }
 
-TEST(Edge, ARestartedCachesOldConnectionsAreDropped) {
-  VirtualTimeHarness stage;
-  const auto up_since = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count() - 60000;
-  run_scenario(stage, "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1\n" +
-                          roster(2, member_json("box-1", "box-1:1", "active", up_since)) +
-                          "edge expect log reason=member_replaced\nwait 20\nanna expect refused 1\n");
+TEST(Reducer, ConnectionsFromBeforeACacheRestartAreClosed) {
+  VirtualTimeHarness harness;
+  const auto up_since = std::chrono::duration_cast<std::chrono::milliseconds>(harness.now()).count() - 60000;
+  run_scenario(harness, "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1\n" +
+                            endpoint_list_event(2, member_json("box-1", "box-1:1", "active", up_since)) +
+                            "edge expect log reason=member_replaced\nwait 20\nanna expect refused 1\n");
 }
 
-// ---- Purges ----
+// ---- Invalidations ----
 
-TEST(Edge, APurgeBindsWhatIsDecidedAfterIt) {
-  VirtualTimeHarness stage;
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count();
+TEST(Reducer, InvalidationLimitsTheCopyAgeOfLaterRequests) {
+  VirtualTimeHarness harness;
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(harness.now()).count();
   run_scenario(
-      stage,
+      harness,
       "bulletin send head\nbulletin send {\"no\":2,\"recall\":{\"item\":\"0000000000000001\",\"issued\":" +
           std::to_string(ms - 500) + "}}\nanna send 1 video\nbox-1 expect serve 1 oldest=499\n" +
           "anna send 2 video\nbox-1 expect serve 2 !oldest\n");
 }
 
-TEST(Edge, APurgeBindsWhatStillWaitsToBeWritten) {
-  VirtualTimeHarness stage;
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count();
-  run_scenario(stage, "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1");
-  stage.set_write_stalled("box-1", true);
-  run_scenario(stage,
+TEST(Reducer, InvalidationLimitsTheCopyAgeOfQueuedRequests) {
+  VirtualTimeHarness harness;
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(harness.now()).count();
+  run_scenario(harness, "bulletin send head\nanna send 1 pages\nbox-1 expect serve 1");
+  harness.set_write_stalled("box-1", true);
+  run_scenario(harness,
                "anna send giveUp 1\nbox-1 expect cancel 1\nanna send 2 video\nbox-1 expect nothing\n"
                "bulletin send {\"no\":2,\"recall\":{\"lot\":17,\"issued\":" +
                    std::to_string(ms - 300) + "}}\n");
-  stage.set_write_stalled("box-1", false);
-  run_scenario(stage, "box-1 expect serve 2 oldest=299\n");
+  harness.set_write_stalled("box-1", false);
+  run_scenario(harness, "box-1 expect serve 2 oldest=299\n");
 }
 
-// ---- The bulletin ----
+// ---- Discovery ----
 
-TEST(Edge, AReloadMovesTheBulletinAtOnceAndKeepsEverythingElse) {
-  VirtualTimeHarness stage;
-  run_scenario(stage, "bulletin expect get last=1\nbulletin send head\n" +
-                          roster(2, member_json("box-2", "box-2:1")) + R"(
+TEST(Reducer, ReloadChangesTheDiscoveryServiceAndKeepsConnections) {
+  VirtualTimeHarness harness;
+  run_scenario(harness, "bulletin expect get last=1\nbulletin send head\n" +
+                            endpoint_list_event(2, member_json("box-2", "box-2:1")) + R"(
     anna send 1 pages
     wait 1
     edge send HUP bulletin-2
     bulletin expect closed
     bulletin-2 expect get last=2
     edge expect log reason=bulletin_moved
-    # the same again, and a faulty file, change nothing
+    # neither the same service nor a faulty file changes anything
     edge send HUP bulletin-2
     edge send HUP nowhere
     edge expect log reload failed, nothing changed: field 'bulletin'
@@ -376,7 +380,7 @@
   )");
 }
 
-TEST(Edge, AReloadWhileABulletinDoesNotComeUpAsksTheNewOne) {
+TEST(Reducer, ReloadWhileDiscoveryIsUnreachableConnectsToTheNewService) {
   run_scenario(R"(
     bulletin close refusing
     bulletin close reset
@@ -397,14 +401,14 @@
   )");
 }
 
-TEST(Edge, ItsOwnStandstillIsNotTakenForTheSilenceOfOthers) {
-  VirtualTimeHarness stage;
+TEST(Reducer, EventLoopStallDoesNotCountAsSilenceOfPeers) {
+  VirtualTimeHarness harness;
   run_scenario(
-      stage,
+      harness,
       "bulletin send head\nanna send 1 video limit=5000\nbox-1 expect serve 1\nbulletin expect get last=1");
-  stage.stall_event_loop(std::chrono::milliseconds(4000));
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count();
-  run_scenario(stage,
+  harness.stall_event_loop(std::chrono::milliseconds(4000));
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(harness.now()).count();
+  run_scenario(harness,
                R"(bulletin send {"no":2,"recall":{"lot":17,"issued":)" + std::to_string(ms - 3000) + R"(}}
     anna send 2 video
     box-1 expect serve 2 oldest=2999
@@ -416,7 +420,7 @@
   )");
 }
 
-TEST(Edge, ABulletinThatDoesNotAnswerIsAskedAgainBeforePurgesBind) {
+TEST(Reducer, UnansweredDiscoveryRequestIsRetriedBeforeTheInvalidationBound) {
   run_scenario(R"(
     bulletin expect get last=1
     wait 251
@@ -427,7 +431,7 @@
   )");
 }
 
-TEST(Edge, ABulletinThatBreaksOffIsAskedAgainAtOnce) {
+TEST(Reducer, ClosedDiscoveryStreamIsReopenedAtOnce) {
   run_scenario(R"(
     bulletin expect get last=1
     bulletin send head
@@ -438,44 +442,45 @@
   )");
 }
 
-/// The milliseconds at which a proxy of this seed has called a bulletin that is away, in vain.
-std::vector<int> calls_in_vain(std::string (*seeded)(std::string)) {
-  VirtualTimeHarness stage({"box-1"}, 192, seeded);
-  run_scenario(stage, "bulletin send head\nwait 1000\nbulletin close refusing\n");
-  std::vector<int> at;
-  std::size_t seen = stage.log().size();
+/// Returns the times in milliseconds at which a proxy failed to connect to an unreachable discovery service.
+/// `edit_config` may replace the seed.
+std::vector<int> failed_connect_times(std::string (*edit_config)(std::string)) {
+  VirtualTimeHarness harness({"box-1"}, 192, edit_config);
+  run_scenario(harness, "bulletin send head\nwait 1000\nbulletin close refusing\n");
+  std::vector<int> times;
+  std::size_t seen = harness.log().size();
   for (int ms = 1; ms <= 5000; ++ms) {
-    stage.wait(std::chrono::milliseconds(1));
-    if (stage.log().find("kind=bulletin", seen) == std::string::npos) continue;
-    seen = stage.log().size();
-    at.push_back(ms);
+    harness.wait(std::chrono::milliseconds(1));
+    if (harness.log().find("kind=bulletin", seen) == std::string::npos) continue;
+    seen = harness.log().size();
+    times.push_back(ms);
   }
-  return at;
+  return times;
 }
 
-TEST(Edge, ProxiesThatLoseTheBulletinAtOnceDoNotCallAgainInStep) {
-  const auto one = calls_in_vain(nullptr);
-  const auto other = calls_in_vain(
+TEST(Reducer, ProxiesWithDifferentSeedsReconnectToDiscoveryAtDifferentTimes) {
+  const auto one = failed_connect_times(nullptr);
+  const auto other = failed_connect_times(
       [](std::string text) { return text.replace(text.find("8c1f30d27a5be964"), 16, "0123456789abcdef"); });
   ASSERT_GE(one.size(), 6U);
   ASSERT_GE(other.size(), 6U);
   int in_step = 0;
   for (std::size_t i = 0; i < 6; ++i) in_step += one[i] == other[i] ? 1 : 0;
   EXPECT_LE(in_step, 1);
-  EXPECT_LE(one.size(), 16U);  // 0.4 to 0.8 s apart in the end
+  EXPECT_LE(one.size(), 16U);  // the backoff grows to delays of 0.4 to 0.8 s
 }
 
-TEST(Edge, AttemptsThatEndWrongAreToldWithinABound) {
-  // Found on the fleet's days: the sums of a second tell that attempts end wrong, not which nor by what
-  // source.
-  VirtualTimeHarness stage;
+TEST(Reducer, FailedAttemptsAreLoggedUpToALimit) {
+  // The sums of a second show only that attempts failed; single lines identify the requests and their
+  // sources.
+  VirtualTimeHarness harness;
   std::string scenario;
-  for (int n = 1; n <= 40; ++n) {
-    const std::string id = std::to_string(n);
+  for (int number = 1; number <= 40; ++number) {
+    const std::string id = std::to_string(number);
     scenario += "anna send " + id + " pages\nbox-1 expect serve " + id + "\nbox-1 send FAULT " + id + "\n";
   }
-  run_scenario(stage, scenario);
-  const std::string log = stage.log();
+  run_scenario(harness, scenario);
+  const std::string log = harness.log();
   EXPECT_NE(
       log.find("wrong request=0000000000000001 attempt=0 member=box-1 source=up-1 ending=error took_ms=0"),
       std::string::npos)
@@ -485,83 +490,86 @@
   EXPECT_LE(lines, 16U);
 }
 
-TEST(Edge, AWholeListThatIsEmptyIsPassedOver) {
-  VirtualTimeHarness stage;
-  run_scenario(stage,
-               "bulletin send head\n" + roster(2, "", true) +
+TEST(Reducer, EmptyCompleteEndpointListIsIgnored) {
+  VirtualTimeHarness harness;
+  run_scenario(harness,
+               "bulletin send head\n" + endpoint_list_event(2, "", true) +
                    "edge expect log list empty no=2 ignored\nanna send 1 pages\nbox-1 expect serve 1\n");
-  VirtualTimeHarness nothing_known{std::vector<std::string>()};
-  run_scenario(nothing_known,
-               "bulletin send head\n" + roster(1, "", true) + "anna send probe 1\nanna expect ready 1\n");
+  VirtualTimeHarness without_endpoints{std::vector<std::string>()};
+  run_scenario(without_endpoints, "bulletin send head\n" + endpoint_list_event(1, "", true) +
+                                      "anna send probe 1\nanna expect ready 1\n");
 }
 
-TEST(Edge, ABulletinThatEndsIsAskedForTheEventsAfterTheLast) {
-  VirtualTimeHarness stage;
-  run_scenario(stage, "bulletin expect get last=1\nbulletin send head\n" +
-                          roster(2, member_json("box-2", "box-2:1")) +
-                          "bulletin close\nwait 100\nbulletin expect get last=2\n");
+TEST(Reducer, ReopenedDiscoveryStreamResumesAfterTheLastEvent) {
+  VirtualTimeHarness harness;
+  run_scenario(harness, "bulletin expect get last=1\nbulletin send head\n" +
+                            endpoint_list_event(2, member_json("box-2", "box-2:1")) +
+                            "bulletin close\nwait 100\nbulletin expect get last=2\n");
 }
 
-TEST(Edge, AGapInTheBulletinIsAskedForAgainAndARepeatIsPassedOver) {
-  VirtualTimeHarness stage;
-  run_scenario(stage, "bulletin expect get last=1\nbulletin send head\n" +
-                          roster(1, member_json("box-1", "box-1:1", "left")) +
-                          roster(3, member_json("box-1", "box-1:1", "left")) +
-                          "edge expect log bulletin gap last=1 got=3\nwait 100\nbulletin expect get last=1\n"
-                          "anna send 1 pages\nbox-1 expect serve 1\n");
+TEST(Reducer, DiscoveryEventGapIsRequestedAgainAndARepeatedEventIsIgnored) {
+  VirtualTimeHarness harness;
+  run_scenario(harness,
+               "bulletin expect get last=1\nbulletin send head\n" +
+                   endpoint_list_event(1, member_json("box-1", "box-1:1", "left")) +
+                   endpoint_list_event(3, member_json("box-1", "box-1:1", "left")) +
+                   "edge expect log bulletin gap last=1 got=3\nwait 100\nbulletin expect get last=1\n"
+                   "anna send 1 pages\nbox-1 expect serve 1\n");
 }
 
-TEST(Edge, AGapThatTheBulletinCannotFillIsPassedOver) {
-  VirtualTimeHarness stage;
-  const std::string third = roster(3, member_json("box-1", "box-1:1", "left"));
+TEST(Reducer, DiscoveryEventGapThatPersistsIsSkipped) {
+  VirtualTimeHarness harness;
+  const std::string third = endpoint_list_event(3, member_json("box-1", "box-1:1", "left"));
   run_scenario(
-      stage,
+      harness,
       "bulletin expect get last=1\nbulletin send head\n" + third +
           "wait 100\nbulletin expect get last=1\nbulletin send head\n" + third +
           "edge expect log list no=3\nanna send 1 pages\nbox-1 expect nothing\nanna expect refused 1\n");
 }
 
-TEST(Edge, WhatIsKeptDoesNotGrowWithTheMembersAndClientsEverSeen) {
-  // Guards against a long day on which caches are replaced by new ones for ever, some at an old address.
-  VirtualTimeHarness stage;
-  run_scenario(stage, "bulletin send head\n");
-  for (int n = 2; n < 300; ++n) {
-    const std::string now = "box-" + std::to_string(n), before = "box-" + std::to_string(n - 1);
-    const std::string address = n % 2 == 0 ? "box-1:1" : now + ":1";
-    const std::string id = std::to_string(n), client = "client-" + id;
-    const std::string peer = n % 2 == 0 ? "box-1" : now;
-    run_scenario(stage, roster(n, member_json(before, "box-1:1", "left") + "," + member_json(now, address)) +
-                            client + " send " + id + " pages\n" + peer + " expect serve " + id + "\n" + peer +
-                            " send HIT " + id + " ver=a b\n" + client + " expect served " + id + "\n" +
-                            client + " close\nwait 50\nbulletin send comment\n");
+TEST(Reducer, TablesDoNotGrowWithFormerEndpointsAndClients) {
+  // Caches are replaced continuously over a long time, some of them at an address that was used before.
+  VirtualTimeHarness harness;
+  run_scenario(harness, "bulletin send head\n");
+  for (int number = 2; number < 300; ++number) {
+    const std::string current = "box-" + std::to_string(number),
+                      previous = "box-" + std::to_string(number - 1);
+    const std::string address = number % 2 == 0 ? "box-1:1" : current + ":1";
+    const std::string id = std::to_string(number), client = "client-" + id;
+    const std::string peer = number % 2 == 0 ? "box-1" : current;
+    run_scenario(harness, endpoint_list_event(number, member_json(previous, "box-1:1", "left") + "," +
+                                                          member_json(current, address)) +
+                              client + " send " + id + " pages\n" + peer + " expect serve " + id + "\n" +
+                              peer + " send HIT " + id + " ver=a b\n" + client + " expect served " + id +
+                              "\n" + client + " close\nwait 50\nbulletin send comment\n");
   }
-  const std::string log = stage.log();
-  const std::string last = log.substr(log.rfind("load taken="));
-  EXPECT_NE(last.find(" members=3 "), std::string::npos) << last;
-  // Timers of requests that are over stay until these are due: 2.5 s of them, at 20 requests a second.
-  EXPECT_LT(std::stoi(last.substr(last.find(" kept=") + 6)), 500) << last;
+  const std::string log = harness.log();
+  const std::string last_line = log.substr(log.rfind("load taken="));
+  EXPECT_NE(last_line.find(" members=3 "), std::string::npos) << last_line;
+  // Timers of completed requests remain until they expire: those of 2.5 s at 20 requests per second.
+  EXPECT_LT(std::stoi(last_line.substr(last_line.find(" kept=") + 6)), 500) << last_line;
 }
 
-TEST(Edge, WhatTheModuleBelievesIsOutIsWhatIsOutOnTheSockets) {
-  // Guards against a leak: an attempt without an Outcome would hold a place at its member for ever.
-  VirtualTimeHarness stage({"box-1", "box-2", "up-1", "main"});
+TEST(Reducer, RouterAndConnectionsAgreeOnAttemptsInFlight) {
+  // An attempt whose Outcome is never reported would occupy capacity of its endpoint forever.
+  VirtualTimeHarness harness({"box-1", "box-2", "up-1", "main"});
   std::mt19937 random(7);
-  for (int n = 1; n <= 400; ++n) {
-    const std::string id = std::to_string(n), box = random() % 2 == 0 ? "box-1" : "box-2";
-    run_scenario(stage,
+  for (int number = 1; number <= 400; ++number) {
+    const std::string id = std::to_string(number), box = random() % 2 == 0 ? "box-1" : "box-2";
+    run_scenario(harness,
                  "anna send " + id + (random() % 4 == 0 ? " order unique=k" : " video") + " limit=700\n");
-    const auto what = random() % 8;
+    const auto event = random() % 8;
     std::ostringstream hex;
-    hex << std::hex << std::setw(16) << std::setfill('0') << n;
-    if (what < 3) stage.send(box, hex.str() + " HIT ver=a 1\r\nb\r\n");
-    if (what == 3) stage.send(box, hex.str() + " SHED - 0\r\n\r\n");
-    if (what == 4) stage.send(box, hex.str() + " HIT what is this\r\n");
-    if (what == 5) run_scenario(stage, "anna send giveUp " + id);
-    if (what == 6) run_scenario(stage, box + " close reset");
-    run_scenario(stage, "wait 30\nbulletin send comment");
-    stage.take_received("anna");
+    hex << std::hex << std::setw(16) << std::setfill('0') << number;
+    if (event < 3) harness.send(box, hex.str() + " HIT ver=a 1\r\nb\r\n");
+    if (event == 3) harness.send(box, hex.str() + " SHED - 0\r\n\r\n");
+    if (event == 4) harness.send(box, hex.str() + " HIT what is this\r\n");
+    if (event == 5) run_scenario(harness, "anna send giveUp " + id);
+    if (event == 6) run_scenario(harness, box + " close reset");
+    run_scenario(harness, "wait 30\nbulletin send comment");
+    harness.take_received("anna");
   }
-  const std::string log = stage.log();
+  const std::string log = harness.log();
   int lines = 0;
   for (std::size_t at = 0; (at = log.find(" out=", at)) != std::string::npos; ++at, ++lines) {
     const std::string line = log.substr(at, log.find('\n', at) - at);
@@ -570,7 +578,7 @@
   EXPECT_GT(lines, 5);
 }
 
-TEST(Edge, ASilentBulletinIsADeadLink) {
+TEST(Reducer, SilentDiscoveryStreamIsReopened) {
   run_scenario(R"(
     bulletin expect get last=1
     bulletin send head
@@ -584,7 +592,7 @@
   )");
 }
 
-TEST(Edge, AnUnreadableEventIsPassedOverAndAnAnswerOtherThanOkIsNot) {
+TEST(Reducer, MalformedDiscoveryEventIsSkippedAndAnErrorStatusIsRetried) {
   run_scenario(R"(
     bulletin expect get last=1
     bulletin send head
@@ -600,9 +608,9 @@
   )");
 }
 
-// ---- Bad input from clients ----
+// ---- Invalid input from clients ----
 
-TEST(Edge, BadFieldsAreAnsweredFailed) {
+TEST(Reducer, InvalidRequestFieldsAreAnsweredFailed) {
   run_scenario(R"(
     anna send 1 pages txn=short
     anna expect failed 1
@@ -626,7 +634,7 @@
   )");
 }
 
-TEST(Edge, AnIdThatIsUnderWayAlreadyFailsTheSecondAlone) {
+TEST(Reducer, DuplicateRequestIdFailsOnlyTheSecondRequest) {
   run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
@@ -638,7 +646,7 @@
   )");
 }
 
-TEST(Edge, AnUnknownMethodGetsAnApplicationException) {
+TEST(Reducer, UnknownMethodGetsAnApplicationException) {
   run_scenario(R"(
     anna send dance 4
     anna expect exception 4
@@ -647,7 +655,7 @@
   )");
 }
 
-TEST(Edge, ABrokenFrameClosesThatConnectionAlone) {
+TEST(Reducer, MalformedFrameClosesOnlyItsConnection) {
   run_scenario(R"(
     bert send 1 pages
     anna send raw 7f ff ff ff
@@ -660,13 +668,13 @@
   )");
 }
 
-TEST(Edge, WhatCannotBeReadIsAnsweredThenClosedSoThatItCanBeRead) {
+TEST(Reducer, MalformedFrameIsAnsweredBeforeTheConnectionIsDrained) {
   run_scenario(R"(
-    # 60 MB announced
+    # the frame length is 60 MB
     anna send raw 03 93 87 00 80 01 00 01
     anna expect exception 0 unreadable=1
     anna expect closed
-    # negative, with nothing else; and no message at all
+    # a negative frame length without data, and a frame without a message
     bert send raw ff ff ff ff
     bert expect exception 0
     bert expect closed
@@ -678,14 +686,14 @@
   )");
 }
 
-TEST(Edge, AClientThatSendsOnAfterItWasTurnedAwayIsCutOff) {
-  VirtualTimeHarness stage;
-  run_scenario(stage, "anna set keeps_open\nanna send raw 03 93 87 00\nanna expect exception 0");
-  for (int i = 0; i < 5; ++i) stage.send("anna", std::string(64 * 1024, 'x'));
-  run_scenario(stage, "edge expect log closed kind=front conn=1 reason=bad_frame");
+TEST(Reducer, ClientThatSendsTooMuchWhileDrainingIsDisconnected) {
+  VirtualTimeHarness harness;
+  run_scenario(harness, "anna set keeps_open\nanna send raw 03 93 87 00\nanna expect exception 0");
+  for (int i = 0; i < 5; ++i) harness.send("anna", std::string(64 * 1024, 'x'));
+  run_scenario(harness, "edge expect log closed kind=front conn=1 reason=bad_frame");
 }
 
-TEST(Edge, TwoRequestsUnderOneNumberEndThatConnection) {
+TEST(Reducer, DuplicateCallIdClosesTheConnection) {
   run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
@@ -698,7 +706,7 @@
   )");
 }
 
-TEST(Edge, SilentAndHalfSentClientsAreClosedInTime) {
+TEST(Reducer, ClientsWithoutACompleteMessageAreClosedAfterATimeout) {
   run_scenario(R"(
     anna send raw 00 00 00 40 80
     bert send probe 1
@@ -724,17 +732,17 @@
   )");
 }
 
-TEST(Edge, AClientAcceptedAsATimerOpensAConnectionKeepsItsOwnNumber) {
-  // Guards against one number for two connections: the client's was lost, with its request, when the
-  // bulletin's timer had fallen due by the moment in which the client was accepted.
-  VirtualTimeHarness stage;
-  run_scenario(stage, "wait 205\nedge expect log closed kind=bulletin conn=2 reason=silent");
-  stage.stall_event_loop(std::chrono::milliseconds(400));  // the call to the bulletin falls due meanwhile
-  run_scenario(stage,
+TEST(Reducer, ClientAcceptedDuringATimerConnectKeepsItsConnectionId) {
+  // If the discovery timer expired in the same loop iteration in which a client was accepted, both
+  // connections got one id, and the client's connection and request were lost.
+  VirtualTimeHarness harness;
+  run_scenario(harness, "wait 205\nedge expect log closed kind=bulletin conn=2 reason=silent");
+  harness.stall_event_loop(std::chrono::milliseconds(400));  // the reconnect timer expires meanwhile
+  run_scenario(harness,
                "anna send 1 pages\nbox-1 expect serve 1\nbox-1 send HIT 1 ver=a b\nanna expect served 1");
 }
 
-TEST(Edge, AClientWithWorkOpenIsNotTakenForASilentOne) {
+TEST(Reducer, ClientWithAnOpenCallIsNotClosedForAPartialMessage) {
   run_scenario(R"(
     anna send 1 video limit=5000
     box-1 expect serve 1
@@ -745,13 +753,13 @@
   )");
 }
 
-TEST(Edge, ManySilentClientsLeaveRoomForThoseThatAsk) {
-  // Guards against 128 silent connections (half of 256 descriptors) that keep all others out.
-  VirtualTimeHarness stage;
-  run_scenario(stage,
+TEST(Reducer, SilentClientsAreEvictedBeforeActiveOnes) {
+  // 128 silent connections (half of 256 descriptors) must not keep out all other clients.
+  VirtualTimeHarness harness;
+  run_scenario(harness,
                "anna send 1 video limit=5000\nbox-1 expect serve 1\nbert send probe 1\nbert expect ready 1");
-  for (int i = 0; i < 200; ++i) run_scenario(stage, "silent-" + std::to_string(i) + " send raw 00");
-  run_scenario(stage, R"(
+  for (int i = 0; i < 200; ++i) run_scenario(harness, "silent-" + std::to_string(i) + " send raw 00");
+  run_scenario(harness, R"(
     edge expect log closed kind=front conn=5 reason=too_many
     bert send 2 video
     box-1 expect serve 2
@@ -760,68 +768,69 @@
     carl send 3 video
     box-1 expect serve 3
   )");
-  EXPECT_FALSE(stage.is_closed("silent-199"));
+  EXPECT_FALSE(harness.is_closed("silent-199"));
 }
 
-TEST(Edge, AConnectionThatHasJustComeUpIsNotClosedForRoom) {
-  // Guards against a day on which each request comes on a connection of its own: the first request of the
-  // newest ones is still on the way when the next is accepted.
-  VirtualTimeHarness stage;
-  run_scenario(stage, "old send raw 00\nwait 600");
-  for (int i = 0; i < 126; ++i) run_scenario(stage, "idle-" + std::to_string(i) + " send probe 1");
-  run_scenario(stage, "wait 100\nnew send raw 00\nnewer send raw 00\nnewest send raw 00");
-  EXPECT_TRUE(stage.is_closed("old"));
-  EXPECT_TRUE(stage.is_closed("idle-0"));
-  for (const char* peer : {"new", "newer", "newest", "idle-1"}) EXPECT_FALSE(stage.is_closed(peer)) << peer;
+TEST(Reducer, NewConnectionIsNotEvicted) {
+  // If each request uses a connection of its own, the first request on a new connection may still be in
+  // transit when the next connection is accepted.
+  VirtualTimeHarness harness;
+  run_scenario(harness, "old send raw 00\nwait 600");
+  for (int i = 0; i < 126; ++i) run_scenario(harness, "idle-" + std::to_string(i) + " send probe 1");
+  run_scenario(harness, "wait 100\nnew send raw 00\nnewer send raw 00\nnewest send raw 00");
+  EXPECT_TRUE(harness.is_closed("old"));
+  EXPECT_TRUE(harness.is_closed("idle-0"));
+  for (const char* peer : {"new", "newer", "newest", "idle-1"}) EXPECT_FALSE(harness.is_closed(peer)) << peer;
 }
 
-TEST(Edge, MoreOpenCallsThanOneConnectionMayCarryAreRefusedAtOnce) {
-  VirtualTimeHarness stage({"box-1", "box-2", "box-3", "box-4", "up-1", "up-2", "up-3", "up-4", "main"});
-  for (int i = 1; i <= 32; ++i) run_scenario(stage, "anna send " + std::to_string(i) + " video limit=5000");
-  ASSERT_EQ(stage.take_received("anna"), "");
+TEST(Reducer, OpenCallsAboveTheConnectionLimitAreRejected) {
+  VirtualTimeHarness harness({"box-1", "box-2", "box-3", "box-4", "up-1", "up-2", "up-3", "up-4", "main"});
+  for (int i = 1; i <= 32; ++i) run_scenario(harness, "anna send " + std::to_string(i) + " video limit=5000");
+  ASSERT_EQ(harness.take_received("anna"), "");
   run_scenario(
-      stage,
+      harness,
       "anna send 40 video\nanna expect refused 40 later=500\nbert send 41 video\nbert expect nothing\n");
 }
 
-TEST(Edge, AClientThatDoesNotReadIsRefusedAndItsGiveUpsAreHeard) {
-  VirtualTimeHarness stage;
+TEST(Reducer, ClientWithUnreadRepliesIsRejectedButItsCancelsAreHandled) {
+  VirtualTimeHarness harness;
   for (int id = 1; id <= 11; ++id)
-    run_scenario(stage,
+    run_scenario(harness,
                  "anna send " + std::to_string(id) + " pages\nbox-1 expect serve " + std::to_string(id));
-  stage.set_write_stalled("anna", true);
+  harness.set_write_stalled("anna", true);
   const std::string body(240'000, 'x');
   for (const char id : {'1', '2', '3', '4', '5', '6', '7', '8', '9'}) {
-    stage.send("box-1", std::string("000000000000000") + id + " HIT ver=a 240000\r\n" + body + "\r\n");
+    harness.send("box-1", std::string("000000000000000") + id + " HIT ver=a 240000\r\n" + body + "\r\n");
   }
   std::string scenario =
       "anna send giveUp 10\nbox-1 expect cancel 10\nanna send 12 pages\nbox-1 expect nothing\n";
   for (int id = 1; id <= 9; ++id) scenario += "anna expect served " + std::to_string(id) + "\n";
-  run_scenario(stage, scenario + "anna expect refused 12 later=500\n");
-  stage.set_write_stalled("anna", false);
-  run_scenario(stage, "anna send 13 pages\nbox-1 expect serve 13\n");
+  run_scenario(harness, scenario + "anna expect refused 12 later=500\n");
+  harness.set_write_stalled("anna", false);
+  run_scenario(harness, "anna send 13 pages\nbox-1 expect serve 13\n");
 }
 
-TEST(Edge, AClientThatNeverReadsIsCutOffInTheEnd) {
-  VirtualTimeHarness stage({"box-1", "up-1", "main"}, 16);  // an eighth of 16 MB for one client
+TEST(Reducer, ClientThatNeverReadsIsDisconnected) {
+  VirtualTimeHarness harness({"box-1", "up-1", "main"}, 16);  // one client may use an eighth of 16 MB
   const std::string body(240'000, 'x');
   for (int id = 1; id <= 9; ++id)
-    run_scenario(stage,
+    run_scenario(harness,
                  "anna send " + std::to_string(id) + " pages\nbox-1 expect serve " + std::to_string(id));
-  stage.set_write_stalled("anna", true);
+  harness.set_write_stalled("anna", true);
   for (const char id : std::string("123456789")) {
-    stage.send("box-1", std::string("000000000000000") + id + " HIT ver=a 240000\r\n" + body + "\r\n");
+    harness.send("box-1", std::string("000000000000000") + id + " HIT ver=a 240000\r\n" + body + "\r\n");
   }
   run_scenario(
-      stage,
+      harness,
       "wait 100\nedge expect log reason=backlog\nanna expect closed\n"
       "bert send 20 pages\nbox-1 expect serve 20\nbox-1 send HIT 20 ver=a b\nbert expect served 20\n");
 }
 
-TEST(Edge, NothingThatAPeerSendsBreaksIt) {
-  // Whole messages with a few bytes changed, cut or doubled; the seed is fixed, so the verdict is too.
+TEST(Reducer, CorruptedMessagesDoNotStopTheProxy) {
+  // Complete messages in which a few bytes are changed, removed or duplicated. The seed is fixed, so the test
+  // is deterministic.
   std::mt19937 random(7);
-  const auto spoilt = [&random](std::string bytes) {
+  const auto corrupt = [&random](std::string bytes) {
     for (unsigned changes = 1 + random() % 3; changes > 0 && !bytes.empty(); --changes) {
       const std::size_t at = random() % bytes.size();
       switch (random() % 3) {
@@ -848,22 +857,22 @@
   const std::string chunk = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   const std::string event = "id: 2\ndata: {\"no\":2,\"roster\":{\"complete\":true,\"members\":[" +
                             member_json("box-1", "box-1:1") + "]}}\n\n";
-  VirtualTimeHarness sound;
-  sound.send("carl", call);  // whole, if without an object
-  run_scenario(sound, "carl expect failed 7\n");
+  VirtualTimeHarness control;
+  control.send("carl", call);  // well-formed, but without an object id
+  run_scenario(control, "carl expect failed 7\n");
   for (int round = 0; round < 300; ++round) {
-    VirtualTimeHarness stage;
-    run_scenario(stage, "anna send 1 pages\nbox-1 expect serve 1\n");
-    stage.send("carl", spoilt(call + call));
-    stage.send("box-1", spoilt(answer + answer));
-    stage.send("bulletin", spoilt(chunk + "5\r\n:\n\n\n\n\r\n") + spoilt(event));
-    stage.send("bulletin", spoilt("HTTP/1.1 200 OK\r\n\r\n" + event));
-    run_scenario(stage, "wait 6000\nbert send dance 9\nbert expect exception 9\n");
+    VirtualTimeHarness harness;
+    run_scenario(harness, "anna send 1 pages\nbox-1 expect serve 1\n");
+    harness.send("carl", corrupt(call + call));
+    harness.send("box-1", corrupt(answer + answer));
+    harness.send("bulletin", corrupt(chunk + "5\r\n:\n\n\n\n\r\n") + corrupt(event));
+    harness.send("bulletin", corrupt("HTTP/1.1 200 OK\r\n\r\n" + event));
+    run_scenario(harness, "wait 6000\nbert send dance 9\nbert expect exception 9\n");
     ASSERT_FALSE(HasFailure()) << "round " << round;
   }
 }
 
-TEST(Edge, TheOnCallPageListsEveryReasonForAnEnd) {
+TEST(Reducer, OnCallPageListsEveryCloseReason) {
   std::ifstream file(EDGE_PROXY_ONCALL);
   const std::string page(std::istreambuf_iterator<char>(file), {});
   for (int reason = 0; reason <= static_cast<int>(proxy::CloseReason::stopping); ++reason) {
@@ -872,9 +881,9 @@
   }
 }
 
-// ---- The end ----
+// ---- SIGTERM ----
 
-TEST(Edge, AfterTermItGoesOnServingAndThenFinishesWhatItTook) {
+TEST(Reducer, GracefulShutdownServesNewRequestsAndCompletesAcceptedOnes) {
   run_scenario(R"(
     anna send 1 pages limit=4000
     box-1 expect serve 1
@@ -894,9 +903,9 @@
   )");
 }
 
-// ---- The second address ----
+// ---- Admin calls ----
 
-TEST(Edge, OperatorsAreToldOfReadinessAndFigures) {
+TEST(Reducer, AdminCallsReturnReadinessMetricsAndErrors) {
   run_scenario(R"(
     ops send GET /v1/readyz
     ops expect 200 ready
@@ -927,17 +936,18 @@
   )");
 }
 
-TEST(Edge, CallersThatSayNothingHoldNoOperatorUp) {
-  // Guards the descriptors and the other callers: the oldest silent one makes room, and none stays for good.
-  VirtualTimeHarness stage;
-  for (int i = 0; i < 40; ++i) stage.send("ops-silent-" + std::to_string(i), "GET");
-  run_scenario(stage, "ops send GET /v1/readyz\nops expect 200\nwait 10200\nops-silent-39 expect closed");
-  EXPECT_NE(stage.log().find("kind=admin conn=1 reason=too_many"), std::string::npos) << stage.log();
+TEST(Reducer, SilentAdminConnectionsAreEvictedAndTimeOut) {
+  // Silent connections must not block descriptors or other callers: the oldest is evicted, the others time
+  // out.
+  VirtualTimeHarness harness;
+  for (int i = 0; i < 40; ++i) harness.send("ops-silent-" + std::to_string(i), "GET");
+  run_scenario(harness, "ops send GET /v1/readyz\nops expect 200\nwait 10200\nops-silent-39 expect closed");
+  EXPECT_NE(harness.log().find("kind=admin conn=1 reason=too_many"), std::string::npos) << harness.log();
 }
 
-TEST(Edge, AMemberTakenOutByHandGetsNothingUntilItIsPutBack) {
-  VirtualTimeHarness stage({"box-1", "box-2", "up-1", "main"});
-  run_scenario(stage, R"(
+TEST(Reducer, SuspendedEndpointGetsNoRequestsUntilResumed) {
+  VirtualTimeHarness harness({"box-1", "box-2", "up-1", "main"});
+  run_scenario(harness, R"(
     ops send POST /v1/pop-caches/box-2/suspend
     ops expect 200
     ops-2 send POST /v1/pop-caches/box-2/suspend
@@ -947,31 +957,34 @@
     ops-4 send GET /v1/metrics
     ops-4 expect 200 svc.hosts_listed:4|g svc.hosts_down:1|g
   )");
-  const auto ask = [&stage](int from) {  // of each of the two caches some of ten are the first in the order
-    for (int n = from; n < from + 10; ++n)
-      run_scenario(stage, "anna send " + std::to_string(n) + " pages\nwait 1");
-    const bool second = !stage.take_received("box-2").empty();
-    EXPECT_FALSE(stage.take_received("box-1").empty());
-    for (int n = from; n < from + 10; ++n) run_scenario(stage, "anna send giveUp " + std::to_string(n));
-    return second;
+  // Ten requests are enough for both caches to rank first for some.
+  const auto route_ten_requests = [&harness](int from) {
+    for (int number = from; number < from + 10; ++number)
+      run_scenario(harness, "anna send " + std::to_string(number) + " pages\nwait 1");
+    const bool box_2_was_used = !harness.take_received("box-2").empty();
+    EXPECT_FALSE(harness.take_received("box-1").empty());
+    for (int number = from; number < from + 10; ++number)
+      run_scenario(harness, "anna send giveUp " + std::to_string(number));
+    return box_2_was_used;
   };
-  EXPECT_FALSE(ask(1));
-  // Whatever the bulletin lists meanwhile.
-  run_scenario(stage, "bulletin send head\n" + roster(2, member_json("box-2", "box-2:1", "left")) +
-                          roster(3, member_json("box-2", "box-2:1", "active", 1'800'000'000'000)));
-  EXPECT_FALSE(ask(11));
-  // A process that replaces this one knows.
-  VirtualTimeHarness next({"box-1", "box-2", "up-1", "main"});
-  next.load_overrides("out 12\nout x box-1\nnonsense\n" + stage.stored_overrides());
-  run_scenario(next, "ops send GET /v1/metrics\nops expect 200 svc.hosts_down:1|g");
-  run_scenario(stage, "ops-5 send POST /v1/pop-caches/box-2/resume\nops-5 expect 200\nwait 18000\n");
-  EXPECT_TRUE(ask(21));
-  next.load_overrides(stage.stored_overrides());
-  run_scenario(next, "ops-2 send GET /v1/metrics\nops-2 expect 200 svc.hosts_down:0|g");
-}
-
-TEST(Edge, AMemberPutBackKeepsTheConnectionsOfWhatItStillServes) {
-  // Guards against breaking off what runs there because it now counts as started anew.
+  EXPECT_FALSE(route_ten_requests(1));
+  // Endpoint lists do not end the suspension.
+  run_scenario(harness,
+               "bulletin send head\n" + endpoint_list_event(2, member_json("box-2", "box-2:1", "left")) +
+                   endpoint_list_event(3, member_json("box-2", "box-2:1", "active", 1'800'000'000'000)));
+  EXPECT_FALSE(route_ten_requests(11));
+  // The next process loads the suspension from disk.
+  VirtualTimeHarness next_process({"box-1", "box-2", "up-1", "main"});
+  next_process.load_overrides("out 12\nout x box-1\nnonsense\n" + harness.stored_overrides());
+  run_scenario(next_process, "ops send GET /v1/metrics\nops expect 200 svc.hosts_down:1|g");
+  run_scenario(harness, "ops-5 send POST /v1/pop-caches/box-2/resume\nops-5 expect 200\nwait 18000\n");
+  EXPECT_TRUE(route_ten_requests(21));
+  next_process.load_overrides(harness.stored_overrides());
+  run_scenario(next_process, "ops-2 send GET /v1/metrics\nops-2 expect 200 svc.hosts_down:0|g");
+}
+
+TEST(Reducer, ResumedEndpointKeepsConnectionsWithOpenRequests) {
+  // A resumed endpoint counts as restarted, which must not close the connections of its running requests.
   run_scenario(R"(
     anna send 1 pages
     box-1 expect serve 1
@@ -985,22 +998,22 @@
   )");
 }
 
-// ---- Copies of its own ----
+// ---- Local cache ----
 
-/// Has a part of object 1, in group 17, come twice from a cache.
-std::string twice(const std::string& verb, const std::string& first, const std::string& second) {
+/// Returns a scenario in which a cache sends a part of one object of group 17 twice.
+std::string send_part_twice(const std::string& verb, const std::string& first, const std::string& second) {
   std::string text = "bulletin send head\n";
   int number = 1;
   for (const std::string& answer : {first, second}) {
-    const std::string n = std::to_string(number++);
-    text += "anna send " + n + " " + verb + " item=00000000000000aa\nbox-1 expect serve " + n +
-            "\nbox-1 send HIT " + n + " " + answer + "\nanna expect served " + n + "\n";
+    const std::string id = std::to_string(number++);
+    text += "anna send " + id + " " + verb + " item=00000000000000aa\nbox-1 expect serve " + id +
+            "\nbox-1 send HIT " + id + " " + answer + "\nanna expect served " + id + "\n";
   }
   return text;
 }
 
-TEST(Copies, WhatCameTwiceAlikeIsServedFromItsOwn) {
-  run_scenario(twice("video", "ver=t1,born=5 the bytes", "ver=t1,born=6 the bytes") + R"(
+TEST(LocalCache, PartReceivedTwiceIsServedLocally) {
+  run_scenario(send_part_twice("video", "ver=t1,born=5 the bytes", "ver=t1,born=6 the bytes") + R"(
     anna send 3 video item=00000000000000aa
     anna expect served 3 ver=t1 !unchanged body=the bytes
     anna send 4 video item=00000000000000aa ver=t1
@@ -1016,43 +1029,43 @@
   )");
 }
 
-TEST(Copies, NoiseOnTheWayIsNotServedAgain) {
-  run_scenario(twice("video", "ver=t1,born=5 the bytes", "ver=t1,born=6 the bXtes") + R"(
+TEST(LocalCache, PartsThatDifferAreNotServedLocally) {
+  run_scenario(send_part_twice("video", "ver=t1,born=5 the bytes", "ver=t1,born=6 the bXtes") + R"(
     anna send 3 video item=00000000000000aa
     box-1 expect serve 3
   )");
 }
 
-TEST(Copies, APurgeEndsThemAndWhatIsUnderWayFromBeforeItIsNotKept) {
-  VirtualTimeHarness stage;
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count();
-  const std::string old = "ver=t1,born=" + std::to_string(ms - 50) + " b",
-                    young = "ver=t1,born=" + std::to_string(ms + 1) + " b";
-  run_scenario(stage, twice("video", old, old) + R"(
+TEST(LocalCache, InvalidationRemovesCopiesAndOlderResponsesAreNotStored) {
+  VirtualTimeHarness harness;
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(harness.now()).count();
+  const std::string older_response = "ver=t1,born=" + std::to_string(ms - 50) + " b",
+                    newer_response = "ver=t1,born=" + std::to_string(ms + 1) + " b";
+  run_scenario(harness, send_part_twice("video", older_response, older_response) + R"(
     anna send 3 video item=00000000000000aa
     anna expect served 3
     bulletin send {"no":2,"recall":{"lot":17,"issued":)" +
-                          std::to_string(ms - 1) + R"(}}
+                            std::to_string(ms - 1) + R"(}}
     anna send 4 video item=00000000000000aa
     box-1 expect serve 4
-    box-1 send HIT 4 )" + old +
-                          R"(
+    box-1 send HIT 4 )" + older_response +
+                            R"(
     anna expect served 4
     anna send 5 video item=00000000000000aa
     box-1 expect serve 5
-    box-1 send HIT 5 )" + young +
-                          R"(
+    box-1 send HIT 5 )" + newer_response +
+                            R"(
     anna expect served 5
     anna send 6 video item=00000000000000aa
     anna expect served 6
   )");
 }
 
-TEST(Copies, AreNotServedPastTheirTimeOrWhileTheBulletinIsNotHeard) {
-  VirtualTimeHarness stage;
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count();
+TEST(LocalCache, CopiesAreNotServedAfterExpiryOrWhileDiscoveryIsSilent) {
+  VirtualTimeHarness harness;
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(harness.now()).count();
   const std::string answer = "ver=t1,born=" + std::to_string(ms - 5000) + " b";
-  run_scenario(stage, twice("pages", answer, answer) + R"(
+  run_scenario(harness, send_part_twice("pages", answer, answer) + R"(
     anna send 3 pages item=00000000000000aa
     anna expect served 3
     wait 1600
@@ -1069,17 +1082,17 @@
   )");
 }
 
-TEST(Copies, AreNotServedWhileTheBulletinEndsNoLine) {
-  // Guards the rule on purges: bytes alone bring no news.
-  VirtualTimeHarness stage;
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(stage.now()).count();
+TEST(LocalCache, CopiesAreNotServedWithoutACompleteDiscoveryLine) {
+  // An incomplete line carries no event, so invalidations may be missing.
+  VirtualTimeHarness harness;
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(harness.now()).count();
   const std::string answer = "ver=t1,born=" + std::to_string(ms) + " b";
-  run_scenario(stage, twice("video", answer, answer));
+  run_scenario(harness, send_part_twice("video", answer, answer));
   for (int i = 0; i < 16; ++i) {
-    stage.send("bulletin", ":");
-    stage.wait(std::chrono::milliseconds(100));
+    harness.send("bulletin", ":");
+    harness.wait(std::chrono::milliseconds(100));
   }
-  run_scenario(stage, R"(
+  run_scenario(harness, R"(
     anna send 3 video item=00000000000000aa
     box-1 expect serve 3
     bulletin send comment
@@ -1088,16 +1101,16 @@
   )");
 }
 
-TEST(Copies, TheLinkBearsSoManyAtOnceAndTheRestIsAskedOfTheCaches) {
-  VirtualTimeHarness stage;
-  const std::string body(20'000, 'y');  // 0.2 s of one of two transfers
-  run_scenario(stage, twice("video ram=1800", "ver=t1,born=5 " + body, "ver=t1,born=6 " + body));
-  run_scenario(stage, R"(
+TEST(LocalCache, RequestsAboveTheLinkCapacityGoToTheCaches) {
+  VirtualTimeHarness harness;
+  const std::string body(20'000, 'y');  // takes one of two transfer slots for 0.2 s
+  run_scenario(harness, send_part_twice("video ram=1800", "ver=t1,born=5 " + body, "ver=t1,born=6 " + body));
+  run_scenario(harness, R"(
     anna send 3 video ram=1800 item=00000000000000aa
     anna expect served 3
     anna send 4 video ram=1800 item=00000000000000aa
     anna expect served 4
-    # asked for often: the caches hold it
+    # the caches have copies, since the part is popular
     anna send 5 video ram=1800 item=00000000000000aa
     box-1 expect serve 5
     wait 210
@@ -1106,35 +1119,35 @@
   )");
 }
 
-TEST(Copies, TakeNoMoreThanTheirPartOfTheMemory) {
+TEST(LocalCache, CopiesStayWithinTheirShareOfTheMemory) {
   config::Config config = config::parse(config_text({"main"}, {}, 16), {});
-  proxy::LocalCache copies(config);
+  proxy::LocalCache local_cache(config);
   codec::CacheResponse answer;
   answer.status = codec::CacheResponseStatus::hit;
   answer.fields = "ver=a,born=5";
   answer.body = std::string(100'000, 'y');
   const Time now = std::chrono::hours(500000);
-  std::size_t kept = 0;
+  std::size_t found_copies = 0;
   for (std::uint64_t object = 0; object < 10'000; ++object) {
-    copies.insert({0, object, 0}, 1, answer, now);
-    copies.insert({0, object, 0}, 1, answer, now);
+    local_cache.insert({0, object, 0}, 1, answer, now);
+    local_cache.insert({0, object, 0}, 1, answer, now);
   }
   for (std::uint64_t object = 0; object < 10'000; ++object)
-    kept += copies.find({0, object, 0}, now, Time{0}) != nullptr ? 1 : 0;
-  EXPECT_EQ(kept, 16U * 1024 * 1024 / 7 / 100'000);
-  EXPECT_LE(copies.table_entries(), kept + 4096);
+    found_copies += local_cache.find({0, object, 0}, now, Time{0}) != nullptr ? 1 : 0;
+  EXPECT_EQ(found_copies, 16U * 1024 * 1024 / 7 / 100'000);
+  EXPECT_LE(local_cache.table_entries(), found_copies + 4096);
 }
 
-// ---- Replacing the process ----
+// ---- Graceful shutdown ----
 
-TEST(Edge, AfterTermAllIsAnsweredBeforeTheLongestDeadlineAndALittleMore) {
-  // Found on a day with shorter deadlines: the process was killed 2.55 s after SIGTERM while it still served.
-  VirtualTimeHarness stage({"box-1", "up-1", "main"}, 192, [](std::string config) {
+TEST(Reducer, GracefulShutdownAnswersAllRequestsWithinTheLongestDeadline) {
+  // With shorter deadlines the process was killed 2.55 s after SIGTERM while requests were still pending.
+  VirtualTimeHarness harness({"box-1", "up-1", "main"}, 192, [](std::string config) {
     for (const std::string key : {R"("deadline":5000000)", R"("deadline":2500000)", R"("deadline":3000000)"})
       config.replace(config.find(key), key.size(), R"("deadline":1800000)");
     return config;
   });
-  run_scenario(stage, R"(
+  run_scenario(harness, R"(
     anna send 1 video limit=1800
     box-1 expect serve 1
     edge send TERM
@@ -1153,9 +1166,9 @@
   )");
 }
 
-TEST(Edge, AfterTermNewConnectionsGoToTheNextProcessAndBusyOnesAreServedOn) {
-  VirtualTimeHarness stage;
-  run_scenario(stage, R"(
+TEST(Reducer, GracefulShutdownStopsAcceptingAndServesBusyConnections) {
+  VirtualTimeHarness harness;
+  run_scenario(harness, R"(
     anna send 1 video limit=5000
     box-1 expect serve 1
     bert send probe 1
@@ -1179,7 +1192,7 @@
     anna expect closed
     edge expect stopped
   )");
-  EXPECT_TRUE(stage.has_stopped_accepting());
+  EXPECT_TRUE(harness.has_stopped_accepting());
 }
 
 }  // namespace
