--- a/tests/app/readiness_test.cpp
+++ b/tests/app/readiness_test.cpp
@@ -61,8 +61,8 @@
   const auto address = [](int port) { return "127.0.0.1:" + std::to_string(port); };
   std::vector<Process> processes(static_cast<std::size_t>(count));
   for (Process& process : processes) process.port = reserve_port();
-  posix_spawn_file_actions_t file_actions;  // posix_spawn because fork would copy the large test process,
-                                            // which dominates the start time
+  // fork would copy the large test process, which dominates the start time.
+  posix_spawn_file_actions_t file_actions;
   posix_spawn_file_actions_init(&file_actions);
   posix_spawn_file_actions_addopen(&file_actions, 1, "/dev/null", O_WRONLY, 0);
   const auto start_time = Clock::now();
@@ -164,8 +164,8 @@
 }
 
 int process_count() {
-  const char* count =
-      std::getenv("EDGE_PROXY_STARTED");  // a larger count is used for the figures of docs/fleet.md
+  // The figures of docs/fleet.md use a larger count.
+  const char* count = std::getenv("EDGE_PROXY_STARTED");
   return count == nullptr ? 40 : std::atoi(count);
 }
 
--- a/tests/cluster/membership_cluster_test.cpp
+++ b/tests/cluster/membership_cluster_test.cpp
@@ -292,12 +292,14 @@
   options.extra_peers_config = R"(,"share_lease":3000000,"max_members":8,"expected":5)";
   Fleet fleet(5, options);
   expect_all_agree(fleet);
-  const auto holds = [&fleet](std::size_t i, std::uint64_t of) {  // 1 / of of the quota, less the reserve
-    return fleet.peers_metric(i, "share_held") == 1 && fleet.peers_metric(i, "share_ppm") == 900'000 / of;
+  // Whether process i holds an equal part of the quota, less the reserve.
+  const auto holds = [&fleet](std::size_t i, std::uint64_t holder_count) {
+    return fleet.peers_metric(i, "share_held") == 1 &&
+           fleet.peers_metric(i, "share_ppm") == 900'000 / holder_count;
   };
-  const auto all_hold = [&](std::uint64_t of) {
+  const auto all_hold = [&](std::uint64_t holder_count) {
     for (std::size_t i = 0; i < fleet.size(); ++i) {
-      if (fleet.is_running(i) && !holds(i, of)) return false;
+      if (fleet.is_running(i) && !holds(i, holder_count)) return false;
     }
     return true;
   };
@@ -334,7 +336,7 @@
   {
     StartedProgram program({"box-1", "up-1", "main"},
                            [](std::string config) { return section + config.substr(1); });
-    std::atomic<bool> over{false};
+    std::atomic<bool> stop{false};
     // Several senders produce more datagrams than a loop could drain if it read until its socket is empty.
     std::vector<std::thread> floods;
     for (unsigned sender = 0; sender < 3; ++sender) {
--- a/tests/cluster/policy_cluster_test.cpp
+++ b/tests/cluster/policy_cluster_test.cpp
@@ -36,7 +36,7 @@
     client_load_.reset();
     std::vector<std::string> logs;
     for (std::size_t i = 0; i < fleet_->size(); ++i) logs.push_back(fleet_->log(i));
-    const Checked checked = check_decisions(logs, 350ms);
+    const DecisionCheck checked = check_decisions(logs, 350ms);
     EXPECT_GT(checked.decisions, min_decisions);
     EXPECT_TRUE(checked.violations.empty()) << checked.violations.front() << "\n" << fleet_->diagnostics();
     std::printf("decisions %zu, violations %zu\n", checked.decisions, checked.violations.size());
