--- a/src/proxy/admin/admin_handler.cpp
+++ b/src/proxy/admin/admin_handler.cpp
@@ -61,7 +61,7 @@
     case AdminOperation::unknown:
       return Reply{kHttpNotFound, "no such call\n"};
     case AdminOperation::wrong_method:
-      return Reply{kHttpMethodNotAllowed, "not that way\n"};
+      return Reply{kHttpMethodNotAllowed, "method not allowed\n"};
     case AdminOperation::put_policy:
     case AdminOperation::abort_policy:
     case AdminOperation::add_voter:
@@ -81,7 +81,7 @@
     case ForgetResult::reachable:
       break;
   }
-  return {kHttpConflict, "it is not dead: stop it first\n"};
+  return {kHttpConflict, "the member is not dead: stop its process first\n"};
 }
 
 void AdminHandler::change_policy(ConnectionId connection, const AdminCall& call) {
--- a/tests/cluster/policy_cluster_test.cpp
+++ b/tests/cluster/policy_cluster_test.cpp
@@ -98,7 +98,7 @@
   EXPECT_EQ(put(1, "first", 0).first, 200) << "a repeated key must return the outcome of the first change";
   const auto [status, body] = put(0, "odd", 1, R"({"classes":{"pages":{"worth":2}}})");
   EXPECT_EQ(status, 409);
-  EXPECT_NE(body.find("edge-4: field 'classes.pages': is no class"), std::string::npos) << body;
+  EXPECT_NE(body.find("edge-4: field 'classes.pages': is not a request class"), std::string::npos) << body;
   EXPECT_EQ(put(0, "unknown key", 1, R"({"colour":1})").first, 422);
   // The caller is answered when the log contains the abort; the other processes receive it shortly
   // afterwards.
