--- a/src/proxy/admin/admin_connections.cpp
+++ b/src/proxy/admin/admin_connections.cpp
@@ -29,8 +29,7 @@
   AdminConnection& sender = connections_.at(connection);
   sender.reader.feed(bytes);
   if (const auto call = sender.reader.next()) return read_admin_call(*call);
-  if (sender.reader.is_broken() && !sender.answered_at)
-    reply(connection, kHttpBadRequest, "unreadable\n");
+  if (sender.reader.is_broken() && !sender.answered_at) reply(connection, kHttpBadRequest, "unreadable\n");
   return std::nullopt;
 }
 
