--- a/tests/cluster/membership_cluster_test.cpp
+++ b/tests/cluster/membership_cluster_test.cpp
@@ -213,7 +213,10 @@
     fleet.send_datagram(0, std::string(1500, 'x'));
   }
   fleet.expect("they are counted by reason", 10s, [&] {
-    return fleet.peers_metric(0, "refused.malformed") >= 50 &&
+    // 64 bytes of the value 8 read as an envelope of version 8 (0x08 is the tag of the version field) and
+    // are refused as another version. The other 49 values are malformed.
+    return fleet.peers_metric(0, "refused.malformed") >= 49 &&
+           fleet.peers_metric(0, "refused.other_version") >= 1 &&
            fleet.peers_metric(0, "refused.oversized") >= 50 && fleet.peers_metric(0, "refused.corrupt") >= 5;
   });
   fleet.set_fault_on_all({});
